--- a/bench/slopes/gossip.py
+++ b/bench/slopes/gossip.py
@@ -92,19 +92,19 @@
         self.state.note_listed(members, clock.now_ms())
         self.links.start()
 
-    def _on_received(self, received: link.Received) -> None:
+    def _on_received(self, received: link.ReceivedFrame) -> None:
         for body in received.decoded.messages:
             match body:
                 case message.Heartbeat():
                     self.gossip.on_heartbeat(body)
                 case message.ConfigWanted():
-                    self.gossip.on_wanted(body)
+                    self.gossip.on_config_wanted(body)
                 case message.ConfigOffer():
-                    self.gossip.on_offer(body)
+                    self.gossip.on_config_offer(body)
 
     def _on_config(self, taken: configuration.InForce) -> None:
         self.revised_ms[taken.manifest.revision] = clock.now_ms()
-        self.gossip.tell()
+        self.gossip.send_heartbeat()
 
     def put(self, revision: int) -> None:
         """Takes a new revision, as a watcher does."""
@@ -127,7 +127,7 @@
 async def _serve(first: int, count: int, total: int) -> None:
     """Runs endpoints; obeys lines on standard input."""
     ends = [Endpoint(first + index, total) for index in range(count)]
-    beats = [asyncio.ensure_future(each.gossip.beat()) for each in ends]
+    beats = [asyncio.ensure_future(each.gossip.run()) for each in ends]
     loop = asyncio.get_running_loop()
     print("ready", flush=True)
     while True:
@@ -145,7 +145,7 @@
 
 
 def _report(end: Endpoint) -> dict:
-    traffic = end.links.traffic
+    traffic = end.links.counters
     return {
         "bytes": traffic.sent_bytes + traffic.received_bytes,
         "messages": traffic.sent_message_count + traffic.received_message_count,
--- a/bench/slopes/peer_message.py
+++ b/bench/slopes/peer_message.py
@@ -44,7 +44,7 @@
 async def _echo() -> None:
     loop = asyncio.get_running_loop()
 
-    def on_received(received: link.Received) -> None:
+    def on_received(received: link.ReceivedFrame) -> None:
         for each in received.decoded.messages:
             links.send(NEAR, each)
 
@@ -62,9 +62,9 @@
         print("ready", flush=True)
         while True:
             data = await pull.arecv()
-            decoded = _CODEC.read(data)
-            packed = [_CODEC.pack(each) for each in decoded.messages]
-            await push.asend(codec.frame(packed))
+            decoded = _CODEC.decode(data)
+            packed = [_CODEC.encode(each) for each in decoded.messages]
+            await push.asend(codec.encode_frame(packed))
 
 
 async def _round_trips(body: message.Message, batch: int) -> list[float]:
@@ -73,7 +73,7 @@
     waiting: list[asyncio.Future] = []
     state = {"left": 0}
 
-    def on_received(received: link.Received) -> None:
+    def on_received(received: link.ReceivedFrame) -> None:
         state["left"] -= len(received.decoded.messages)
         if state["left"] <= 0 and waiting:
             waiting.pop().set_result(None)
@@ -111,8 +111,8 @@
                 walls.clear()
                 cpu_s = time.process_time()
             started_s = time.perf_counter()
-            await push.asend(codec.frame([_CODEC.pack(body)]))
-            _CODEC.read(await pull.arecv())
+            await push.asend(codec.encode_frame([_CODEC.encode(body)]))
+            _CODEC.decode(await pull.arecv())
             walls.append((time.perf_counter() - started_s) * 1000)
     walls.append((time.process_time() - cpu_s) * 1000)
     return walls
@@ -153,7 +153,7 @@
     sizes, cpus = [], []
     for hit_count in HIT_COUNTS:
         body = _answer(hit_count)
-        size = len(codec.frame([_CODEC.pack(body)]))
+        size = len(codec.encode_frame([_CODEC.encode(body)]))
         walls = _with_far("threads", _round_trips(body, 1))
         rows.append(_row("threads", size, 1, walls))
         sizes.append(size)
--- a/hyssoptack/entry/daemon.py
+++ b/hyssoptack/entry/daemon.py
@@ -148,7 +148,7 @@
                 self._refresh(),
                 self._follower.follow_list(),
                 self._follower.follow_config(),
-                self._gossip.beat(),
+                self._gossip.run(),
             )
         ]
         stopping = asyncio.ensure_future(self._stop_asked.wait())
@@ -180,7 +180,7 @@
         """Tells everyone, waits out the balancer's lag, finishes all work."""
         shutdown = self._settings.shutdown
         self._state.take("stop_asked")
-        self._gossip.tell_many()
+        self._gossip.broadcast_heartbeat()
         if self._state.chart_state == "leaving":
             await self._wait_or_hurry(shutdown.balancer_lag_ms)
             self._state.take("balancer_informed")
@@ -218,7 +218,7 @@
         now_ms = clock.now_ms()
         self._state.put_in_force(taken.catalog, now_ms)
         self._state.refresh(self._relay, now_ms)
-        self._gossip.tell()
+        self._gossip.send_heartbeat()
 
     def _send_to(self, instance_id: str, body: message.Message) -> bool:
         address = self._state.peer_address(instance_id)
@@ -252,7 +252,7 @@
             case _:
                 pass
 
-    def _on_received(self, received: link.Received) -> None:
+    def _on_received(self, received: link.ReceivedFrame) -> None:
         if received.decoded.dropped_count:
             log.write(
                 log.Event.PEER_UNREADABLE,
@@ -287,9 +287,9 @@
             case message.Heartbeat():
                 self._gossip.on_heartbeat(body)
             case message.ConfigWanted():
-                self._gossip.on_wanted(body)
+                self._gossip.on_config_wanted(body)
             case message.ConfigOffer():
-                self._gossip.on_offer(body)
+                self._gossip.on_config_offer(body)
 
     def _sink_to(self, sub: message.SubQuery) -> relay.Sink:
         def sink(replies: tuple[message.UpstreamReply, ...]) -> None:
--- a/hyssoptack/entry/operations.py
+++ b/hyssoptack/entry/operations.py
@@ -77,7 +77,7 @@
     upstream_call_count: int
     search_count: int
     claim_write_count: int
-    peer_traffic: link.Traffic
+    peer_traffic: link.LinkCounters
     admission_limits: dict[str, float]
     extra_call_tokens: dict[str, float]
     upstream_p95_ms: dict[str, float | None]
@@ -158,7 +158,7 @@
 
     def _set_gauges(self) -> None:
         parts = self._parts
-        traffic = parts.links.traffic
+        traffic = parts.links.counters
         facts = {
             "revision": parts.configuration.revision(),
             "ready": int(parts.state.is_ready()),
@@ -201,7 +201,7 @@
             upstream_call_count=parts.relay.call_count,
             search_count=parts.coordinator.started_count,
             claim_write_count=parts.claims.write_count,
-            peer_traffic=parts.links.traffic,
+            peer_traffic=parts.links.counters,
             admission_limits=limits,
             extra_call_tokens={
                 name: round(parts.state.budgets.of(name).token_count, 2)
--- a/hyssoptack/gateway/attempts_test.py
+++ b/hyssoptack/gateway/attempts_test.py
@@ -35,7 +35,7 @@
 
 def _delay(gateway, kinds, delay_s):
     """Makes a gateway late in reading some messages; their order stays."""
-    take, loop = gateway._peering.on_query, asyncio.get_running_loop()
+    take, loop = gateway._peering.on_message, asyncio.get_running_loop()
 
     def later(each):
         if isinstance(each, kinds):
@@ -43,7 +43,7 @@
         else:
             take(each)
 
-    gateway._peering.on_query = later
+    gateway._peering.on_message = later
 
 
 def _widest_count(site, request_id):
--- a/hyssoptack/gateway/beliefs.py
+++ b/hyssoptack/gateway/beliefs.py
@@ -15,36 +15,37 @@
 from hyssoptack.policy import placing
 from hyssoptack.policy import routetable
 
-RETURN_MS = 2_000.0
+REREGISTRATION_GRACE_MS = 2_000.0
 """Time that a living upstream needs to enter itself again after the store's
 return, by the users' word; one missing for longer is gone."""
 
 
 @dataclasses.dataclass(kw_only=True)
-class Beliefs:
+class ReplicatedView:
     """The views that requests are served from.
 
     Attributes:
-        placing: Standings of the upstreams.
+        load_balancer: Standings of the upstreams.
         pools: Connections to them.
-        table: Routes in force.
-        config_ms: When the configuration was taken.
-        listed_ms: When the list of upstreams was last read, by whomever.
+        route_table: Routes in force.
+        config_applied_ms: When the configuration was taken.
+        list_read_ms: When the list of upstreams was last read, by whomever.
         list_revision: The store's revision that the list is of.
         evacuations: Failure domains whose upstreams must get nothing.
-        store_back_ms: When the store last returned from an outage.
+        store_recovered_ms: When the store last returned from an outage.
         on_configuration: Told of each new configuration.
-        keeps_lapsed: Whether entries that lapsed in an outage are kept a while.
+        keeps_lapsed_upstreams: Whether entries that lapsed in an outage are
+            kept a while.
     """
 
-    placing: placing.Placing
+    load_balancer: placing.Placing
     pools: pool.Pools
     on_configuration: collections.abc.Callable[[traffic.Configuration], None]
-    table: routetable.RouteTable = dataclasses.field(
+    route_table: routetable.RouteTable = dataclasses.field(
         default_factory=lambda: routetable.RouteTable(None)
     )
-    config_ms: float = 0.0
-    listed_ms: float = 0.0
+    config_applied_ms: float = 0.0
+    list_read_ms: float = 0.0
     list_revision: int = 0
     upstreams: dict[str, traffic.Upstream] = dataclasses.field(
         default_factory=dict
@@ -52,24 +53,24 @@
     evacuations: evacuation.Evacuations = dataclasses.field(
         default_factory=evacuation.Evacuations
     )
-    store_back_ms: float = float("-inf")
+    store_recovered_ms: float = float("-inf")
     _evacuated: frozenset[str] = dataclasses.field(
         default=frozenset(), init=False
     )
-    keeps_lapsed: bool = True
+    keeps_lapsed_upstreams: bool = True
 
     @property
     def version(self) -> int:
         """The version in force; 0 before there is one."""
-        found = self.table.configuration
+        found = self.route_table.configuration
         return found.version if found else 0
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether both views were read."""
-        return self.version > 0 and self.listed_ms > 0
+        return self.version > 0 and self.list_read_ms > 0
 
-    def take_configuration(
+    def apply_configuration(
         self, offered: traffic.Configuration, source: str, now_ms: float
     ) -> bool:
         """Puts a configuration in force if it is newer; tells whether it is."""
@@ -83,8 +84,8 @@
                     source=source,
                 )
             return False
-        self.table = routetable.RouteTable(offered)
-        self.config_ms = now_ms
+        self.route_table = routetable.RouteTable(offered)
+        self.config_applied_ms = now_ms
         self.on_configuration(offered)
         log.write(
             log.Event.CONFIG_IN_FORCE,
@@ -95,7 +96,7 @@
         )
         return True
 
-    def take_list(
+    def apply_list(
         self,
         listed: dict[str, traffic.Upstream],
         revision: int,
@@ -113,7 +114,7 @@
         if revision < self.list_revision:
             return
         kept = dict(listed)
-        if self.grace_ms(now_ms) > 0:
+        if self.remaining_grace_ms(now_ms) > 0:
             # What is missing may have lapsed in the outage only. That holds
             # for a neighbour's list too: it may have started just now.
             kept = _without_predecessors(self.upstreams, kept) | kept
@@ -136,7 +137,7 @@
             for upstream_id, upstream in self.upstreams.items()
             if upstream.failure_domain not in self._evacuated
         }
-        self.placing.install(usable, now_ms, returning)
+        self.load_balancer.install(usable, now_ms, returning)
         self.pools.keep_only(
             {
                 upstream_id
@@ -162,7 +163,7 @@
         self._install(now_ms, ended)
         return True
 
-    def take_evacuations(
+    def replace_evacuations(
         self,
         domains: frozenset[str],
         at: position.Position,
@@ -173,17 +174,23 @@
         self.evacuations.take_all(domains, at, now_ms)
         return self.apply_evacuations(source, now_ms)
 
-    def grace_ms(self, now_ms: float) -> float:
+    def remaining_grace_ms(self, now_ms: float) -> float:
         """Returns how much longer what is missing may enter itself again."""
-        if not self.keeps_lapsed:
+        if not self.keeps_lapsed_upstreams:
             return 0.0
-        return max(0.0, self.store_back_ms + RETURN_MS - now_ms)
+        return max(
+            0.0, self.store_recovered_ms + REREGISTRATION_GRACE_MS - now_ms
+        )
 
-    def take_grace(self, grace_ms: float, now_ms: float) -> None:
+    def extend_grace(self, grace_ms: float, now_ms: float) -> None:
         """Takes over a neighbour's grace: its list holds what may return."""
         if grace_ms > 0:
-            back_ms = now_ms + min(RETURN_MS, grace_ms) - RETURN_MS
-            self.store_back_ms = max(self.store_back_ms, back_ms)
+            back_ms = (
+                now_ms
+                + min(REREGISTRATION_GRACE_MS, grace_ms)
+                - REREGISTRATION_GRACE_MS
+            )
+            self.store_recovered_ms = max(self.store_recovered_ms, back_ms)
 
     def confirm_list(self, revision: int, read_ms: float) -> None:
         """Notes that the list still stood at a later revision.
@@ -192,7 +199,7 @@
         makes the own one no younger.
         """
         self.list_revision = revision
-        self.listed_ms = max(self.listed_ms, read_ms)
+        self.list_read_ms = max(self.list_read_ms, read_ms)
 
     def _log_changes(self, kept: dict[str, traffic.Upstream]) -> None:
         came = {
--- a/hyssoptack/gateway/blocklist.py
+++ b/hyssoptack/gateway/blocklist.py
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Stored:
+class StoredEntry:
     """A blocked request as it is stored.
 
     Times are of day, as no other clock goes on when a machine starts anew; they
@@ -59,7 +59,7 @@
     return time.time() * message.MS_PER_S
 
 
-class Blocklist:
+class QuarantineStore:
     """One instance's part in what is stored."""
 
     def __init__(
@@ -77,7 +77,7 @@
         self._prefix = prefix
         self._seen: dict[str, int] = {}
 
-    async def settle(self, items: list[keyvalue.Item]) -> None:
+    async def reconcile(self, items: list[keyvalue.Item]) -> None:
         """Takes what is stored, and stores what is missing there.
 
         Args:
@@ -104,7 +104,7 @@
         seen: dict[str, int] = {}
         for item in items:
             try:
-                entry = msgspec.json.decode(item.value, type=Stored)
+                entry = msgspec.json.decode(item.value, type=StoredEntry)
             except msgspec.DecodeError as error:
                 log.write(log.Event.PEER_UNREADABLE, reason=str(error))
                 continue
@@ -115,7 +115,7 @@
         self._seen = seen
         return stored
 
-    def _tell(self, entry: Stored) -> None:
+    def _tell(self, entry: StoredEntry) -> None:
         unix_ms = _unix_ms()
         told = notice.Suspect(
             fingerprint=entry.fingerprint,
@@ -133,7 +133,7 @@
         unix_ms = _unix_ms() - now_ms
         items = {
             self._prefix + name: msgspec.json.encode(
-                Stored(
+                StoredEntry(
                     fingerprint=name,
                     blocked_count=entry.blocked_count,
                     until_unix_ms=unix_ms + entry.blocked_until_ms,
--- a/hyssoptack/gateway/blocklist_test.py
+++ b/hyssoptack/gateway/blocklist_test.py
@@ -75,6 +75,8 @@
         async with harness.Site() as site:
             await _blocked(site)
             await site.start("n3")
-            await _wait(lambda: site.gateways["n3"].readers.total_count == 4)
+            await _wait(
+                lambda: site.gateways["n3"].reader_election.total_count == 4
+            )
 
     asyncio.run(test())
--- a/hyssoptack/gateway/crashing_test.py
+++ b/hyssoptack/gateway/crashing_test.py
@@ -89,7 +89,9 @@
     await site.start("s1", failure_domain="south", **changes)
     async with asyncio.timeout(8.0):
         # Each knows of the others: the list of instances is read by then.
-        while any(each.readers.total_count < 3 for each in _gateways(site)):
+        while any(
+            each.reader_election.total_count < 3 for each in _gateways(site)
+        ):
             await asyncio.sleep(0.05)
 
 
--- a/hyssoptack/gateway/daemon.py
+++ b/hyssoptack/gateway/daemon.py
@@ -97,13 +97,13 @@
         self._placing = placing.Placing(
             parts.placing_settings(settings), self._warmups
         )
-        self.beliefs = beliefs.Beliefs(
-            placing=self._placing,
+        self.view = beliefs.ReplicatedView(
+            load_balancer=self._placing,
             pools=self._pools,
             on_configuration=self._on_configuration,
-            keeps_lapsed=settings.mechanisms.grace,
+            keeps_lapsed_upstreams=settings.mechanisms.grace,
         )
-        self.readers = readership.Readership(
+        self.reader_election = readership.Readership(
             settings.instance_id,
             settings.failure_domain,
             readership.pace(settings.belief_bound_ms),
@@ -118,7 +118,7 @@
         self._suspicions.trust(settings.trusted_fingerprints, clock.now_ms())
         self._metrics = metrics.Metrics()
         self._serving = serving.Serving(
-            self.beliefs,
+            self.view,
             self._knowledge(),
             settings.failure_domain,
             self._metrics,
@@ -134,8 +134,8 @@
         self._store = keyvalue.Client(settings.store_address, self._store_pools)
         self._peering = peering.Peering(
             settings,
-            self.beliefs,
-            self.readers,
+            self.view,
+            self.reader_election,
             self._on_instances,
             self._reach.note_told,
         )
@@ -157,7 +157,7 @@
         )
         self._serving.relaying = self._relaying
         self._gathering = gathering.Gathering(
-            self.beliefs,
+            self.view,
             settings.peer_address,
             self._peering.send,
             self._serving.connection_limit_count,
@@ -167,21 +167,21 @@
         self._suspecting = suspecting.Suspecting(
             self._suspicions,
             parts.own_peer(settings),
-            self.readers.neighbours,
+            self.reader_election.neighbours,
             self._relaying.known.peers,
             self._peering.send,
             self._serving.note_blocked,
             self._metrics,
         )
-        self._blocklist = blocklist.Blocklist(
+        self._blocklist = blocklist.QuarantineStore(
             self._suspicions, self._store, wire.BLOCKED_PREFIX
         )
         self._pools.on_ended = self._suspecting.on_upstream_ended
-        self._peering.on_query = self._on_query
+        self._peering.on_message = self._on_query
         self._peering.on_undelivered = self._on_undelivered
         self._peering.on_link_lost = self._on_link_lost
-        self._reaching = reaching.Reaching(
-            self.beliefs,
+        self._reaching = reaching.PartitionMonitor(
+            self.view,
             self._reach,
             settings.failure_domain,
             lambda: self._settings.store_address,
@@ -200,7 +200,7 @@
         )
 
     def _on_query(self, each: notice.Notice) -> None:
-        ready = self.beliefs.complete and not self._stop.is_set()
+        ready = self.view.is_complete and not self._stop.is_set()
         match each:
             case notice.QueryAsk():
                 self._serving.take(each, ready)
@@ -238,27 +238,27 @@
         if not self._reach.cut:
             return
         if self._reach.found_here:
-            self._peering.tell_cut()
+            self._peering.publish_partition()
         self._serving.note_cut()
 
     def _is_ready(self) -> bool:
         return (
-            self.beliefs.complete
+            self.view.is_complete
             and not self._stop.is_set()
             and not self._reach.leaves_rotation
         )
 
     def _facts(self, now_ms: float) -> dict[str, float]:
         return {
-            "version": self.beliefs.version,
-            "version_age_ms": now_ms - self.beliefs.config_ms,
-            "list_age_ms": now_ms - self.beliefs.listed_ms,
-            "upstream_count": len(self.beliefs.upstreams),
+            "version": self.view.version,
+            "version_age_ms": now_ms - self.view.config_applied_ms,
+            "list_age_ms": now_ms - self.view.list_read_ms,
+            "upstream_count": len(self.view.upstreams),
             "running_count": len(self._serving.running),
             "caller_connection_count": len(self._callers.connections),
             "opened_connection_count": self._pools.opened_count,
             "store_call_count": self._store.call_count,
-            "instance_count": self.readers.total_count,
+            "instance_count": self.reader_election.total_count,
             "suspected_count": self._suspicions.suspected_count,
             "blocked_count": self._suspicions.blocked_count,
         }
@@ -275,7 +275,9 @@
         loop.add_signal_handler(signal.SIGINT, self.stop)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         if callers_port is None:
-            callers_port = earlyport.listening(self._settings.callers_address)
+            callers_port = earlyport.listening_socket(
+                self._settings.callers_address
+            )
         await self._ports.listen(self._settings.readiness_address, self._probes)
         if self._settings.metrics_address:
             await self._ports.listen(
@@ -295,21 +297,21 @@
 
     async def _serve_until_stopped(self, callers_port: socket.socket) -> None:
         loop = asyncio.get_running_loop()
-        follower = following.Follower(
+        follower = following.StoreWatcher(
             self._settings,
-            self.beliefs,
+            self.view,
             self._store,
             self._peering,
             self._on_instances,
-            self._blocklist.settle,
+            self._blocklist.reconcile,
         )
         tasks = [
             loop.create_task(each)
             for each in (
-                follower.follow_list(),
-                follower.follow_configuration(),
-                follower.follow_instances(),
-                follower.stay_listed(),
+                follower.poll_upstreams(),
+                follower.watch_configuration(),
+                follower.poll_instances(),
+                follower.maintain_registration(),
                 self._follow_settings(),
                 self._delegating.watch_stalls(),
                 self._callers.sweep(),
@@ -320,7 +322,7 @@
         ]
         tasks.extend(loop.create_task(each) for each in self._watches())
         await self._ports.open_to_callers(
-            callers_port, self._callers, self.beliefs
+            callers_port, self._callers, self.view
         )
         stopped = loop.create_task(self._stop.wait())
         done, _ = await asyncio.wait(
@@ -334,7 +336,7 @@
         """Returns the tasks of mechanisms that can be switched off."""
         watches = []
         if self._settings.mechanisms.told_calls:
-            watches.append(self._peering.tell_calls())
+            watches.append(self._peering.publish_calls_periodically())
         if self._settings.mechanisms.suspicion:
             watches.append(self._suspecting.tell())
         if self._settings.mechanisms.cut_belief:
@@ -378,26 +380,30 @@
         log.write(log.Event.RELOADED, changed=changed, at_restart=waiting)
         self._settings = settings
         self._store.move(settings.store_address)
-        self.readers.pace = readership.pace(settings.belief_bound_ms)
+        self.reader_election.pace = readership.pace(settings.belief_bound_ms)
         self._placing.settings = parts.placing_settings(settings)
         self._warmups.limits = settings.warmup
         self._delegating.known.link_mbps = parts.own_link_mbps(settings)
-        budgetshare.install(self._extra_calls, self._settings, self.readers)
+        budgetshare.install(
+            self._extra_calls, self._settings, self.reader_election
+        )
         self._suspicions.trust(settings.trusted_fingerprints, clock.now_ms())
 
     def _on_instances(self, far_gatherers: tuple[member.Peer, ...]) -> None:
         """Takes a new list of instances: shares go by their number."""
-        self._delegating.known.install(self.readers.neighbours())
+        self._delegating.known.install(self.reader_election.neighbours())
         self._relaying.known.install(far_gatherers)
         self._warmups.install_instances(
-            self.readers.neighbours(), clock.now_ms()
+            self.reader_election.neighbours(), clock.now_ms()
         )
-        own_count = len(self.readers.neighbours()) + 1
+        own_count = len(self.reader_election.neighbours()) + 1
         self._serving.crowd = connections.Crowd(
             own_count=own_count,
-            other_count=max(0, self.readers.total_count - own_count),
+            other_count=max(0, self.reader_election.total_count - own_count),
+        )
+        budgetshare.install(
+            self._extra_calls, self._settings, self.reader_election
         )
-        budgetshare.install(self._extra_calls, self._settings, self.readers)
 
     def _has_work(self) -> bool:
         """Whether queries of neighbours run here, or calls of their queries."""
--- a/hyssoptack/gateway/delegating.py
+++ b/hyssoptack/gateway/delegating.py
@@ -47,18 +47,18 @@
     Attributes:
         request: The request as the neighbour's caller sent it.
         reply_to: Sends the answer back.
-        on_left: Called when the neighbour wants no answer any more.
+        on_abandoned: Called when the neighbour wants no answer any more.
         on_granted: Called when the neighbour will not take it back.
     """
 
     request: message.Request
     reply_to: collections.abc.Callable[[message.Reply], None]
-    on_left: collections.abc.Callable[[], None] | None = None
+    on_abandoned: collections.abc.Callable[[], None] | None = None
     on_granted: collections.abc.Callable[[], None] | None = None
 
     def answer(self, reply: message.Reply) -> None:
         """Sends the answer to the neighbour."""
-        self.on_left = self.on_granted = None
+        self.on_abandoned = self.on_granted = None
         self.reply_to(reply)
 
 
@@ -244,8 +244,8 @@
                 self._granted((address, ask_id))
             case notice.QueryLeft(sender_address=address, ask_id=ask_id):
                 exchange = self._taken.pop((address, ask_id), None)
-                if exchange is not None and exchange.on_left is not None:
-                    exchange.on_left()
+                if exchange is not None and exchange.on_abandoned is not None:
+                    exchange.on_abandoned()
 
     def on_undelivered(self, each: notice.Notice) -> None:
         """Takes that a message did not reach its neighbour."""
@@ -284,7 +284,7 @@
         """Sends the query to the neighbour."""
         self._owner.handed[self._ask_id] = self
         self._owner.known.handed(self._peer.address)
-        self._query.exchange.on_left = self._left
+        self._query.exchange.on_abandoned = self._left
         self._ask(version, fresh=True)
         self._wait(delegation.BEGUN_WAIT_MS, self._not_begun)
 
@@ -377,7 +377,9 @@
         self._end()
         self._log_back(reason, may_have_run=True)
         status = http.HTTPStatus.BAD_GATEWAY
-        self._query.exchange.answer(message.problem(status, "neighbour_lost"))
+        self._query.exchange.answer(
+            message.problem_reply(status, "neighbour_lost")
+        )
 
     def answered(self, answer: notice.QueryAnswer) -> None:
         """Passes the neighbour's answer on."""
--- a/hyssoptack/gateway/delegating_test.py
+++ b/hyssoptack/gateway/delegating_test.py
@@ -57,13 +57,13 @@
     async def test():
         async with harness.Site() as site:
             narrow = await _pair(site)
-            table = site.gateways["wide"].beliefs
-            held = table.table
-            table.table = types.SimpleNamespace(
+            table = site.gateways["wide"].view
+            held = table.route_table
+            table.route_table = types.SimpleNamespace(
                 configuration=types.SimpleNamespace(version=999)
             )
             got = await site.get("/all/x", "r1", name="narrow")
-            table.table = held
+            table.route_table = held
             assert got.status == 200
             assert sum(s.runs[b"r1"] for s in site.services.values()) == 4
             assert not narrow._delegating.handed
@@ -118,7 +118,7 @@
         async with harness.Site() as site:
             narrow = await _pair(site)
             # It takes messages and says nothing: a frozen process.
-            site.gateways["wide"]._peering.on_query = lambda _: None
+            site.gateways["wide"]._peering.on_message = lambda _: None
             for each in site.services.values():
                 each.manners.delay_ms = 20.0
             started_s = asyncio.get_running_loop().time()
@@ -154,7 +154,7 @@
             for each in narrow._extra_calls._services.values():
                 each.slack_count = 0.0
             wide = site.gateways["wide"]._peering
-            take = wide.on_query
+            take = wide.on_message
             loop = asyncio.get_running_loop()
             asked = []
 
@@ -162,7 +162,7 @@
                 asked.append(type(each))
                 loop.call_later(0.1, take, each)
 
-            wide.on_query = late
+            wide.on_message = late
             got = await site.get("/all/x", "r1", name="narrow")
             assert got.status == 200
             # Asked again after its answer, it would run the query once more.
--- a/hyssoptack/gateway/earlyport.py
+++ b/hyssoptack/gateway/earlyport.py
@@ -16,7 +16,7 @@
 """Connections that may wait to be accepted: a burst of all callers at once."""
 
 
-def opened(path: str) -> socket.socket | None:
+def open_callers_port(path: str) -> socket.socket | None:
     """Opens the callers' port of a settings file.
 
     Args:
@@ -27,13 +27,13 @@
     """
     try:
         with open(path, "rb") as file:
-            return listening(json.load(file)["callers_address"])
+            return listening_socket(json.load(file)["callers_address"])
     except (OSError, ValueError, TypeError, KeyError, AttributeError):
         # The daemon reads the file again, and says what is wrong.
         return None
 
 
-def listening(address: str) -> socket.socket:
+def listening_socket(address: str) -> socket.socket:
     """Returns a socket that listens on HOST:PORT and accepts nothing yet.
 
     Raises:
--- a/hyssoptack/gateway/evacuation_test.py
+++ b/hyssoptack/gateway/evacuation_test.py
@@ -45,7 +45,7 @@
     """Waits until all gateways know what is evacuated."""
     async with asyncio.timeout(HEARD_TIMEOUT_S):
         while any(
-            each.beliefs.evacuations.current(0.0) != domains
+            each.view.evacuations.current(0.0) != domains
             for each in site.gateways.values()
         ):
             await asyncio.sleep(0.02)
@@ -136,11 +136,11 @@
             await site.start()
             gateway = site.gateways["gateway-1"]
             # All requests go south, over one connection at a time.
-            gateway.beliefs.placing.settings = dataclasses.replace(
-                gateway.beliefs.placing.settings, failure_domain="south"
+            gateway.view.load_balancer.settings = dataclasses.replace(
+                gateway.view.load_balancer.settings, failure_domain="south"
             )
             gateway._serving.connection_limit_count = lambda _: 1
-            gateway.beliefs.placing.standings["n3"].ejected_until_ms = 1e15
+            gateway.view.load_balancer.standings["n3"].ejected_until_ms = 1e15
             site.services["s3"].manners.delay_ms = 700.0
             calls = [
                 asyncio.create_task(
--- a/hyssoptack/gateway/following.py
+++ b/hyssoptack/gateway/following.py
@@ -66,13 +66,13 @@
 """Told of all that instances of ours have stored, each time it was read."""
 
 
-class Follower:
+class StoreWatcher:
     """Tasks that follow the store for as long as the instance runs."""
 
     def __init__(
         self,
         settings: gateway.GatewaySettings,
-        believed: beliefs.Beliefs,
+        believed: beliefs.ReplicatedView,
         store: keyvalue.Client,
         peers: peering.Peering,
         on_instances: peering.OnInstances,
@@ -84,7 +84,7 @@
         self._peers = peers
         self._on_instances = on_instances
         self._on_stored = on_stored
-        self._readers = peers.readers
+        self._readers = peers.reader_election
         self._random = random.Random()
         self._lost_since_ms: float | None = None
         # The first reading may be a little old: when all instances start at
@@ -96,7 +96,7 @@
 
     # The list of upstreams.
 
-    async def follow_list(self) -> None:
+    async def poll_upstreams(self) -> None:
         """Reads the list of upstreams while nobody else does."""
         failure_count = 0
         while True:
@@ -116,7 +116,7 @@
                     self._note_back()
                     self._take_list(listing)
                     self._beliefs.apply_evacuations("time", clock.now_ms())
-                    self._peers.tell()
+                    self._peers.publish_view()
                     await self._pause(self._list_pause_ms(clock.now_ms()))
                 case expression.Result(error=failure):
                     failure_count += 1
@@ -127,7 +127,7 @@
 
     def _list_pause_ms(self, now_ms: float) -> float:
         """Returns when to read again: no later than the grace's end."""
-        grace_ms = self._beliefs.grace_ms(now_ms)
+        grace_ms = self._beliefs.remaining_grace_ms(now_ms)
         if not grace_ms:
             return self._readers.pace.list_period_ms
         # The next reading has to be an exact one.
@@ -156,7 +156,7 @@
                 case expression.Result(error=detail):
                     unreadable[item.key] = detail
         self._note_unreadable(unreadable)
-        self._beliefs.take_list(listed, listing.store_revision, clock.now_ms())
+        self._beliefs.apply_list(listed, listing.store_revision, clock.now_ms())
 
     def _note_unreadable(self, unreadable: dict[str, str]) -> None:
         """Logs entries that can't be used, each once for each reason."""
@@ -172,7 +172,7 @@
 
     # The configuration.
 
-    async def follow_configuration(self) -> None:
+    async def watch_configuration(self) -> None:
         """Reads the configuration, then watches it, while nobody else does."""
         failure_count = 0
         revision: int | None = None
@@ -223,12 +223,12 @@
             for item in found.items
             if (domain := self._evacuated_domain(item)) is not None
         )
-        evacuated = self._beliefs.take_evacuations(
+        evacuated = self._beliefs.replace_evacuations(
             domains, found.position, "store", clock.now_ms()
         )
         configured = self._take_configurations(found.items, "store")
         if evacuated or configured:
-            self._peers.tell()
+            self._peers.publish_view()
         return found.store_revision
 
     def _take_operators_changes(self, found: keyvalue.Changes) -> int:
@@ -246,7 +246,7 @@
         evacuated = self._beliefs.apply_evacuations("watch", clock.now_ms())
         configured = self._take_configurations(found.events, "watch")
         if evacuated or configured:
-            self._peers.tell()
+            self._peers.publish_view()
         return found.current_rev
 
     def _evacuated_domain(self, item: keyvalue.Item) -> str | None:
@@ -281,11 +281,11 @@
         match wire.configuration(value):
             case expression.Result(tag="ok", ok=offered):
                 now_ms = clock.now_ms()
-                taken = self._beliefs.take_configuration(
+                taken = self._beliefs.apply_configuration(
                     offered, source, now_ms
                 )
                 if taken:
-                    self._peers.keep_configuration(value)
+                    self._peers.cache_configuration(value)
                 return taken
             case expression.Result(error=detail):
                 log.write(log.Event.CONFIG_REFUSED, errors=[detail])
@@ -293,7 +293,7 @@
 
     # The list of instances.
 
-    async def stay_listed(self) -> None:
+    async def maintain_registration(self) -> None:
         """Keeps the own entry in the list of instances."""
         lease: int | None = None
         failure_count = 0
@@ -341,7 +341,7 @@
                 # A failed call may have renewed it; the next one will tell.
                 return True
 
-    async def follow_instances(self) -> None:
+    async def poll_instances(self) -> None:
         """Reads the list of instances while this one reads for others."""
         pauses_ms = itertools.chain(
             PEERS_FIRST_MS, itertools.repeat(PEERS_PERIOD_MS)
@@ -353,7 +353,7 @@
             match result:
                 case expression.Result(tag="ok", ok=listing):
                     self._take_instances(listing.items)
-                    self._peers.tell()
+                    self._peers.publish_view()
                     await self._on_stored(listing.items)
                 case expression.Result(error=failure):
                     self._note_lost(failure)
@@ -376,7 +376,7 @@
         self._readers.install(neighbours, len(peers))
         far = gatherers.chosen(peers, domain)
         self._on_instances(far)
-        self._peers.tell_instances(neighbours, len(peers), far)
+        self._peers.publish_instances(neighbours, len(peers), far)
 
     # The store's reachability.
 
@@ -399,9 +399,9 @@
         now_ms = clock.now_ms()
         lost_ms = now_ms - self._lost_since_ms
         self._lost_since_ms = None
-        list_age_ms = now_ms - self._beliefs.listed_ms
+        list_age_ms = now_ms - self._beliefs.list_read_ms
         if list_age_ms > LAPSE_MIN_MS:
-            self._beliefs.store_back_ms = now_ms
+            self._beliefs.store_recovered_ms = now_ms
         log.write(
             log.Event.STORE_BACK,
             lost_ms=round(lost_ms),
--- a/hyssoptack/gateway/following_test.py
+++ b/hyssoptack/gateway/following_test.py
@@ -28,17 +28,19 @@
     placed = placing.Placing(
         placing.PlacingSettings(failure_domain="north", crossing_ratio=1.5)
     )
-    believed = beliefs.Beliefs(
-        placing=placed, pools=pool.Pools(b""), on_configuration=lambda _: None
+    believed = beliefs.ReplicatedView(
+        load_balancer=placed,
+        pools=pool.Pools(b""),
+        on_configuration=lambda _: None,
     )
     readers = readership.Readership("g", "north", readership.pace(3_000.0))
-    peers = types.SimpleNamespace(readers=readers)
-    made = following.Follower(
+    peers = types.SimpleNamespace(reader_election=readers)
+    made = following.StoreWatcher(
         settings, believed, None, peers, lambda _: None, None
     )
     now_ms = clock.now_ms()
     listed = {"a": callplan_test.upstream("a")}
-    believed.take_list(listed, 1, now_ms - list_age_ms)
+    believed.apply_list(listed, 1, now_ms - list_age_ms)
     made._lost_since_ms = now_ms - 9_000.0
     return made, believed
 
@@ -49,7 +51,7 @@
     # told its neighbours so.
     made, believed = follower(list_age_ms=900.0)
     made._note_back()
-    believed.take_list({}, 2, clock.now_ms())
+    believed.apply_list({}, 2, clock.now_ms())
     assert not believed.upstreams
 
 
@@ -80,7 +82,7 @@
     made, believed = follower(list_age_ms=9_000.0)
     hear(made, believed, believed.upstreams, list_age_ms=7_000.0)
     made._note_back()
-    believed.take_list({}, 3, clock.now_ms())
+    believed.apply_list({}, 3, clock.now_ms())
     assert "a" in believed.upstreams
 
 
@@ -89,11 +91,13 @@
     # had lapsed and told its neighbours; one whose own answer came 10 ms later
     # took its list for one kept fresh, dropped 121 upstreams and said so.
     made, believed = follower(list_age_ms=5_000.0)
-    hear(made, believed, believed.upstreams, beliefs.RETURN_MS)
+    hear(made, believed, believed.upstreams, beliefs.REREGISTRATION_GRACE_MS)
     made._note_back()
-    believed.take_list({}, 3, clock.now_ms())
+    believed.apply_list({}, 3, clock.now_ms())
     assert "a" in believed.upstreams
-    believed.take_list({}, 4, clock.now_ms() + beliefs.RETURN_MS + 1.0)
+    believed.apply_list(
+        {}, 4, clock.now_ms() + beliefs.REREGISTRATION_GRACE_MS + 1.0
+    )
     assert not believed.upstreams
 
 
@@ -108,19 +112,19 @@
 def test_entries_that_lapsed_in_an_outage_are_kept_for_a_while():
     made, believed = follower(list_age_ms=9_000.0)
     made._note_back()
-    believed.take_list({}, 2, clock.now_ms())
+    believed.apply_list({}, 2, clock.now_ms())
     assert "a" in believed.upstreams
     pause_ms = made._list_pause_ms(clock.now_ms())
-    assert pause_ms <= beliefs.RETURN_MS
-    later_ms = clock.now_ms() + beliefs.RETURN_MS + 1.0
-    believed.take_list({}, 3, later_ms)
+    assert pause_ms <= beliefs.REREGISTRATION_GRACE_MS
+    later_ms = clock.now_ms() + beliefs.REREGISTRATION_GRACE_MS + 1.0
+    believed.apply_list({}, 3, later_ms)
     assert not believed.upstreams
 
 
 def test_a_reading_is_due_when_the_grace_ends():
     made, believed = follower(list_age_ms=9_000.0)
-    believed.store_back_ms = 1_000.0
-    ends_ms = 1_000.0 + beliefs.RETURN_MS
+    believed.store_recovered_ms = 1_000.0
+    ends_ms = 1_000.0 + beliefs.REREGISTRATION_GRACE_MS
     assert made._list_pause_ms(ends_ms - 300.0) <= 310.0
     assert made._list_pause_ms(ends_ms + 1.0) == 1_000.0
 
@@ -142,10 +146,10 @@
 def test_a_new_instances_first_reading_may_be_old_the_next_is_exact():
     made, _ = follower(list_age_ms=0.0)
     made._store = _Store(4)
-    made._peers.tell = lambda: None
+    made._peers.publish_view = lambda: None
     made._readers.pace = readership.pace(0.0)
     with contextlib.suppress(asyncio.CancelledError):
-        asyncio.run(made.follow_list())
+        asyncio.run(made.poll_upstreams())
     assert made._store.stale == [True, False, True, False]
 
 
@@ -154,7 +158,7 @@
     made._store = _Store(3)
     believed.pools = None
     with contextlib.suppress(asyncio.CancelledError):
-        asyncio.run(made.follow_configuration())
+        asyncio.run(made.watch_configuration())
     assert made._store.stale == [True, False, False]
 
 
@@ -164,20 +168,20 @@
     again = dataclasses.replace(
         callplan_test.upstream("a"), upstream_id="a#2", listed_id="a"
     )
-    believed.take_list({"a#2": again}, 2, clock.now_ms())
+    believed.apply_list({"a#2": again}, 2, clock.now_ms())
     assert set(believed.upstreams) == {"a#2"}
 
 
 def test_nothing_believed_of_the_one_before_holds_for_a_reborn_upstream():
     _, believed = follower(list_age_ms=0.0)
     now_ms = clock.now_ms()
-    placed = believed.placing
+    placed = believed.load_balancer
     placed.sent("a", 0.0)
     placed.unreachable("a", now_ms)
     again = dataclasses.replace(
         callplan_test.upstream("a"), upstream_id="a#2", listed_id="a"
     )
-    believed.take_list({"a#2": again}, 2, now_ms)
+    believed.apply_list({"a#2": again}, 2, now_ms)
     placed.ended("a")
     placed.answered("r", "a", 900.0, now_ms)
     standing = placed.standings["a#2"]
--- a/hyssoptack/gateway/gathering.py
+++ b/hyssoptack/gateway/gathering.py
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        believed: beliefs.Beliefs,
+        believed: beliefs.ReplicatedView,
         own_address: str,
         send: Send,
         limit_count: LimitCount,
@@ -55,7 +55,7 @@
             is_stale: Whether messages may be old, as this process stood still.
             suspicions: Which requests crash upstreams.
         """
-        self.beliefs = believed
+        self.view = believed
         self.own_address = own_address
         self.send = send
         self.limit_count = limit_count
@@ -107,7 +107,7 @@
         self._end_timer: asyncio.TimerHandle | None = None
         self._to_goal_ms = max(0.0, ask.to_goal_ms)
         self._times = hedgetime.HedgeTime(
-            owner.beliefs.placing.typical(ask.route_name),
+            owner.view.load_balancer.typical(ask.route_name),
             self._to_goal_ms,
             self._started_ms + self._to_goal_ms,
             self._started_ms,
@@ -123,7 +123,7 @@
     def start(self) -> None:
         """Makes the calls."""
         for each in self._ask.calls:
-            upstream = self._owner.beliefs.placing.usable(
+            upstream = self._owner.view.load_balancer.usable(
                 each.upstream_id, RELAYED_RANK, self._started_ms
             )
             if upstream is None:
@@ -141,7 +141,9 @@
 
     def _call(self, call_id: int, upstream: traffic.Upstream) -> None:
         self._open[call_id] = upstream.upstream_id
-        self._owner.beliefs.placing.sent(upstream.upstream_id, self._started_ms)
+        self._owner.view.load_balancer.sent(
+            upstream.upstream_id, self._started_ms
+        )
         job = pool.Job(
             upstream=upstream,
             data=lambda: self._data(upstream),
@@ -153,7 +155,7 @@
             fingerprint=self._ask.fingerprint,
         )
         limit_count = self._owner.limit_count(upstream)
-        self._calls[call_id] = self._owner.beliefs.pools.call(job, limit_count)
+        self._calls[call_id] = self._owner.view.pools.call(job, limit_count)
 
     def _data(self, upstream: traffic.Upstream) -> bytes:
         spent_ms = clock.now_ms() - self._started_ms
@@ -165,7 +167,7 @@
         self._calls.pop(call_id, None)
         upstream_id = self._open.pop(call_id)
         read = headers.call_outcome(outcome, to_merge=True)
-        known = self._owner.beliefs.placing
+        known = self._owner.view.load_balancer
         known.ended(upstream_id)
         # The asking instance learns from the call as well.
         calllearning.learn(
@@ -259,7 +261,7 @@
         for call in self._calls.values():
             call.cancel()
         for upstream_id in self._open.values():
-            self._owner.beliefs.placing.ended(upstream_id)
+            self._owner.view.load_balancer.ended(upstream_id)
         self._calls.clear()
         self._open.clear()
         key = self._ask.sender_address, self._ask.ask_id
--- a/hyssoptack/gateway/harness.py
+++ b/hyssoptack/gateway/harness.py
@@ -186,9 +186,9 @@
         narrow = await self.start("narrow", link_mbps=NARROW_MBPS)
         wide = await self.start("wide", link_mbps=WIDE_MBPS)
         async with asyncio.timeout(PAIR_TIMEOUT_S):
-            while not narrow.readers.neighbours():
+            while not narrow.reader_election.neighbours():
                 await asyncio.sleep(0.05)
-            while narrow.beliefs.version != wide.beliefs.version:
+            while narrow.view.version != wide.view.version:
                 await asyncio.sleep(0.05)
         narrow._delegating.known.note_reply("route-0", REPLY_BYTES)
         return narrow, wide
@@ -196,7 +196,7 @@
     async def _wait_counted(self, gateway: daemon.Gateway) -> None:
         """Waits until a gateway knows its share of the extra calls."""
         async with asyncio.timeout(START_TIMEOUT_S):
-            while not gateway.readers.most_count:
+            while not gateway.reader_election.most_count:
                 await asyncio.sleep(0.005)
 
     async def probe(self, name: str = "gateway-1") -> int:
--- a/hyssoptack/gateway/pages.py
+++ b/hyssoptack/gateway/pages.py
@@ -37,14 +37,14 @@
     def answer_probe(self, exchange: callerside.Exchange) -> None:
         """Tells the balancer whether to send callers."""
         if exchange.request.path != headers.READINESS_PATH:
-            exchange.answer(message.problem(404, "unknown_path"))
+            exchange.answer(message.problem_reply(404, "unknown_path"))
             return
         ready = self._is_ready()
         self._note_ready(ready)
         if ready:
             reply = message.Reply(status=200, headers=(), body=b"")
         else:
-            reply = message.problem(503, "not_ready")
+            reply = message.problem_reply(503, "not_ready")
         exchange.answer(reply)
 
     def answer_metrics(self, exchange: callerside.Exchange) -> None:
--- a/hyssoptack/gateway/peering.py
+++ b/hyssoptack/gateway/peering.py
@@ -52,7 +52,7 @@
     def __init__(
         self,
         settings: gateway.GatewaySettings,
-        believed: beliefs.Beliefs,
+        believed: beliefs.ReplicatedView,
         readers: readership.Readership,
         on_instances: OnInstances,
         on_cut: collections.abc.Callable[[], None],
@@ -68,7 +68,7 @@
         """
         self._settings = settings
         self._beliefs = believed
-        self.readers = readers
+        self.reader_election = readers
         self._on_instances = on_instances
         self._on_cut = on_cut
         self._told: dict[str, _Told] = {}
@@ -76,7 +76,7 @@
         self._configuration = b""
         self._random = random.Random()
         self._links: link.Links | None = None
-        self.on_query: OnMessage = _ignore
+        self.on_message: OnMessage = _ignore
         self.on_undelivered: OnMessage = _ignore
         self.on_link_lost: collections.abc.Callable[[str], None] = _ignore
 
@@ -105,16 +105,16 @@
         if self._links is not None:
             self._links.stop()
 
-    def keep_configuration(self, data: bytes) -> None:
+    def cache_configuration(self, data: bytes) -> None:
         """Keeps the configuration in force as it is stored, for neighbours."""
-        self._configuration = codec.compressed(data)
+        self._configuration = codec.compress(data)
 
-    def tell(self) -> None:
+    def publish_view(self) -> None:
         """Tells all neighbours what has changed since they were last told."""
         if self._links is None:
             return
         self._history.put(self._beliefs.upstreams)
-        for peer in self.readers.neighbours():
+        for peer in self.reader_election.neighbours():
             told = self._told.get(peer.address, _NOTHING_TOLD)
             fresh = told.version == self._beliefs.version
             self._send_view(
@@ -134,9 +134,9 @@
             configuration=configuration,
             revision=self._beliefs.list_revision,
             change=change,
-            grace_ms=self._beliefs.grace_ms(now_ms),
-            list_age_ms=now_ms - self._beliefs.listed_ms,
-            exact_age_ms=self.readers.exact_age_ms(now_ms),
+            grace_ms=self._beliefs.remaining_grace_ms(now_ms),
+            list_age_ms=now_ms - self._beliefs.list_read_ms,
+            exact_age_ms=self.reader_election.exact_age_ms(now_ms),
             evacuated=tuple(self._beliefs.evacuations.current(now_ms)),
             evacuated_at=self._beliefs.evacuations.at,
         )
@@ -155,7 +155,7 @@
             b"" if fresh else self._configuration,
         )
 
-    def tell_instances(
+    def publish_instances(
         self,
         neighbours: tuple[member.Peer, ...],
         total_count: int,
@@ -173,24 +173,24 @@
         for peer in self._some(INSTANCES_PEERS_COUNT):
             self._links.send(peer.address, made)
 
-    def tell_cut(self) -> None:
+    def publish_partition(self) -> None:
         """Tells neighbours that other failure domains show no life."""
         if self._links is None:
             return
         made = notice.CutNotice(sender_id=self._settings.instance_id)
-        for peer in self.readers.neighbours():
+        for peer in self.reader_election.neighbours():
             self._links.send(peer.address, made)
 
     def _some(self, most_count: int) -> list[member.Peer]:
         """Returns at most so many neighbours, chosen at random."""
-        peers = self.readers.neighbours()
+        peers = self.reader_election.neighbours()
         return self._random.sample(peers, min(len(peers), most_count))
 
-    async def tell_calls(self) -> None:
+    async def publish_calls_periodically(self) -> None:
         """Tells neighbours of calls that matter, for as long as it runs."""
         while True:
             await asyncio.sleep(CALLS_PERIOD_S)
-            calls = self._beliefs.placing.seen_calls(clock.now_ms())
+            calls = self._beliefs.load_balancer.seen_calls(clock.now_ms())
             if not calls or self._links is None:
                 continue
             made = notice.CallNotice(
@@ -206,27 +206,29 @@
             case _:
                 self.on_undelivered(body)
 
-    def _on_received(self, received: link.Received) -> None:
+    def _on_received(self, received: link.ReceivedFrame) -> None:
         for each in received.decoded.messages:
             match each:
                 case notice.ViewNotice():
                     self._take(each)
                 case notice.InstancesNotice():
-                    self.readers.install(each.neighbours, each.total_count)
+                    self.reader_election.install(
+                        each.neighbours, each.total_count
+                    )
                     self._on_instances(each.far_gatherers)
                 case notice.CutNotice():
                     self._on_cut()
                 case notice.ViewWanted():
                     self._answer_wanted(each)
                 case notice.CallNotice(seen_calls=seen_calls):
-                    self._beliefs.placing.told(seen_calls, clock.now_ms())
+                    self._beliefs.load_balancer.told(seen_calls, clock.now_ms())
                 case _:
-                    self.on_query(each)
+                    self.on_message(each)
         if received.decoded.dropped_count:
             log.write(log.Event.PEER_UNREADABLE, reason=received.decoded.reason)
 
     def _take(self, view: notice.ViewNotice) -> None:
-        self._beliefs.take_evacuations(
+        self._beliefs.replace_evacuations(
             frozenset(view.evacuated),
             view.evacuated_at,
             f"peer {view.sender_id}",
@@ -239,7 +241,7 @@
         if view.version > self._beliefs.version:
             self._ask(view)
         elif listed:
-            self.readers.heard(
+            self.reader_election.heard(
                 view.sender_id, clock.now_ms(), view.exact_age_ms
             )
         elif not behind:
@@ -254,16 +256,16 @@
             self._links.send(view.sender_address, wanted)
 
     def _take_configuration(self, view: notice.ViewNotice) -> None:
-        stored = codec.expanded(view.configuration)
+        stored = codec.decompress(view.configuration)
         if stored is None:
             log.write(log.Event.CONFIG_REFUSED, errors=["can't be expanded"])
             return
         match wire.configuration(stored):
             case expression.Result(tag="ok", ok=offered):
                 source = f"peer {view.sender_id}"
-                self.keep_configuration(stored)
+                self.cache_configuration(stored)
                 now_ms = clock.now_ms()
-                self._beliefs.take_configuration(offered, source, now_ms)
+                self._beliefs.apply_configuration(offered, source, now_ms)
             case expression.Result(error=detail):
                 log.write(log.Event.CONFIG_REFUSED, errors=[detail])
 
@@ -276,12 +278,12 @@
         if taken is None:
             return False
         now_ms = clock.now_ms()
-        self._beliefs.take_grace(view.grace_ms, now_ms)
+        self._beliefs.extend_grace(view.grace_ms, now_ms)
         read_ms = now_ms - view.list_age_ms
         if taken is self._beliefs.upstreams:
             self._beliefs.confirm_list(view.revision, read_ms)
         else:
-            self._beliefs.take_list(taken, view.revision, now_ms, read_ms)
+            self._beliefs.apply_list(taken, view.revision, now_ms, read_ms)
         return True
 
 
--- a/hyssoptack/gateway/peering_test.py
+++ b/hyssoptack/gateway/peering_test.py
@@ -30,7 +30,7 @@
             for name, each in site.gateways.items():
                 got = await site.get("/new/x", f"r-{name}", name=name)
                 assert got.status == 200
-                assert len(each.beliefs.upstreams) == 2
+                assert len(each.view.upstreams) == 2
 
     asyncio.run(test())
 
@@ -41,7 +41,7 @@
             await _three(site)
             reader = max(
                 site.gateways,
-                key=lambda name: site.gateways[name].readers.rank,
+                key=lambda name: site.gateways[name].reader_election.rank,
             )
             site.kill(reader)
             await asyncio.sleep(0.2)
@@ -50,8 +50,8 @@
             await asyncio.sleep(2.8)
             for name, each in site.gateways.items():
                 if name != reader:
-                    assert each.beliefs.version == 6
-                    assert each.beliefs.upstreams["i-0"].draining
+                    assert each.view.version == 6
+                    assert each.view.upstreams["i-0"].draining
 
     asyncio.run(test())
 
@@ -88,7 +88,7 @@
                 site.store.put(key, json.dumps(entry).encode())
             running = await site.start("g-1")
             async with asyncio.timeout(5.0):
-                while running.readers.most_count < 21:
+                while running.reader_election.most_count < 21:
                     await asyncio.sleep(0.05)
             slack_count = site.settings["g-1"].budget.slack_count
             assert 21 * running._extra_calls.share.slack_count <= slack_count
@@ -103,8 +103,8 @@
             await _three(site)
             async with asyncio.timeout(5.0):
                 for each in site.gateways.values():
-                    while each.readers.total_count != 3:
+                    while each.reader_election.total_count != 3:
                         await asyncio.sleep(0.05)
-                    assert len(each.readers.neighbours()) == 2
+                    assert len(each.reader_election.neighbours()) == 2
 
     asyncio.run(test())
--- a/hyssoptack/gateway/pool.py
+++ b/hyssoptack/gateway/pool.py
@@ -161,7 +161,7 @@
         self._waiting: collections.deque[Call] = collections.deque()
         self._open_count = 0
         self.limit_count = 1
-        self._broken: list[tuple[Call, upstreamside.Broken]] = []
+        self._broken: list[tuple[Call, upstreamside.BrokenCall]] = []
         self._check: asyncio.Task[None] | None = None
 
     @property
@@ -187,7 +187,7 @@
         now_ms = clock.now_ms()
         while self._idle:
             connection = self._idle[-1]
-            age_ms = now_ms - connection.used_ms
+            age_ms = now_ms - connection.last_used_ms
             if proven and age_ms > FRESH_MS:
                 return None
             self._idle.pop()
@@ -214,11 +214,11 @@
                 self._use(call, connection)
             case int(error):
                 reason = f"connect_failed_{error}"
-                call.end(upstreamside.Broken(reason=reason, sent=False))
+                call.end(upstreamside.BrokenCall(reason=reason, sent=False))
                 self.released()
             case None:
                 reason = "connect_timeout"
-                call.end(upstreamside.Broken(reason=reason, sent=False))
+                call.end(upstreamside.BrokenCall(reason=reason, sent=False))
                 self.released()
 
     async def _connected(
@@ -264,7 +264,9 @@
         await asyncio.sleep(SETTLED_MS / message.MS_PER_S)
         return found.lost
 
-    def _note_broken(self, call: Call, outcome: upstreamside.Broken) -> None:
+    def _note_broken(
+        self, call: Call, outcome: upstreamside.BrokenCall
+    ) -> None:
         """Looks whether an upstream that broke a call off has ended.
 
         Its outcome waits for that, as what is sent next depends on it.
@@ -292,7 +294,11 @@
             self._pools.on_ended(self._upstream, jobs)
         alone = len(broken) == 1
         for call, outcome in broken:
-            call.end(dataclasses.replace(outcome, ended=ended, alone=alone))
+            call.end(
+                dataclasses.replace(
+                    outcome, upstream_exited=ended, was_only_call=alone
+                )
+            )
         if isinstance(found, upstreamside.UpstreamConnection):
             # It lives: only the connection had ended.
             self._keep(found)
@@ -322,7 +328,7 @@
             call.connection = None
             self._give_back(connection)
             match outcome:
-                case upstreamside.Broken(sent=True) if call.job.fingerprint:
+                case upstreamside.BrokenCall(sent=True) if call.job.fingerprint:
                     self._note_broken(call, outcome)
                 case _:
                     call.end(outcome)
@@ -349,7 +355,7 @@
         waiting = tuple(self._waiting)
         self._waiting.clear()
         for call in waiting:
-            call.end(upstreamside.Broken(reason=WITHDRAWN, sent=False))
+            call.end(upstreamside.BrokenCall(reason=WITHDRAWN, sent=False))
 
     def released(self) -> None:
         """Starts a call that waited for a connection."""
@@ -370,14 +376,14 @@
         """Closes idle connections unused for longer than a time."""
         now_ms = clock.now_ms()
         for connection in tuple(self._idle):
-            if now_ms - connection.used_ms >= older_than_ms:
+            if now_ms - connection.last_used_ms >= older_than_ms:
                 self._idle.remove(connection)
                 connection.close()
 
     def close_stale(self, now_ms: float) -> None:
         """Closes the connections that their upstream may close soon."""
         for connection in tuple(self._idle):
-            if now_ms - connection.used_ms >= _idle_limit_ms(connection):
+            if now_ms - connection.last_used_ms >= _idle_limit_ms(connection):
                 self._idle.remove(connection)
                 connection.close()
 
--- a/hyssoptack/gateway/pool_test.py
+++ b/hyssoptack/gateway/pool_test.py
@@ -92,7 +92,7 @@
         called.address = f"127.0.0.1:{port}"
         caller = _Caller(called)
         broken = await caller.call(b"/bad/1")
-        assert broken.ended
+        assert broken.upstream_exited
         assert len(taken) == 2
 
     asyncio.run(test())
@@ -105,7 +105,7 @@
         await called.start()
         caller = _Caller(called)
         broken = await caller.call(b"/one/1")
-        assert isinstance(broken, upstreamside.Broken)
+        assert isinstance(broken, upstreamside.BrokenCall)
         await asyncio.sleep(0.1)
         assert not caller.ended
         # The look's own connection carries the next call.
--- a/hyssoptack/gateway/ports.py
+++ b/hyssoptack/gateway/ports.py
@@ -28,13 +28,13 @@
         Raises:
             OSError: The address can't be listened on.
         """
-        await self._accept(earlyport.listening(address), server)
+        await self._accept(earlyport.listening_socket(address), server)
 
     async def open_to_callers(
         self,
         port: socket.socket,
         server: callerside.Server,
-        believed: beliefs.Beliefs,
+        believed: beliefs.ReplicatedView,
     ) -> None:
         """Accepts callers once there is something to serve them from.
 
@@ -46,7 +46,7 @@
             believed: What they are served from.
         """
         limit_ms = clock.now_ms() + FIRST_VIEWS_WAIT_MS
-        while not believed.complete and clock.now_ms() < limit_ms:
+        while not believed.is_complete and clock.now_ms() < limit_ms:
             await asyncio.sleep(FIRST_VIEWS_CHECK_S)
         await self._accept(port, server)
 
@@ -55,7 +55,7 @@
     ) -> None:
         loop = asyncio.get_running_loop()
         made = await loop.create_server(
-            server.connection, sock=port, backlog=earlyport.BACKLOG_COUNT
+            server.new_connection, sock=port, backlog=earlyport.BACKLOG_COUNT
         )
         self._servers.append(made)
 
--- a/hyssoptack/gateway/reaching.py
+++ b/hyssoptack/gateway/reaching.py
@@ -16,7 +16,7 @@
 """How soon a doubt is looked into. Two looks of a cut that drops packets then
 take 0.4 s; the balancer takes 1 to 2 s more to turn callers away."""
 
-CUT_PERIOD_S = 0.4
+PARTITIONED_CHECK_PERIOD_S = 0.4
 """Between two looks while cut off: other domains are used again that soon."""
 
 PROBE_COUNT = 6
@@ -24,7 +24,7 @@
 cut)."""
 
 
-async def shows_life(address: str) -> bool:
+async def accepts_connection(address: str) -> bool:
     """Tells whether an address takes a connection."""
     host, _, port = address.rpartition(":")
     limit_s = pool.CONNECT_TIMEOUT_MS / message.MS_PER_S
@@ -38,19 +38,19 @@
     return True
 
 
-class Reaching:
+class PartitionMonitor:
     """Keeps the belief about other failure domains up to date."""
 
     def __init__(
         self,
-        believed: beliefs.Beliefs,
+        believed: beliefs.ReplicatedView,
         known: reach.Reach,
         failure_domain: str,
         store_address: collections.abc.Callable[[], str],
         on_change: collections.abc.Callable[[], None],
         probe: collections.abc.Callable[
             [str], collections.abc.Awaitable[bool]
-        ] = shows_life,
+        ] = accepts_connection,
     ):
         self._beliefs = believed
         self._known = known
@@ -69,7 +69,11 @@
             self._note_change(before)
             # A query may have ended the cut meanwhile.
             before = self._state()
-            pause_s = CUT_PERIOD_S if self._known.cut else CHECK_PERIOD_S
+            pause_s = (
+                PARTITIONED_CHECK_PERIOD_S
+                if self._known.cut
+                else CHECK_PERIOD_S
+            )
             await asyncio.sleep(pause_s)
             self._note_change(before)
 
@@ -84,12 +88,12 @@
         return reach.Look(
             far_alive=any(far_alive) or not far,
             store_alive=store_alive,
-            covered=self._beliefs.placing.covers_near(self._services()),
+            covered=self._beliefs.load_balancer.covers_near(self._services()),
         )
 
     def _services(self) -> set[str]:
         """Returns the services of all routes."""
-        configuration = self._beliefs.table.configuration
+        configuration = self._beliefs.route_table.configuration
         routes = configuration.routes if configuration else ()
         return {
             service
--- a/hyssoptack/gateway/reaching_test.py
+++ b/hyssoptack/gateway/reaching_test.py
@@ -38,7 +38,7 @@
             assert float(got.headers["retry-after"]) > 1.5
             assert site.run_count("r1") == 1
             alive = True
-            await asyncio.sleep(2 * reaching.CUT_PERIOD_S)
+            await asyncio.sleep(2 * reaching.PARTITIONED_CHECK_PERIOD_S)
             assert await site.probe() == 200
             got = await site.get("/one/x", "r2")
             assert "connection" not in got.headers
@@ -49,7 +49,7 @@
 def test_a_refused_connection_is_no_sign_of_life():
     # A cut may refuse all connections: it went unnoticed for all of its 5.6 s.
     address = f"127.0.0.1:{ports.free_port()}"
-    assert not asyncio.run(reaching.shows_life(address))
+    assert not asyncio.run(reaching.accepts_connection(address))
 
 
 def test_neighbours_hear_of_a_cut_and_look_for_themselves():
@@ -60,7 +60,7 @@
             first = await site.start("g-1")
             second = await site.start("g-2")
             async with asyncio.timeout(6.0):
-                while not first.readers.neighbours():
+                while not first.reader_election.neighbours():
                     await asyncio.sleep(0.05)
 
             async def silence(_address):
--- a/hyssoptack/gateway/received.py
+++ b/hyssoptack/gateway/received.py
@@ -15,11 +15,11 @@
 
     Attributes:
         request: The request.
-        on_left: Called when nobody waits for the answer any more.
+        on_abandoned: Called when nobody waits for the answer any more.
     """
 
     request: message.Request
-    on_left: typing.Callable[[], None] | None
+    on_abandoned: typing.Callable[[], None] | None
 
     def answer(self, reply: message.Reply) -> None:
         """Writes the answer."""
--- a/hyssoptack/gateway/relaying_test.py
+++ b/hyssoptack/gateway/relaying_test.py
@@ -72,7 +72,7 @@
     async def test():
         async with harness.Site() as site:
             north = await _across(site, both=True)
-            site.gateways["south"]._peering.on_query = lambda _: None
+            site.gateways["south"]._peering.on_message = lambda _: None
             got = await site.get("/all/x", "r1", name="north")
             assert got.status == 200
             shard_runs = [
@@ -118,7 +118,7 @@
             await _across(site, both=True)
             south = site.gateways["south"]
             for index in range(SHARD_COUNT):
-                standing = south.beliefs.placing.standings[f"i-{index}"]
+                standing = south.view.load_balancer.standings[f"i-{index}"]
                 object.__setattr__(standing.upstream, "draining", True)
             got = await site.get("/all/x", "r1", name="north")
             assert got.status == 200
--- a/hyssoptack/gateway/running.py
+++ b/hyssoptack/gateway/running.py
@@ -51,7 +51,7 @@
         self._exchange = exchange
         self._facts = facts
         self._route = found.route
-        self._version = owner.beliefs.version
+        self._version = owner.view.version
         self._now_ms = clock.now_ms()
         received_ms = exchange.request.received_ms
         self._spent_ms = query.spent_ms
@@ -92,7 +92,7 @@
     def start(self) -> None:
         """Sends the first calls."""
         self._owner.running.add(self)
-        self._exchange.on_left = self._left
+        self._exchange.on_abandoned = self._left
         self._carry(self._plan.start(self._now_ms))
 
     def _carry(self, commands: list[callcommand.Command]) -> None:
@@ -187,7 +187,7 @@
             fingerprint=self.fingerprint,
         )
         limit_count = self._owner.connection_limit_count(upstream)
-        call = self._owner.beliefs.pools.call(job, limit_count)
+        call = self._owner.view.pools.call(job, limit_count)
         self._calls[call_id] = call
         if call.connection is None:
             self._plan.calls.note_waiting(call_id)
@@ -300,7 +300,7 @@
             case callcommand.Refuse(reason=detail):
                 status = http.HTTPStatus.SERVICE_UNAVAILABLE
                 wait_ms = self._owner.comeback_ms(detail)
-                reply = message.problem(status, detail, wait_ms)
+                reply = message.problem_reply(status, detail, wait_ms)
             case callcommand.Fail(
                 reason=detail, reply=message.Reply() as failure
             ):
@@ -313,7 +313,7 @@
                     if timed_out
                     else http.HTTPStatus.BAD_GATEWAY
                 )
-                reply = message.problem(status, detail)
+                reply = message.problem_reply(status, detail)
         self._exchange.answer(reply)
         self._note_late(result)
         self._end(reply.status, detail)
@@ -360,8 +360,8 @@
             wait_ms=self._wait_ms,
             spent_ms=round(self._spent_ms, 1),
             version=self._version,
-            version_age_ms=round(now_ms - self._owner.beliefs.config_ms),
-            list_age_ms=round(now_ms - self._owner.beliefs.listed_ms),
+            version_age_ms=round(now_ms - self._owner.view.config_applied_ms),
+            list_age_ms=round(now_ms - self._owner.view.list_read_ms),
             attempts_count=self._plan.attempts.limit_count,
             widest_count=self._plan.widest_count,
             calls=[each.text(started_ms) for each in self._traces.values()],
--- a/hyssoptack/gateway/serving.py
+++ b/hyssoptack/gateway/serving.py
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        believed: beliefs.Beliefs,
+        believed: beliefs.ReplicatedView,
         knowledge: knowing.Knowledge,
         failure_domain: str,
         counted: metrics.Metrics,
@@ -68,11 +68,13 @@
     ) -> None:
         facts = headers.caller_facts(exchange.request)
         if isinstance(facts, str):
-            exchange.answer(message.problem(http.HTTPStatus.BAD_REQUEST, facts))
+            exchange.answer(
+                message.problem_reply(http.HTTPStatus.BAD_REQUEST, facts)
+            )
             log_refusal(http.HTTPStatus.BAD_REQUEST, facts)
             return
         path = exchange.request.path.decode("latin-1")
-        found = self._beliefs.table.find(facts.host, path)
+        found = self._beliefs.route_table.find(facts.host, path)
         match found:
             case routetable.Miss.NOT_CONFIGURED:
                 status = http.HTTPStatus.SERVICE_UNAVAILABLE
@@ -100,7 +102,7 @@
             spent_ms = self._caller_time.spent_ms(
                 query.found.route.name,
                 query.facts.deadline_ms,
-                query.exchange.request.first,
+                query.exchange.request.is_first,
             )
             timed = dataclasses.replace(timed, spent_ms=spent_ms)
         version = self._beliefs.version
@@ -144,7 +146,7 @@
         comes_back = status == http.HTTPStatus.SERVICE_UNAVAILABLE
         wait_ms = self.comeback_ms(reason) if comes_back else None
         self.metrics.requests.inc({"route": "", "status": str(status)})
-        exchange.answer(message.problem(status, reason, wait_ms))
+        exchange.answer(message.problem_reply(status, reason, wait_ms))
         log.write(
             log.Event.REQUEST_ENDED,
             request_id=facts.request_id.decode("latin-1"),
@@ -162,7 +164,7 @@
     def note_reply(self, route_name: str, reply: message.Reply) -> None:
         """Takes an upstream's reply: its size decides who gathers."""
         if self.delegating is not None:
-            size_bytes = message.size_bytes(reply)
+            size_bytes = message.reply_size_bytes(reply)
             self.delegating.known.note_reply(route_name, size_bytes)
 
     def comeback_ms(self, reason: str) -> float:
@@ -195,7 +197,7 @@
                 each.note_blocked()
 
     @property
-    def beliefs(self) -> beliefs.Beliefs:
+    def view(self) -> beliefs.ReplicatedView:
         """What requests are served from."""
         return self._beliefs
 
@@ -206,7 +208,7 @@
 
     def connection_limit_count(self, upstream: traffic.Upstream) -> int:
         """Returns how many connections to an upstream this instance may use."""
-        configuration = self._beliefs.table.configuration
+        configuration = self._beliefs.route_table.configuration
         service = (
             configuration.services.get(upstream.service)
             if configuration
--- a/hyssoptack/gateway/warmup_test.py
+++ b/hyssoptack/gateway/warmup_test.py
@@ -24,7 +24,7 @@
     site.enter("cold", "desk", cold_ms=8_000.0)
     async with asyncio.timeout(SETTLED_S):
         while not all(
-            each.beliefs.upstreams["cold"].cold_ms
+            each.view.upstreams["cold"].cold_ms
             for each in site.gateways.values()
         ):
             await asyncio.sleep(0.02)
--- a/hyssoptack/http1/callerside.py
+++ b/hyssoptack/http1/callerside.py
@@ -43,21 +43,21 @@
         self.request = request
         self._connection = connection
         self._answered = False
-        self.on_left: collections.abc.Callable[[], None] | None = None
+        self.on_abandoned: collections.abc.Callable[[], None] | None = None
 
     def answer(self, reply: message.Reply) -> None:
         """Writes the answer; a second one, or one to nobody, is dropped."""
         if self._answered:
             return
         self._answered = True
-        self.on_left = None
-        self._connection.answered(self, reply)
+        self.on_abandoned = None
+        self._connection.write_reply(self, reply)
 
-    def left(self) -> None:
+    def abandon(self) -> None:
         """Tells the handler that the caller went away."""
         self._answered = True
-        if self.on_left is not None:
-            self.on_left()
+        if self.on_abandoned is not None:
+            self.on_abandoned()
 
 
 Handler = collections.abc.Callable[[Exchange], None]
@@ -83,7 +83,7 @@
     )
     closing: bool = False
 
-    def connection(self) -> "CallerConnection":
+    def new_connection(self) -> "CallerConnection":
         """Returns the protocol of a new connection."""
         return CallerConnection(self)
 
@@ -93,7 +93,7 @@
             await asyncio.sleep(SWEEP_S)
             now_ms = clock.now_ms()
             for each in tuple(self.connections):
-                each.check_time(now_ms)
+                each.check_timeouts(now_ms)
 
     def close_idle(self) -> None:
         """Closes the connections on which no request has begun."""
@@ -140,7 +140,7 @@
         self._waiting.clear()
         current, self._current = self._current, None
         if current is not None:
-            current.left()
+            current.abandon()
 
     def eof_received(self) -> bool:
         """Takes the caller's close as its leaving."""
@@ -225,7 +225,7 @@
             body=b"".join(self._body),
             received_ms=self._started_ms,
             keep_alive=self._parser.should_keep_alive(),
-            first=self._fresh,
+            is_first=self._fresh,
         )
         self._fresh = False
         self._reset_request()
@@ -244,7 +244,7 @@
             self._transport.resume_reading()
         self._server.handler(self._current)
 
-    def answered(self, exchange: Exchange, reply: message.Reply) -> None:
+    def write_reply(self, exchange: Exchange, reply: message.Reply) -> None:
         """Writes an answer and goes on with the next request."""
         if self.lost or exchange is not self._current:
             return
@@ -265,7 +265,7 @@
         if self._server.on_refused is not None:
             self._server.on_refused(status, reason)
         if self._current is None:
-            reply = message.problem(status, reason)
+            reply = message.problem_reply(status, reason)
             self._write(message.reply_bytes(reply, keep_alive=False))
             self._linger()
         else:
@@ -300,7 +300,7 @@
         if self._is_idle():
             self._end()
 
-    def check_time(self, now_ms: float) -> None:
+    def check_timeouts(self, now_ms: float) -> None:
         """Ends the connection if the caller takes too long."""
         if self._current is not None or self._waiting:
             return
--- a/hyssoptack/http1/message.py
+++ b/hyssoptack/http1/message.py
@@ -36,7 +36,7 @@
         body: The whole body, without its framing.
         received_ms: When its first byte came.
         keep_alive: Whether the caller wants to use the connection again.
-        first: Whether it is the first of its connection.
+        is_first: Whether it is the first of its connection.
     """
 
     method: bytes
@@ -45,7 +45,7 @@
     body: bytes
     received_ms: float
     keep_alive: bool
-    first: bool = False
+    is_first: bool = False
 
     def values(self, name: bytes) -> list[bytes]:
         """Returns every value of a header; `name` is in lower case."""
@@ -88,7 +88,7 @@
 """About what a reply's first line and its framing take."""
 
 
-def size_bytes(reply: Reply) -> int:
+def reply_size_bytes(reply: Reply) -> int:
     """Returns about how many bytes a reply took on the wire."""
     head_bytes = sum(
         len(name) + len(value) + 4 for name, value in reply.headers
@@ -96,7 +96,7 @@
     return FRAMING_BYTES + head_bytes + len(reply.body)
 
 
-def passed_on(
+def end_to_end_headers(
     headers: tuple[Header, ...], without: frozenset[bytes]
 ) -> list[Header]:
     """Returns the headers that go on to the next hop.
@@ -136,13 +136,13 @@
     return b"\r\n".join(lines) + b"\r\n"
 
 
-def reply_bytes(reply: Reply, keep_alive: bool, to_head: bool = False) -> bytes:
+def reply_bytes(reply: Reply, keep_alive: bool, is_head: bool = False) -> bytes:
     """Returns a reply as it goes on the wire.
 
     Args:
         reply: The reply; its headers carry no framing.
         keep_alive: Whether the connection stays open after it.
-        to_head: Whether it answers HEAD, which has no body.
+        is_head: Whether it answers HEAD, which has no body.
 
     Returns:
         The bytes.
@@ -158,10 +158,10 @@
     if not keep_alive:
         lines.append(b"Connection: close")
     head = b"\r\n".join(lines) + b"\r\n\r\n"
-    return head if to_head else head + reply.body
+    return head if is_head else head + reply.body
 
 
-def problem(
+def problem_reply(
     status: int, reason: str, retry_after_ms: float | None = None
 ) -> Reply:
     """Returns a failure of our own.
--- a/hyssoptack/http1/upstreamside.py
+++ b/hyssoptack/http1/upstreamside.py
@@ -22,23 +22,23 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Broken:
+class BrokenCall:
     """A call ended without a whole reply.
 
     Attributes:
         reason: What was seen.
         sent: Whether a byte of the request may have left.
-        ended: Whether the upstream was found to have ended.
-        alone: Whether it was the only call that broke off with it.
+        upstream_exited: Whether the upstream was found to have ended.
+        was_only_call: Whether it was the only call that broke off with it.
     """
 
     reason: str
     sent: bool
-    ended: bool = False
-    alone: bool = False
+    upstream_exited: bool = False
+    was_only_call: bool = False
 
 
-Outcome = message.Reply | Broken
+Outcome = message.Reply | BrokenCall
 Sink = collections.abc.Callable[[Outcome], None]
 
 
@@ -60,7 +60,7 @@
         self._to_head = False
         self.reusable = True
         self.lost = False
-        self.used_ms = clock.now_ms()
+        self.last_used_ms = clock.now_ms()
         self.idle_limit_ms = float("inf")
         self.on_lost: collections.abc.Callable[[], None] | None = None
         self._reset_reply()
@@ -80,7 +80,7 @@
     # Use.
 
     def send(
-        self, data: bytes, request_id: bytes, to_head: bool, sink: Sink
+        self, data: bytes, request_id: bytes, is_head: bool, sink: Sink
     ) -> None:
         """Sends a request.
 
@@ -88,16 +88,16 @@
             data: The whole request.
             request_id: The id that the reply must carry, if it carries one;
                 empty where replies carry none.
-            to_head: Whether it is a HEAD request.
+            is_head: Whether it is a HEAD request.
             sink: Takes the outcome, once.
         """
         if self.lost or self._transport is None:
-            sink(Broken(reason="connection_lost", sent=False))
+            sink(BrokenCall(reason="connection_lost", sent=False))
             return
         self._sink = sink
         self._request_id = request_id
-        self._to_head = to_head
-        self.used_ms = clock.now_ms()
+        self._to_head = is_head
+        self.last_used_ms = clock.now_ms()
         self._transport.write(data)
 
     def close(self) -> None:
@@ -201,7 +201,7 @@
             self.reusable = False
             return
         self._note_keep_alive(reply)
-        self.used_ms = clock.now_ms()
+        self.last_used_ms = clock.now_ms()
         self._finish(reply)
 
     def _note_keep_alive(self, reply: message.Reply) -> None:
@@ -215,7 +215,7 @@
         if self._transport is not None:
             self._transport.abort()
         if self._sink is not None:
-            self._finish(Broken(reason=reason, sent=True))
+            self._finish(BrokenCall(reason=reason, sent=True))
 
     def _finish(self, outcome: Outcome) -> None:
         sink, self._sink = self._sink, None
--- a/hyssoptack/peers/codec.py
+++ b/hyssoptack/peers/codec.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-VERSION = 1
+FRAME_VERSION = 1
 FRAME_LIMIT_BYTES = 4_000_000
 
 COMPRESS_MIN_BYTES = 2_000
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Decoded:
+class DecodedFrame:
     """What a frame held.
 
     Attributes:
@@ -45,19 +45,19 @@
     reason: str = ""
 
 
-def frame(packed: list[tuple[int, msgspec.Raw]]) -> bytes:
+def encode_frame(packed: list[tuple[int, msgspec.Raw]]) -> bytes:
     """Encodes a frame of packed messages."""
-    data = _ENCODER.encode((VERSION, packed))
-    return compressed(data) if len(data) >= COMPRESS_MIN_BYTES else data
+    data = _ENCODER.encode((FRAME_VERSION, packed))
+    return compress(data) if len(data) >= COMPRESS_MIN_BYTES else data
 
 
-def compressed(data: bytes) -> bytes:
+def compress(data: bytes) -> bytes:
     """Compresses what is sent to many."""
     return zlib.compress(data, COMPRESS_LEVEL)
 
 
-def expanded(data: bytes) -> bytes | None:
-    """Undoes `compressed`; None for what is broken or far too large."""
+def decompress(data: bytes) -> bytes | None:
+    """Undoes `compress`; None for what is broken or far too large."""
     unpacker = zlib.decompressobj()
     try:
         plain = unpacker.decompress(data, FRAME_LIMIT_BYTES)
@@ -79,7 +79,7 @@
         self._numbers = {kind: number for number, kind in kinds.items()}
         self._decoders: dict[int, msgspec.msgpack.Decoder] = {}
 
-    def pack(self, each: object) -> tuple[int, msgspec.Raw]:
+    def encode(self, each: object) -> tuple[int, msgspec.Raw]:
         """Encodes one message, to be put in a frame."""
         return self._numbers[type(each)], msgspec.Raw(_ENCODER.encode(each))
 
@@ -90,23 +90,23 @@
             self._decoders[number] = found
         return found
 
-    def read(self, data: bytes) -> Decoded:
+    def decode(self, data: bytes) -> DecodedFrame:
         """Decodes a frame; whatever it holds, this never raises."""
         if len(data) > FRAME_LIMIT_BYTES:
-            return Decoded(dropped_count=1, reason="frame too large")
+            return DecodedFrame(dropped_count=1, reason="frame too large")
         if data[:1] == bytes([_COMPRESSED_MARK]):
-            plain = expanded(data)
+            plain = decompress(data)
             if plain is None:
-                return Decoded(
+                return DecodedFrame(
                     dropped_count=1, reason="frame can't be expanded"
                 )
             data = plain
         try:
             version, packed = _FRAME_DECODER.decode(data)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-            return Decoded(dropped_count=1, reason="frame can't be read")
-        if version != VERSION:
-            return Decoded(
+            return DecodedFrame(dropped_count=1, reason="frame can't be read")
+        if version != FRAME_VERSION:
+            return DecodedFrame(
                 dropped_count=1, reason=f"frame of version {version}"
             )
         messages: list[typing.Any] = []
@@ -119,7 +119,7 @@
                 messages.append(self._decoder(number).decode(raw))
             except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
                 reason = reason or f"message of kind {number} can't be read"
-        return Decoded(
+        return DecodedFrame(
             messages=tuple(messages),
             dropped_count=len(packed) - len(messages),
             reason=reason,
--- a/hyssoptack/peers/codec_test.py
+++ b/hyssoptack/peers/codec_test.py
@@ -17,12 +17,14 @@
     numbers = [*message.KINDS, *notice.KINDS]
     kinds = [*message.KINDS.values(), *notice.KINDS.values()]
     assert len(set(numbers)) == len(numbers) == len(set(kinds))
-    assert _CODEC.read(codec.frame([_CODEC.pack(_NOTE)])).messages == (_NOTE,)
+    assert _CODEC.decode(
+        codec.encode_frame([_CODEC.encode(_NOTE)])
+    ).messages == (_NOTE,)
 
 
 @given(strategies.binary(max_size=400))
 def test_any_bytes_are_read_or_counted(data):
-    decoded = _CODEC.read(data)
+    decoded = _CODEC.decode(data)
     assert decoded.messages or decoded.dropped_count or data
 
 
@@ -36,19 +38,21 @@
         hits=hits,
     )
     whole = message.SubAnswer(origin="a", query_id="q", replies=(reply,))
-    raw = bytearray(codec.frame([_CODEC.pack(whole), _CODEC.pack(_NOTE)]))
+    raw = bytearray(
+        codec.encode_frame([_CODEC.encode(whole), _CODEC.encode(_NOTE)])
+    )
     for _ in range(data.draw(strategies.integers(1, 4))):
         position = data.draw(strategies.integers(0, len(raw) - 1))
         raw[position] = data.draw(strategies.integers(0, 255))
-    _CODEC.read(bytes(raw))
+    _CODEC.decode(bytes(raw))
 
 
 def test_other_versions_unknown_kinds_and_large_frames_are_dropped():
-    packed = [_CODEC.pack(_NOTE)]
-    other = msgspec.msgpack.encode((codec.VERSION + 1, packed))
-    assert _CODEC.read(other).dropped_count == 1
-    unknown = codec.frame([(99, msgspec.Raw(b"\x80")), *packed])
-    decoded = _CODEC.read(unknown)
+    packed = [_CODEC.encode(_NOTE)]
+    other = msgspec.msgpack.encode((codec.FRAME_VERSION + 1, packed))
+    assert _CODEC.decode(other).dropped_count == 1
+    unknown = codec.encode_frame([(99, msgspec.Raw(b"\x80")), *packed])
+    decoded = _CODEC.decode(unknown)
     assert (decoded.messages, decoded.dropped_count) == ((_NOTE,), 1)
-    large = _CODEC.read(b"\x00" * (codec.FRAME_LIMIT_BYTES + 1))
+    large = _CODEC.decode(b"\x00" * (codec.FRAME_LIMIT_BYTES + 1))
     assert large.dropped_count == 1
--- a/hyssoptack/peers/gossip.py
+++ b/hyssoptack/peers/gossip.py
@@ -49,15 +49,15 @@
         self._partners: list[str] = []
         self._redraw_ms = 0.0
 
-    async def beat(self) -> None:
+    async def run(self) -> None:
         """Sends heartbeats for as long as the instance runs."""
         period_ms = self._state.settings.peers.period_ms
         while True:
-            self.tell()
+            self.send_heartbeat()
             jitter = self._random.uniform(0.8, 1.2)
             await asyncio.sleep(period_ms * jitter / MS_PER_S)
 
-    def tell(self) -> None:
+    def send_heartbeat(self) -> None:
         """Sends a heartbeat to a few random peers now."""
         settings = self._state.settings.peers
         self._beat_number += 1
@@ -70,7 +70,7 @@
         for address in self._targets(settings.fanout_count):
             self._send(address, beat)
 
-    def tell_many(self) -> None:
+    def broadcast_heartbeat(self) -> None:
         """Tells many peers at once, as on leaving; the list tells the rest."""
         beat = message.Heartbeat(
             sender=self._state.self_member(),
@@ -128,7 +128,7 @@
         known = self._state.peer_address(sender.instance_id)
         return known or sender.peer_address
 
-    def on_wanted(self, wanted: message.ConfigWanted) -> None:
+    def on_config_wanted(self, wanted: message.ConfigWanted) -> None:
         """Offers a peer the configuration in force."""
         manifest = self._config.manifest
         if manifest is None:
@@ -140,7 +140,7 @@
         self._state.note_heard(wanted.sender, clock.now_ms())
         self._send(self._address_of(wanted.sender), offer)
 
-    def on_offer(self, offer: message.ConfigOffer) -> None:
+    def on_config_offer(self, offer: message.ConfigOffer) -> None:
         """Takes a configuration from a peer."""
         taken = self._config.offer(offer.manifest_text, offer.parts)
         if isinstance(taken, configuration.InForce):
--- a/hyssoptack/peers/link.py
+++ b/hyssoptack/peers/link.py
@@ -30,12 +30,12 @@
 """A try to connect is not given up for another one before this: it may only be
 slow."""
 
-HEARD_LIMIT_COUNT = 1_000
+LAST_RECEIVED_LIMIT_COUNT = 1_000
 """Most peers whose last word is remembered."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Outgoing:
+class OutgoingMessage:
     """One message on its way to the thread that owns the sockets."""
 
     address: str
@@ -43,10 +43,10 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Received:
+class ReceivedFrame:
     """A frame's worth of messages, as handed to the event loop."""
 
-    decoded: codec.Decoded
+    decoded: codec.DecodedFrame
     byte_count: int
 
 
@@ -61,7 +61,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Traffic:
+class LinkCounters:
     """Totals since the start, for metrics and the capacity bench."""
 
     sent_message_count: int = 0
@@ -74,7 +74,7 @@
     unreadable_count: int = 0
 
 
-OnReceived = collections.abc.Callable[[Received], None]
+OnReceived = collections.abc.Callable[[ReceivedFrame], None]
 OnLost = collections.abc.Callable[[str], None]
 OnUndelivered = collections.abc.Callable[[str, typing.Any], None]
 
@@ -92,7 +92,7 @@
         on_undelivered: OnUndelivered,
         on_lost: OnLost | None = None,
     ):
-        self.traffic = Traffic()
+        self.counters = LinkCounters()
         self._link_idle_ms = link_idle_ms
         self._loop = loop
         self._codec = own_codec
@@ -100,7 +100,9 @@
         self._on_undelivered = on_undelivered
         self._on_lost = on_lost
         self._heard_ms: dict[str, float] = {}
-        self._outbox: queue.SimpleQueue[Outgoing | None] = queue.SimpleQueue()
+        self._outbox: queue.SimpleQueue[OutgoingMessage | None] = (
+            queue.SimpleQueue()
+        )
         self._stopping = threading.Event()
         self._pull = pynng.Pull0(
             recv_timeout=RECEIVE_WAIT_MS,
@@ -127,7 +129,7 @@
 
     def send(self, address: str, body: typing.Any) -> None:
         """Hands a message over for sending; never waits."""
-        self._outbox.put(Outgoing(address=address, body=body))
+        self._outbox.put(OutgoingMessage(address=address, body=body))
 
     def _receive(self) -> None:
         with self._pull:
@@ -137,20 +139,20 @@
                 except pynng.exceptions.Timeout:
                     continue
                 except pynng.exceptions.NNGException:
-                    self.traffic.unreadable_count += 1
+                    self.counters.unreadable_count += 1
                     continue
                 self._hand_over(data)
 
     def _hand_over(self, data: bytes) -> None:
-        decoded = self._codec.read(data)
+        decoded = self._codec.decode(data)
         for each in decoded.messages:
             if address := getattr(each, "sender_address", ""):
                 self._note_heard(address)
-        self.traffic.received_frame_count += 1
-        self.traffic.received_message_count += len(decoded.messages)
-        self.traffic.received_bytes += len(data)
-        self.traffic.unreadable_count += decoded.dropped_count
-        received = Received(decoded=decoded, byte_count=len(data))
+        self.counters.received_frame_count += 1
+        self.counters.received_message_count += len(decoded.messages)
+        self.counters.received_bytes += len(data)
+        self.counters.unreadable_count += decoded.dropped_count
+        received = ReceivedFrame(decoded=decoded, byte_count=len(data))
         self._call_soon(self._on_received, received)
 
     def _note_heard(self, address: str) -> None:
@@ -158,7 +160,7 @@
         # Taken out first, so that the oldest word stands in front.
         self._heard_ms.pop(address, None)
         self._heard_ms[address] = clock.now_ms()
-        if len(self._heard_ms) > HEARD_LIMIT_COUNT:
+        if len(self._heard_ms) > LAST_RECEIVED_LIMIT_COUNT:
             del self._heard_ms[next(iter(self._heard_ms))]
 
     def _call_soon(self, function: collections.abc.Callable, *args) -> None:
@@ -221,18 +223,18 @@
         if settled and link.pipe_count < 1:
             self._undelivered(address, group)
             return
-        data = codec.frame([self._codec.pack(each) for each in group])
+        data = codec.encode_frame([self._codec.encode(each) for each in group])
         try:
             link.socket.send(data, block=False)
         except pynng.exceptions.NNGException:
             self._undelivered(address, group)
             return
-        self.traffic.sent_frame_count += 1
-        self.traffic.sent_message_count += len(group)
-        self.traffic.sent_bytes += len(data)
+        self.counters.sent_frame_count += 1
+        self.counters.sent_message_count += len(group)
+        self.counters.sent_bytes += len(data)
 
     def _undelivered(self, address: str, group: list[typing.Any]) -> None:
-        self.traffic.undelivered_count += len(group)
+        self.counters.undelivered_count += len(group)
         for each in group:
             self._call_soon(self._on_undelivered, address, each)
 
--- a/hyssoptack/peers/link_test.py
+++ b/hyssoptack/peers/link_test.py
@@ -99,11 +99,11 @@
     async def test():
         first = links(f"127.0.0.1:{ports.free_port()}", [])
         first.start()
-        for number in range(link.HEARD_LIMIT_COUNT + 5):
+        for number in range(link.LAST_RECEIVED_LIMIT_COUNT + 5):
             first._note_heard(f"peer-{number}")
         first.stop()
-        assert len(first._heard_ms) == link.HEARD_LIMIT_COUNT
-        assert f"peer-{link.HEARD_LIMIT_COUNT + 4}" in first._heard_ms
+        assert len(first._heard_ms) == link.LAST_RECEIVED_LIMIT_COUNT
+        assert f"peer-{link.LAST_RECEIVED_LIMIT_COUNT + 4}" in first._heard_ms
         assert "peer-0" not in first._heard_ms
 
     asyncio.run(test())
--- a/hyssoptack/platform/headers.py
+++ b/hyssoptack/platform/headers.py
@@ -93,7 +93,7 @@
     head = message.request_head(
         request.method,
         request.target,
-        message.passed_on(request.headers, _OWN_HEADERS),
+        message.end_to_end_headers(request.headers, _OWN_HEADERS),
         len(request.body),
     )
     return Forwarded(head=head, body=request.body)
@@ -121,16 +121,16 @@
         to_merge: Whether its reply is to be part of a merged answer.
     """
     match seen:
-        case upstreamside.Broken(reason=reason, sent=False):
+        case upstreamside.BrokenCall(reason=reason, sent=False):
             return callcommand.Outcome(
                 kind=callcommand.Kind.NOT_RUN, reason=reason, reached=False
             )
-        case upstreamside.Broken():
+        case upstreamside.BrokenCall():
             return callcommand.Outcome(
                 kind=callcommand.Kind.FAILED,
                 reason=seen.reason,
-                ended=seen.ended,
-                alone=seen.alone,
+                ended=seen.upstream_exited,
+                alone=seen.was_only_call,
             )
         case message.Reply() if to_merge:
             return part_outcome(seen)
@@ -211,7 +211,7 @@
 
 def single_reply(reply: message.Reply) -> message.Reply:
     """Returns an upstream's reply as the caller gets it."""
-    headers = message.passed_on(reply.headers, frozenset())
+    headers = message.end_to_end_headers(reply.headers, frozenset())
     return message.Reply(
         status=reply.status, headers=tuple(headers), body=reply.body
     )
--- a/hyssoptack/platform/keyvalue.py
+++ b/hyssoptack/platform/keyvalue.py
@@ -284,14 +284,16 @@
         took_ms = clock.now_ms() - started_ms
         if took_ms > timeout_ms + LATE_MS:
             # The process was stopped meanwhile: what came is as old as that.
-            outcome = upstreamside.Broken(reason="answer_too_old", sent=True)
+            outcome = upstreamside.BrokenCall(
+                reason="answer_too_old", sent=True
+            )
         match outcome:
             case message.Reply(status=200):
                 return expression.Ok(outcome)
             case message.Reply(status=status):
                 trouble = _TROUBLES.get(status, Trouble.REFUSED)
                 detail = f"{method} {name}: status {status}"
-            case upstreamside.Broken(reason=reason):
+            case upstreamside.BrokenCall(reason=reason):
                 trouble = Trouble.UNREACHABLE
                 detail = f"{method} {name}: {reason}"
         return expression.Error(Failure(trouble=trouble, detail=detail))
@@ -327,7 +329,7 @@
             async with asyncio.timeout(timeout_ms / message.MS_PER_S):
                 return await done
         except TimeoutError:
-            return upstreamside.Broken(reason="timeout", sent=True)
+            return upstreamside.BrokenCall(reason="timeout", sent=True)
         finally:
             call.cancel()
 
--- a/hyssoptack/policy/listing_test.py
+++ b/hyssoptack/policy/listing_test.py
@@ -77,6 +77,6 @@
         revision=1,
         change=history.since(before),
     )
-    frame = codec.frame([codec.Codec(notice.KINDS).pack(made)])
+    frame = codec.encode_frame([codec.Codec(notice.KINDS).encode(made)])
     seven_mbit_bytes = 7_000_000 / 8
     assert 25 * len(frame) < 0.03 * seven_mbit_bytes
--- a/hyssoptack/scripts/gateway.py
+++ b/hyssoptack/scripts/gateway.py
@@ -24,7 +24,7 @@
 
 if __name__ == "__main__":
     # Callers may wait from here on, for 0.4 s of imports and more.
-    _CALLERS_PORT = earlyport.opened(_settings_path())
+    _CALLERS_PORT = earlyport.open_callers_port(_settings_path())
 else:
     _CALLERS_PORT = None
 
--- a/hyssoptack/standins/kvstore.py
+++ b/hyssoptack/standins/kvstore.py
@@ -54,7 +54,7 @@
         """Opens a port on loopback."""
         server = callerside.Server(handler=self._handle)
         self._server = await asyncio.get_running_loop().create_server(
-            server.connection, "127.0.0.1", 0
+            server.new_connection, "127.0.0.1", 0
         )
         port = self._server.sockets[0].getsockname()[1]
         self.address = f"127.0.0.1:{port}"
@@ -108,7 +108,7 @@
         if self.faults.silent:
             return
         if self.faults.down:
-            exchange.answer(message.problem(503, "down"))
+            exchange.answer(message.problem_reply(503, "down"))
             return
         self._expire()
         status, body = await self._answer(name, query, request.body)
