--- a/bench/slopes/part.py
+++ b/bench/slopes/part.py
@@ -79,12 +79,12 @@
     for upstream in listed:
         job = pool.Job(
             upstream=upstream,
-            data=lambda: REQUEST,
+            build_request=lambda: REQUEST,
             request_id=b"9c41d07be2a35f68",
-            to_head=False,
-            once=False,
-            proven=False,
-            sink=sink,
+            is_head=False,
+            needs_new_connection=False,
+            needs_recent_connection=False,
+            on_outcome=sink,
         )
         pools.call(job, 2)
     await done
--- a/hyssoptack/gateway/askids.py
+++ b/hyssoptack/gateway/askids.py
@@ -8,7 +8,7 @@
 """Random bits of an incarnation's first number."""
 
 
-def counter() -> collections.abc.Iterator[int]:
+def new_sequence() -> collections.abc.Iterator[int]:
     """Returns numbers that no earlier incarnation of this instance has used.
 
     Others may still work for a predecessor that had the same address; their
--- a/hyssoptack/gateway/attempts_test.py
+++ b/hyssoptack/gateway/attempts_test.py
@@ -30,7 +30,7 @@
         for copy in range(COPY_COUNT):
             await site.add_upstream(f"i-{shard}-{copy}", f"s{shard}", body)
     site.configure({**SHARDS, **changes})
-    return await site.start_pair()
+    return await site.start_delegating_pair()
 
 
 def _delay(gateway, kinds, delay_s):
--- a/hyssoptack/gateway/blocklist_test.py
+++ b/hyssoptack/gateway/blocklist_test.py
@@ -26,8 +26,8 @@
 
 async def _blocked(site):
     """A site on which one request is blocked, and stored."""
-    await crashing_test._index(site)
-    watch = crashing_test._Watch(site, b"/all/bad")
+    await crashing_test.start_sharded_site(site)
+    watch = crashing_test.CrashWatch(site, b"/all/bad")
     await site.get("/all/bad", "bad-1", name="n1")
     await suspecting_test._wait_blocked(site, "n1", "n2", "s1")
     await _wait(lambda: _stored(site))
--- a/hyssoptack/gateway/budgetshare.py
+++ b/hyssoptack/gateway/budgetshare.py
@@ -5,23 +5,23 @@
 from hyssoptack.policy import readership
 from hyssoptack.settings import gateway
 
-INSTANCES_LEAST_COUNT = 12
+MIN_INSTANCE_COUNT = 12
 """An instance takes no more of the budget's slack than if there were so many:
 one whose view is small may be cut off from the others."""
 
-SLACK_SHARE_RATIO = 0.9
+USED_SLACK_RATIO = 0.9
 """Part of the slack that is used at all: calls arrive later than they are paid
 for, so that a window may hold some of the one before."""
 
-BY_LINK_RATIO = 0.5
+LINK_WEIGHTED_RATIO = 0.5
 """Part of the slack for calls of queries that goes by width of links."""
 
-EXTRA_RATIO_SHARE = 0.9
+USED_EXTRA_RATIO = 0.9
 """Part of the budget's ratio that is used: the instances' fullest windows
 differ (`policy.extrawindow`)."""
 
 
-def share(
+def even_share(
     shared: gateway.BudgetSettings, known_count: int
 ) -> extrawindow.Share:
     """Returns an instance's part where each has as much.
@@ -31,7 +31,7 @@
         known_count: Instances that are known; 0 before any list of them, when
             there may be any number.
     """
-    instances_count = max(INSTANCES_LEAST_COUNT, known_count)
+    instances_count = max(MIN_INSTANCE_COUNT, known_count)
     return _share(shared, 1.0 / instances_count if known_count else 0.0)
 
 
@@ -53,23 +53,24 @@
         domain_count: Failure domains.
         link_ratio: The instance's link over all of its failure domain.
     """
-    even_ratio = 1.0 / max(INSTANCES_LEAST_COUNT, known_count)
-    wide_ratio = min(link_ratio / domain_count, 1.0 / INSTANCES_LEAST_COUNT)
+    even_ratio = 1.0 / max(MIN_INSTANCE_COUNT, known_count)
+    wide_ratio = min(link_ratio / domain_count, 1.0 / MIN_INSTANCE_COUNT)
     return _share(
         shared,
-        (1.0 - BY_LINK_RATIO) * even_ratio + BY_LINK_RATIO * wide_ratio,
+        (1.0 - LINK_WEIGHTED_RATIO) * even_ratio
+        + LINK_WEIGHTED_RATIO * wide_ratio,
     )
 
 
-def install(
+def update_shares(
     book: extrawindow.Book,
     settings: gateway.GatewaySettings,
     readers: readership.Readership,
 ) -> None:
     """Gives an instance its parts, from the instances that it knows of."""
-    even = share(settings.budget, readers.most_count)
+    even = even_share(settings.budget, readers.most_count)
     book.share = book.gather_share = even
-    own_mbps = parts.own_link_mbps(settings)
+    own_mbps = parts.delegation_link_mbps(settings)
     if own_mbps and readers.most_mbps:
         book.gather_share = gather_share(
             settings.budget,
@@ -82,9 +83,9 @@
 def _share(
     shared: gateway.BudgetSettings, slack_ratio: float
 ) -> extrawindow.Share:
-    slack_count = SLACK_SHARE_RATIO * shared.slack_count * slack_ratio
+    slack_count = USED_SLACK_RATIO * shared.slack_count * slack_ratio
     return extrawindow.Share(
-        ratio=EXTRA_RATIO_SHARE * shared.ratio,
+        ratio=USED_EXTRA_RATIO * shared.ratio,
         slack_count=slack_count,
         window_ms=shared.window_ms,
     )
--- a/hyssoptack/gateway/calltrace.py
+++ b/hyssoptack/gateway/calltrace.py
@@ -21,7 +21,7 @@
     outcome: str = OPEN
     took_ms: float = 0.0
 
-    def text(self, started_ms: float) -> str:
+    def describe(self, started_ms: float) -> str:
         """Returns the call as `upstream[@gatherer] why +start took outcome`."""
         after_ms = self.sent_ms - started_ms
         why = self.extra or "first"
@@ -32,7 +32,7 @@
         )
 
 
-def named(host: str, target: bytes) -> dict[str, str]:
+def target_fields(host: str, target: bytes) -> dict[str, str]:
     """Returns the fields by which a line names a request for a person."""
     shown = target[:TARGET_LOGGED_BYTES].decode("latin-1")
     return {"host": host, "target": shown}
--- a/hyssoptack/gateway/crashing_test.py
+++ b/hyssoptack/gateway/crashing_test.py
@@ -43,7 +43,7 @@
     at_ms: float
 
 
-class _Watch:
+class CrashWatch:
     """What ran on the upstreams of a site, and when they crashed."""
 
     def __init__(self, site: harness.Site, bad_path: bytes):
@@ -71,7 +71,7 @@
         )
 
 
-async def _index(site: harness.Site, **changes: object) -> None:
+async def start_sharded_site(site: harness.Site, **changes: object) -> None:
     """Two instances in the north, one in the south, half of the copies each."""
     for shard in range(SHARD_COUNT):
         for copy in range(COPY_COUNT):
@@ -80,10 +80,10 @@
             name = f"i-{shard}-{copy}"
             await site.add_upstream(name, f"s{shard}", body, zone)
     site.configure(gateway_test.SHARDS)
-    await _start_three(site, **changes)
+    await start_gateways(site, **changes)
 
 
-async def _start_three(site: harness.Site, **changes: object) -> None:
+async def start_gateways(site: harness.Site, **changes: object) -> None:
     await site.start("n1", **changes)
     await site.start("n2", **changes)
     await site.start("s1", failure_domain="south", **changes)
@@ -99,7 +99,7 @@
     return tuple(site.gateways.values())
 
 
-async def _repeat(site, path, length_s, period_s, prefix, **given):
+async def send_repeatedly(site, path, length_s, period_s, prefix, **given):
     """Sends a request time and again, at the instances in turn."""
     names = itertools.cycle(site.gateways)
     tasks = []
@@ -131,10 +131,10 @@
 def test_a_query_that_crashes_its_upstreams_soon_reaches_none():
     async def test():
         async with harness.Site() as site:
-            await _index(site)
-            watch = _Watch(site, b"/all/bad")
+            await start_sharded_site(site)
+            watch = CrashWatch(site, b"/all/bad")
             repeats, statuses = await asyncio.gather(
-                _repeat(site, "/all/bad", 8.0, 0.25, "bad"),
+                send_repeatedly(site, "/all/bad", 8.0, 0.25, "bad"),
                 _ask_others(site, 8.0),
             )
             assert len(watch.crash_ms) >= CRASH_LIMIT_COUNT
@@ -157,11 +157,11 @@
                 zone = "north" if index % 2 else "south"
                 await site.add_upstream(f"i-{index}", "desk", zone=zone)
             site.configure(gateway_test.SINGLE, gateway_test.ONCE)
-            await _start_three(site)
+            await start_gateways(site)
             for path, method in (("/one/bad", "GET"), ("/once/bad", "POST")):
-                watch = _Watch(site, path.encode())
+                watch = CrashWatch(site, path.encode())
                 body = b"book" if method == "POST" else b""
-                repeats = await _repeat(
+                repeats = await send_repeatedly(
                     site, path, 6.0, 0.2, method, method=method, body=body
                 )
                 assert len(watch.crash_ms) >= CRASH_LIMIT_COUNT
@@ -176,9 +176,9 @@
 def test_an_instance_started_anew_sends_no_request_that_crashes_all():
     async def test():
         async with harness.Site() as site:
-            await _index(site)
-            watch = _Watch(site, b"/all/bad")
-            await _repeat(site, "/all/bad", 3.0, 0.25, "bad")
+            await start_sharded_site(site)
+            watch = CrashWatch(site, b"/all/bad")
+            await send_repeatedly(site, "/all/bad", 3.0, 0.25, "bad")
             await site.start("n3")
             # All upstreams are back by then.
             await asyncio.sleep(RETURN_MS / message.MS_PER_S)
--- a/hyssoptack/gateway/daemon.py
+++ b/hyssoptack/gateway/daemon.py
@@ -95,7 +95,7 @@
             clock.now_ms(),
         )
         self._placing = placing.Placing(
-            parts.placing_settings(settings), self._warmups
+            parts.load_balancer_settings(settings), self._warmups
         )
         self.view = beliefs.ReplicatedView(
             load_balancer=self._placing,
@@ -109,7 +109,7 @@
             readership.pace(settings.belief_bound_ms),
         )
         self._extra_calls = extrawindow.Book(
-            budgetshare.share(settings.budget, 0), clock.now_ms()
+            budgetshare.even_share(settings.budget, 0), clock.now_ms()
         )
         self._reach = reach.Reach()
         self._suspicions = suspicion.Suspicions(
@@ -117,17 +117,18 @@
         )
         self._suspicions.trust(settings.trusted_fingerprints, clock.now_ms())
         self._metrics = metrics.Metrics()
-        self._serving = serving.Serving(
+        self._serving = serving.RequestHandler(
             self.view,
             self._knowledge(),
             settings.failure_domain,
             self._metrics,
         )
         self._callers = callerside.Server(
-            handler=self._serving.handle, on_refused=serving.log_refusal
+            handler=self._serving.handle,
+            on_refused=serving.log_unreadable_request,
         )
-        shown = pages.Pages(self._metrics, self._is_ready, self._facts)
-        self._probes = callerside.Server(handler=shown.answer_probe)
+        shown = pages.StatusPages(self._metrics, self._is_ready, self._facts)
+        self._probes = callerside.Server(handler=shown.answer_readiness)
         self._readings = callerside.Server(handler=shown.answer_metrics)
         # Connections to the store outlast any change of upstreams.
         self._store_pools = pool.Pools(headers.REQUEST_ID)
@@ -139,44 +140,44 @@
             self._on_instances,
             self._reach.note_told,
         )
-        self._delegating = delegating.Delegating(
+        self._delegating = delegating.Delegator(
             delegation.Delegation(
-                parts.own_link_mbps(settings), random.Random()
+                parts.delegation_link_mbps(settings), random.Random()
             ),
             settings.peer_address,
             self._peering.send,
-            self._serving.run_here,
-            self._serving.can_take_back,
+            self._serving.run_locally,
+            self._serving.can_rerun_locally,
         )
-        self._serving.delegating = self._delegating
-        self._relaying = relaying.Relaying(
+        self._serving.delegator = self._delegating
+        self._relaying = relaying.CallRelay(
             gatherers.Gatherers(random.Random()),
             settings.peer_address,
             self._peering.send,
             settings.mechanisms.relaying,
         )
-        self._serving.relaying = self._relaying
-        self._gathering = gathering.Gathering(
+        self._serving.call_relay = self._relaying
+        self._gathering = gathering.GathererService(
             self.view,
             settings.peer_address,
             self._peering.send,
             self._serving.connection_limit_count,
-            self._delegating.is_stale,
+            self._delegating.messages_may_be_stale,
             self._suspicions,
         )
-        self._suspecting = suspecting.Suspecting(
+        self._suspecting = suspecting.QuarantineSync(
             self._suspicions,
             parts.own_peer(settings),
             self.reader_election.neighbours,
-            self._relaying.known.peers,
+            self._relaying.selector.peers,
             self._peering.send,
-            self._serving.note_blocked,
+            self._serving.on_quarantined,
             self._metrics,
         )
         self._blocklist = blocklist.QuarantineStore(
             self._suspicions, self._store, wire.BLOCKED_PREFIX
         )
-        self._pools.on_ended = self._suspecting.on_upstream_ended
+        self._pools.on_upstream_exit = self._suspecting.on_upstream_exit
         self._peering.on_message = self._on_query
         self._peering.on_undelivered = self._on_undelivered
         self._peering.on_link_lost = self._on_link_lost
@@ -188,7 +189,7 @@
             self._on_reach,
         )
         self._stop = asyncio.Event()
-        self._ports = ports.Ports()
+        self._ports = ports.Listeners()
 
     def _knowledge(self) -> knowing.Knowledge:
         return knowing.Knowledge(
@@ -203,13 +204,13 @@
         ready = self.view.is_complete and not self._stop.is_set()
         match each:
             case notice.QueryAsk():
-                self._serving.take(each, ready)
+                self._serving.serve_delegated(each, ready)
             case notice.RelayAsk():
-                self._gathering.take(each, ready)
+                self._gathering.accept(each, ready)
             case notice.RelayBatch():
                 self._relaying.on_batch(each)
             case notice.RelayLeft():
-                self._gathering.on_left(each)
+                self._gathering.on_cancel(each)
             case notice.SuspectsNotice() | notice.SuspectsWanted():
                 self._suspecting.on_message(each)
             case _:
@@ -239,7 +240,7 @@
             return
         if self._reach.found_here:
             self._peering.publish_partition()
-        self._serving.note_cut()
+        self._serving.on_partition()
 
     def _is_ready(self) -> bool:
         return (
@@ -254,7 +255,7 @@
             "version_age_ms": now_ms - self.view.config_applied_ms,
             "list_age_ms": now_ms - self.view.list_read_ms,
             "upstream_count": len(self.view.upstreams),
-            "running_count": len(self._serving.running),
+            "running_count": len(self._serving.active_runs),
             "caller_connection_count": len(self._callers.connections),
             "opened_connection_count": self._pools.opened_count,
             "store_call_count": self._store.call_count,
@@ -270,7 +271,7 @@
             callers_port: The callers' port, where it is open already.
         """
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(faults.log_fault)
+        loop.set_exception_handler(faults.log_callback_exception)
         loop.add_signal_handler(signal.SIGTERM, self.stop)
         loop.add_signal_handler(signal.SIGINT, self.stop)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
@@ -321,9 +322,7 @@
             )
         ]
         tasks.extend(loop.create_task(each) for each in self._watches())
-        await self._ports.open_to_callers(
-            callers_port, self._callers, self.view
-        )
+        await self._ports.accept_callers(callers_port, self._callers, self.view)
         stopped = loop.create_task(self._stop.wait())
         done, _ = await asyncio.wait(
             (*tasks, stopped), return_when=asyncio.FIRST_COMPLETED
@@ -338,14 +337,14 @@
         if self._settings.mechanisms.told_calls:
             watches.append(self._peering.publish_calls_periodically())
         if self._settings.mechanisms.suspicion:
-            watches.append(self._suspecting.tell())
+            watches.append(self._suspecting.share_periodically())
         if self._settings.mechanisms.cut_belief:
             watches.append(self._reaching.watch())
         return watches
 
     def stop(self) -> None:
         """Begins a planned stop."""
-        log.write(log.Event.STOP_ASKED, running=len(self._serving.running))
+        log.write(log.Event.STOP_ASKED, running=len(self._serving.active_runs))
         self._stop.set()
 
     async def _follow_settings(self) -> None:
@@ -381,33 +380,35 @@
         self._settings = settings
         self._store.move(settings.store_address)
         self.reader_election.pace = readership.pace(settings.belief_bound_ms)
-        self._placing.settings = parts.placing_settings(settings)
+        self._placing.settings = parts.load_balancer_settings(settings)
         self._warmups.limits = settings.warmup
-        self._delegating.known.link_mbps = parts.own_link_mbps(settings)
-        budgetshare.install(
+        self._delegating.selector.link_mbps = parts.delegation_link_mbps(
+            settings
+        )
+        budgetshare.update_shares(
             self._extra_calls, self._settings, self.reader_election
         )
         self._suspicions.trust(settings.trusted_fingerprints, clock.now_ms())
 
     def _on_instances(self, far_gatherers: tuple[member.Peer, ...]) -> None:
         """Takes a new list of instances: shares go by their number."""
-        self._delegating.known.install(self.reader_election.neighbours())
-        self._relaying.known.install(far_gatherers)
+        self._delegating.selector.install(self.reader_election.neighbours())
+        self._relaying.selector.install(far_gatherers)
         self._warmups.install_instances(
             self.reader_election.neighbours(), clock.now_ms()
         )
         own_count = len(self.reader_election.neighbours()) + 1
-        self._serving.crowd = connections.Crowd(
+        self._serving.instance_counts = connections.Crowd(
             own_count=own_count,
             other_count=max(0, self.reader_election.total_count - own_count),
         )
-        budgetshare.install(
+        budgetshare.update_shares(
             self._extra_calls, self._settings, self.reader_election
         )
 
     def _has_work(self) -> bool:
         """Whether queries of neighbours run here, or calls of their queries."""
-        return bool(self._serving.running or self._gathering.gathers)
+        return bool(self._serving.active_runs or self._gathering.active_gathers)
 
     async def _finish(self) -> None:
         """Turns callers away, finishes what is in progress, and ends."""
@@ -425,7 +426,7 @@
         log.write(
             log.Event.STOPPED,
             took_ms=round(clock.now_ms() - started_ms),
-            unfinished=len(self._serving.running),
+            unfinished=len(self._serving.active_runs),
         )
 
 
--- a/hyssoptack/gateway/delegating.py
+++ b/hyssoptack/gateway/delegating.py
@@ -46,20 +46,20 @@
 
     Attributes:
         request: The request as the neighbour's caller sent it.
-        reply_to: Sends the answer back.
+        send_reply: Sends the answer back.
         on_abandoned: Called when the neighbour wants no answer any more.
-        on_granted: Called when the neighbour will not take it back.
+        on_commit: Called when the neighbour will not take it back.
     """
 
     request: message.Request
-    reply_to: collections.abc.Callable[[message.Reply], None]
+    send_reply: collections.abc.Callable[[message.Reply], None]
     on_abandoned: collections.abc.Callable[[], None] | None = None
-    on_granted: collections.abc.Callable[[], None] | None = None
+    on_commit: collections.abc.Callable[[], None] | None = None
 
     def answer(self, reply: message.Reply) -> None:
         """Sends the answer to the neighbour."""
-        self.on_abandoned = self.on_granted = None
-        self.reply_to(reply)
+        self.on_abandoned = self.on_commit = None
+        self.send_reply(reply)
 
 
 class _State(enum.Enum):
@@ -69,14 +69,14 @@
     BEGUN = "begun"
 
 
-RunHere = collections.abc.Callable[[received.Request, bool], None]
+RunLocally = collections.abc.Callable[[received.Request, bool], None]
 """Runs a query here; told whether a neighbour may have run some of it."""
 
 
-CanTakeBack = collections.abc.Callable[[received.Request], bool]
+CanRerunLocally = collections.abc.Callable[[received.Request], bool]
 
 
-class Delegating:
+class Delegator:
     """Queries of this instance at neighbours, and of neighbours here."""
 
     def __init__(
@@ -84,8 +84,8 @@
         known: delegation.Delegation,
         own_address: str,
         send: Send,
-        run_here: RunHere,
-        can_take_back: CanTakeBack,
+        run_here: RunLocally,
+        can_take_back: CanRerunLocally,
     ):
         """Makes the queries of one instance, of which there are none yet.
 
@@ -96,21 +96,21 @@
             run_here: Runs a query here.
             can_take_back: Whether one that may have begun could be run here.
         """
-        self.can_take_back = can_take_back
-        self.known = known
+        self.can_rerun_locally = can_take_back
+        self.selector = known
         self.own_address = own_address
         self.send = send
-        self.run_here = run_here
-        self.handed: dict[int, Handed] = {}
-        self._ask_ids = askids.counter()
+        self.run_locally = run_here
+        self.pending: dict[int, DelegatedQuery] = {}
+        self._ask_ids = askids.new_sequence()
         self._taken: dict[tuple[str, int], PeerExchange] = {}
         self._ticked_ms = clock.now_ms()
         self._woke_ms = -math.inf
 
-    def offer(self, query: received.Request, version: int) -> bool:
+    def try_delegate(self, query: received.Request, version: int) -> bool:
         """Hands a query over if that is better; tells whether it did."""
         now_ms = clock.now_ms()
-        route = query.found.route
+        route = query.route_match.route
         if not route.may_be_taken_back:
             return False
         match route.target:
@@ -120,12 +120,12 @@
                     part_count=len(shards),
                     to_goal_ms=query.goal_at_ms(now_ms) - now_ms,
                 )
-                peer = self.known.choose(weighed, now_ms)
+                peer = self.selector.choose(weighed, now_ms)
             case _:
                 return False
         if peer is None:
             return False
-        handed = Handed(self, query, peer, next(self._ask_ids))
+        handed = DelegatedQuery(self, query, peer, next(self._ask_ids))
         handed.start(version)
         return True
 
@@ -140,7 +140,7 @@
             self._ticked_ms = now_ms
             await asyncio.sleep(STALL_CHECK_S)
 
-    def is_stale(self) -> bool:
+    def messages_may_be_stale(self) -> bool:
         """Whether messages may be old: this process stood still until now.
 
         After a stop the loop runs this watch before it reads messages.
@@ -149,12 +149,14 @@
         stalled = now_ms - self._ticked_ms >= STALL_MS
         return stalled or now_ms - self._woke_ms < WAKE_MS
 
-    def take(self, ask: notice.QueryAsk, willing: bool) -> PeerExchange | None:
+    def accept(
+        self, ask: notice.QueryAsk, can_serve: bool
+    ) -> PeerExchange | None:
         """Takes a neighbour's query, or declines it.
 
         Args:
             ask: The query.
-            willing: Whether this instance can serve it as its sender would.
+            can_serve: Whether this instance can serve it as its sender would.
 
         Returns:
             The exchange to be answered; None where there is none to begin.
@@ -162,8 +164,8 @@
         now_ms = clock.now_ms()
         key = ask.sender_address, ask.ask_id
         running_already = key in self._taken
-        stale = self.is_stale()
-        begun = running_already or (willing and not stale and ask.fresh)
+        stale = self.messages_may_be_stale()
+        begun = running_already or (can_serve and not stale and ask.fresh)
         taken = notice.QueryTaken(
             sender_address=self.own_address, ask_id=ask.ask_id, begun=begun
         )
@@ -188,7 +190,7 @@
             ask_id=ask.ask_id,
             elapsed_ms=round(ask.elapsed_ms, 1),
             fresh=ask.fresh,
-            willing=willing,
+            willing=can_serve,
             stale=stale,
             begun=begun,
         )
@@ -197,7 +199,7 @@
         route_name = ask.route_name
         exchange = PeerExchange(
             request=request,
-            reply_to=lambda reply: self._reply(key, route_name, reply),
+            send_reply=lambda reply: self._reply(key, route_name, reply),
         )
         self._taken[key] = exchange
         return exchange
@@ -210,7 +212,7 @@
         answer = notice.QueryAnswer(
             sender_address=self.own_address,
             ask_id=ask_id,
-            reply_bytes=self.known.reply_bytes(route_name),
+            reply_bytes=self.selector.reply_bytes(route_name),
             status=reply.status,
             headers=reply.headers,
             body=reply.body,
@@ -219,8 +221,8 @@
 
     def _granted(self, key: tuple[str, int]) -> None:
         exchange = self._taken.get(key)
-        if exchange is not None and exchange.on_granted is not None:
-            exchange.on_granted()
+        if exchange is not None and exchange.on_commit is not None:
+            exchange.on_commit()
 
     # What comes back.
 
@@ -228,11 +230,11 @@
         """Takes a neighbour's word on a query."""
         match each:
             case notice.QueryTaken(ask_id=ask_id, begun=begun):
-                if (found := self.handed.get(ask_id)) is not None:
-                    found.taken(begun)
+                if (found := self.pending.get(ask_id)) is not None:
+                    found.on_status(begun)
             case notice.QueryAnswer(ask_id=ask_id):
-                if (found := self.handed.get(ask_id)) is not None:
-                    found.answered(each)
+                if (found := self.pending.get(ask_id)) is not None:
+                    found.on_answer(each)
                 else:
                     log.write(
                         log.Event.QUERY_ANSWER_UNUSED,
@@ -251,22 +253,22 @@
         """Takes that a message did not reach its neighbour."""
         match each:
             case notice.QueryAsk(ask_id=ask_id):
-                if (found := self.handed.get(ask_id)) is not None:
-                    found.undelivered()
+                if (found := self.pending.get(ask_id)) is not None:
+                    found.on_undelivered()
 
     def on_link_lost(self, address: str) -> None:
         """Takes that the connection to a neighbour has ended."""
-        for each in tuple(self.handed.values()):
+        for each in tuple(self.pending.values()):
             if each.address == address:
-                each.lost("link_lost")
+                each.on_lost("link_lost")
 
 
-class Handed:
+class DelegatedQuery:
     """One query that a neighbour was asked to run."""
 
     def __init__(
         self,
-        owner: Delegating,
+        owner: Delegator,
         query: received.Request,
         peer: member.Peer,
         ask_id: int,
@@ -276,14 +278,14 @@
         self._peer = peer
         self._ask_id = ask_id
         self._state = _State.SENT
-        self._hop_ms = owner.known.hops.usual_ms
+        self._hop_ms = owner.selector.hops.usual_ms
         self._goal_at_ms = query.goal_at_ms(clock.now_ms())
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self, version: int) -> None:
         """Sends the query to the neighbour."""
-        self._owner.handed[self._ask_id] = self
-        self._owner.known.handed(self._peer.address)
+        self._owner.pending[self._ask_id] = self
+        self._owner.selector.handed(self._peer.address)
         self._query.exchange.on_abandoned = self._left
         self._ask(version, fresh=True)
         self._wait(delegation.BEGUN_WAIT_MS, self._not_begun)
@@ -299,13 +301,13 @@
             sender_address=self._owner.own_address,
             ask_id=self._ask_id,
             version=version,
-            route_name=self._query.found.route.name,
+            route_name=self._query.route_match.route.name,
             method=request.method,
             target=request.target,
             headers=request.headers,
             body=request.body,
             elapsed_ms=clock.now_ms() - request.received_ms,
-            away_ms=self._query.away_ms + self._hop_ms,
+            away_ms=self._query.reserved_ms + self._hop_ms,
             fresh=fresh,
         )
         self._owner.send(self._peer.address, ask)
@@ -321,7 +323,7 @@
     def _not_begun(self) -> None:
         """Takes the query back, or waits on where it could not be run here."""
         now_ms = clock.now_ms()
-        if now_ms < self._goal_at_ms and not self._owner.can_take_back(
+        if now_ms < self._goal_at_ms and not self._owner.can_rerun_locally(
             self._query
         ):
             log.write(
@@ -340,16 +342,18 @@
     def _check(self) -> None:
         """Asks whether the neighbour still runs the query."""
         self._ask(version=0, fresh=False)
-        self._wait(delegation.BEGUN_WAIT_MS, lambda: self.lost("silent"))
+        self._wait(delegation.BEGUN_WAIT_MS, lambda: self.on_lost("silent"))
 
-    def taken(self, begun: bool) -> None:
+    def on_status(self, begun: bool) -> None:
         """Takes whether the neighbour runs the query."""
         match self._state, begun:
             case _State.SENT, True:
                 self._state = _State.BEGUN
                 self._say_granted()
                 request = self._query.exchange.request
-                due_ms = request.received_ms + self._query.found.route.goal_ms
+                due_ms = (
+                    request.received_ms + self._query.route_match.route.goal_ms
+                )
                 left_ms = max(0.0, due_ms - clock.now_ms())
                 self._wait(left_ms + delegation.ANSWER_SLACK_MS, self._check)
             case _State.SENT, False:
@@ -357,22 +361,22 @@
             case _State.BEGUN, True:
                 self._wait(delegation.CHECK_PERIOD_MS, self._check)
             case _State.BEGUN, False:
-                self.lost("forgotten")
+                self.on_lost("forgotten")
 
-    def undelivered(self) -> None:
+    def on_undelivered(self) -> None:
         """Takes that the last ask did not reach the neighbour."""
         match self._state:
             case _State.SENT:
                 self._back("unreachable", may_have_run=False)
             case _:
-                self.lost("unreachable")
+                self.on_lost("unreachable")
 
-    def lost(self, reason: str) -> None:
+    def on_lost(self, reason: str) -> None:
         """Takes that the neighbour is gone with the query, or may be."""
         if self._state is _State.SENT:
             self._back(reason, may_have_run=True)
             return
-        self._owner.known.failed(self._peer.address, clock.now_ms())
+        self._owner.selector.failed(self._peer.address, clock.now_ms())
         self._say_left()
         self._end()
         self._log_back(reason, may_have_run=True)
@@ -381,11 +385,11 @@
             message.problem_reply(status, "neighbour_lost")
         )
 
-    def answered(self, answer: notice.QueryAnswer) -> None:
+    def on_answer(self, answer: notice.QueryAnswer) -> None:
         """Passes the neighbour's answer on."""
-        self._owner.known.answered(self._peer.address)
-        route_name = self._query.found.route.name
-        self._owner.known.note_reply(route_name, answer.reply_bytes)
+        self._owner.selector.answered(self._peer.address)
+        route_name = self._query.route_match.route.name
+        self._owner.selector.note_reply(route_name, answer.reply_bytes)
         self._end()
         reply = message.Reply(
             status=answer.status, headers=answer.headers, body=answer.body
@@ -395,7 +399,7 @@
         if headers.parts_are_missing(reply):
             # Given at the goal: the rest is what the way back took.
             late_ms = clock.now_ms() - self._goal_at_ms
-            self._owner.known.hops.note(self._hop_ms + late_ms)
+            self._owner.selector.hops.note(self._hop_ms + late_ms)
         log.write(
             log.Event.QUERY_HANDED,
             request_id=self._query.request_id,
@@ -406,10 +410,10 @@
 
     def _back(self, reason: str, may_have_run: bool) -> None:
         """Runs the query here, as the neighbour won't."""
-        self._owner.known.failed(self._peer.address, clock.now_ms())
+        self._owner.selector.failed(self._peer.address, clock.now_ms())
         self._end()
         self._log_back(reason, may_have_run)
-        self._owner.run_here(self._query, may_have_run)
+        self._owner.run_locally(self._query, may_have_run)
 
     def _log_back(self, reason: str, may_have_run: bool) -> None:
         log.write(
@@ -440,5 +444,5 @@
     def _end(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._owner.handed.pop(self._ask_id, None)
-        self._owner.known.ended(self._peer.address)
+        self._owner.pending.pop(self._ask_id, None)
+        self._owner.selector.ended(self._peer.address)
--- a/hyssoptack/gateway/delegating_test.py
+++ b/hyssoptack/gateway/delegating_test.py
@@ -19,7 +19,7 @@
         body = bytes([index]) * 16 + bytes([200 - index]) * 16
         await site.add_upstream(f"i-{index}", f"s{index}", body)
     site.configure(gateway_test.SHARDS)
-    narrow, _ = await site.start_pair()
+    narrow, _ = await site.start_delegating_pair()
     return narrow
 
 
@@ -35,7 +35,7 @@
             assert sum(s.runs[b"r1"] for s in site.services.values()) == 4
             # Nothing was gathered over the narrow link.
             assert narrow._pools.opened_count < wide._pools.opened_count
-            assert not narrow._delegating.handed
+            assert not narrow._delegating.pending
 
     asyncio.run(test())
 
@@ -66,7 +66,7 @@
             table.route_table = held
             assert got.status == 200
             assert sum(s.runs[b"r1"] for s in site.services.values()) == 4
-            assert not narrow._delegating.handed
+            assert not narrow._delegating.pending
 
     asyncio.run(test())
 
@@ -108,7 +108,7 @@
                     not s.cancelled_count for s in site.services.values()
                 ):
                     await asyncio.sleep(0.02)
-            assert not site.gateways["wide"]._serving.running
+            assert not site.gateways["wide"]._serving.active_runs
 
     asyncio.run(test())
 
@@ -128,7 +128,7 @@
             assert took_s * 1_000 < delegation.BEGUN_WAIT_MS + 150.0
             # It is left alone from then on.
             assert (
-                narrow._delegating.known.choose(
+                narrow._delegating.selector.choose(
                     delegation.Query(
                         route_name="route-0", part_count=4, to_goal_ms=300.0
                     ),
@@ -189,7 +189,7 @@
 
 def test_who_stood_still_takes_no_query_that_may_have_waited_as_long():
     sent = []
-    held = delegating.Delegating(
+    held = delegating.Delegator(
         delegation.Delegation(0.0, random.Random(1)),
         "w:1",
         lambda _, each: sent.append(each),
@@ -197,21 +197,21 @@
         None,
     )
     held._ticked_ms -= 2 * delegating.STALL_MS
-    assert held.take(_ask(), willing=True) is None
+    assert held.accept(_ask(), can_serve=True) is None
     assert [each.begun for each in sent] == [False]
     held._ticked_ms += 2 * delegating.STALL_MS
-    exchange = held.take(_ask(), willing=True)
+    exchange = held.accept(_ask(), can_serve=True)
     assert exchange is not None
     assert sent[-1].begun
     # Asked again, it says that it runs, and begins nothing.
-    assert held.take(_ask(), willing=False) is None
+    assert held.accept(_ask(), can_serve=False) is None
     assert sent[-1].begun
 
 
 def test_messages_that_waited_are_declined_though_the_watch_has_run():
     # After a stop the loop runs its timers first, and reads messages then.
     sent = []
-    held = delegating.Delegating(
+    held = delegating.Delegator(
         delegation.Delegation(0.0, random.Random(1)),
         "w:1",
         lambda _, each: sent.append(each),
@@ -226,7 +226,7 @@
         watch.cancel()
 
     asyncio.run(wake())
-    assert held.take(_ask(), willing=True) is None
+    assert held.accept(_ask(), can_serve=True) is None
     assert [each.begun for each in sent] == [False]
 
 
@@ -236,10 +236,10 @@
         exchange=types.SimpleNamespace(
             request=types.SimpleNamespace(received_ms=1_000.0)
         ),
-        facts=None,
-        found=types.SimpleNamespace(route=route),
-        spent_ms=7.0,
-        margin_ms=9.0,
+        metadata=None,
+        route_match=types.SimpleNamespace(route=route),
+        caller_spent_ms=7.0,
+        transit_margin_ms=9.0,
     )
     assert query.goal_at_ms(1_000.0) == 1_134.0
     assert query.goal_at_ms(1_140.0) == 1_150.0
--- a/hyssoptack/gateway/faults.py
+++ b/hyssoptack/gateway/faults.py
@@ -6,7 +6,7 @@
 from hyssoptack.events import log
 
 
-def log_fault(
+def log_callback_exception(
     _loop: asyncio.AbstractEventLoop, context: dict[str, object]
 ) -> None:
     """Logs a fault of ours in a callback; other requests go on."""
--- a/hyssoptack/gateway/gateway_test.py
+++ b/hyssoptack/gateway/gateway_test.py
@@ -218,7 +218,7 @@
             for number in range(3):
                 writer.write(harness.request_bytes("/one/x", f"r{number}"))
             for number in range(3):
-                got = await harness.read(reader)
+                got = await harness.read_response(reader)
                 assert got.headers["x-request-id"] == f"r{number}"
             writer.close()
 
@@ -253,7 +253,7 @@
         async with harness.Site() as site:
             await _desk(site, 1)
             address = site.settings["gateway-1"].callers_address
-            got = await harness.send(address, data)
+            got = await harness.send_raw(address, data)
             assert got.status == status
             assert not sum(map(len, (s.runs for s in site.services.values())))
 
@@ -270,7 +270,7 @@
                 b"X-Request-Id: r1\r\nTransfer-Encoding: chunked\r\n\r\n"
                 b"4\r\nbook\r\n3\r\ning\r\n0\r\n\r\n"
             )
-            got = await harness.send(address, data)
+            got = await harness.send_raw(address, data)
             assert got.status == 200
             head = site.services["i-0"].heads[0].lower()
             assert b"content-length: 7\r\n" in head
@@ -284,7 +284,7 @@
         async with harness.Site() as site:
             await site.start(ready=False)
             await asyncio.sleep(0.3)
-            assert await site.probe() == 503
+            assert await site.readiness_status() == 503
             assert (await site.get("/one/x", "r1")).status == 503
             await site.add_upstream("i-0", "desk")
             site.configure(SINGLE)
@@ -316,7 +316,7 @@
     async def test():
         async with harness.Site() as site:
             await _desk(site)
-            site.enter("i-0", "desk", state="draining")
+            site.put_upstream_entry("i-0", "desk", state="draining")
             await asyncio.sleep(1.5)
             before = sum(site.services["i-0"].runs.values())
             for number in range(10):
@@ -350,7 +350,7 @@
             site.store.faults.silent = True
             await asyncio.sleep(1.5)
             assert (await site.get("/one/x", "r1")).status == 200
-            assert await site.probe() == 200
+            assert await site.readiness_status() == 200
             site.store.faults.silent = False
             site.configure({**SINGLE, "prefix": "/new/"})
             await asyncio.sleep(3.0)
@@ -390,7 +390,7 @@
             await asyncio.sleep(0.1)
             site.gateways["gateway-1"].stop()
             await asyncio.sleep(0.05)
-            assert await site.probe() == 503
+            assert await site.readiness_status() == 503
             late = asyncio.create_task(site.get("/one/x", "r2"))
             got = await asked
             assert got.status == 200
@@ -428,7 +428,7 @@
             await _desk(site, 1)
             await site.get("/one/x", "r1")
             address = site.settings["gateway-1"].metrics_address
-            got = await harness.send(
+            got = await harness.send_raw(
                 address, b"GET /metrics HTTP/1.1\r\nHost: m\r\n\r\n"
             )
             page = got.body.decode()
--- a/hyssoptack/gateway/gathering.py
+++ b/hyssoptack/gateway/gathering.py
@@ -33,7 +33,7 @@
 LimitCount = collections.abc.Callable[[traffic.Upstream], int]
 
 
-class Gathering:
+class GathererService:
     """All calls that this instance makes for others."""
 
     def __init__(
@@ -58,12 +58,12 @@
         self.view = believed
         self.own_address = own_address
         self.send = send
-        self.limit_count = limit_count
+        self.connection_limit_count = limit_count
         self._is_stale = is_stale
         self._suspicions = suspicions
-        self.gathers: dict[tuple[str, int], Gather] = {}
+        self.active_gathers: dict[tuple[str, int], GatherTask] = {}
 
-    def take(self, ask: notice.RelayAsk, ready: bool) -> None:
+    def accept(self, ask: notice.RelayAsk, ready: bool) -> None:
         """Makes calls, or says at once that it makes none.
 
         Args:
@@ -71,29 +71,29 @@
             ready: Whether this instance takes new work.
         """
         key = ask.sender_address, ask.ask_id
-        if key in self.gathers:
+        if key in self.active_gathers:
             return
-        gather = Gather(self, ask)
+        gather = GatherTask(self, ask)
         if not ready or self._is_stale():
             gather.decline(callresult.GATHERER_DECLINED)
             return
         if self._suspicions.is_blocked(ask.fingerprint, clock.now_ms()):
             gather.decline(callresult.CRASHES_UPSTREAMS)
             return
-        self.gathers[key] = gather
+        self.active_gathers[key] = gather
         gather.start()
 
-    def on_left(self, left: notice.RelayLeft) -> None:
+    def on_cancel(self, left: notice.RelayLeft) -> None:
         """Ends the calls of a query that nobody waits for any more."""
-        gather = self.gathers.get((left.sender_address, left.ask_id))
+        gather = self.active_gathers.get((left.sender_address, left.ask_id))
         if gather is not None:
             gather.end()
 
 
-class Gather:
+class GatherTask:
     """The calls of one ask."""
 
-    def __init__(self, owner: Gathering, ask: notice.RelayAsk):
+    def __init__(self, owner: GathererService, ask: notice.RelayAsk):
         self._owner = owner
         self._ask = ask
         self._started_ms = clock.now_ms()
@@ -146,15 +146,15 @@
         )
         job = pool.Job(
             upstream=upstream,
-            data=lambda: self._data(upstream),
+            build_request=lambda: self._data(upstream),
             request_id=self._ask.request_id,
-            to_head=False,
-            once=False,
-            proven=False,
-            sink=lambda outcome: self._on_outcome(call_id, outcome),
+            is_head=False,
+            needs_new_connection=False,
+            needs_recent_connection=False,
+            on_outcome=lambda outcome: self._on_outcome(call_id, outcome),
             fingerprint=self._ask.fingerprint,
         )
-        limit_count = self._owner.limit_count(upstream)
+        limit_count = self._owner.connection_limit_count(upstream)
         self._calls[call_id] = self._owner.view.pools.call(job, limit_count)
 
     def _data(self, upstream: traffic.Upstream) -> bytes:
@@ -265,7 +265,7 @@
         self._calls.clear()
         self._open.clear()
         key = self._ask.sender_address, self._ask.ask_id
-        self._owner.gathers.pop(key, None)
+        self._owner.active_gathers.pop(key, None)
 
 
 def _spared(call_id: int, reason: str) -> notice.RelayedOutcome:
--- a/hyssoptack/gateway/harness.py
+++ b/hyssoptack/gateway/harness.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Got:
+class Response:
     """What a caller got.
 
     Attributes:
@@ -72,10 +72,10 @@
         added = service.Service(upstream_id, body)
         await added.start()
         self.services[upstream_id] = added
-        self.enter(upstream_id, service_name, zone)
+        self.put_upstream_entry(upstream_id, service_name, zone)
         return added
 
-    def enter(
+    def put_upstream_entry(
         self,
         upstream_id: str,
         service_name: str,
@@ -169,13 +169,13 @@
     async def wait_ready(self, name: str = "gateway-1") -> None:
         """Waits until a gateway asks for callers."""
         async with asyncio.timeout(START_TIMEOUT_S):
-            while await self.probe(name) != 200:
+            while await self.readiness_status(name) != 200:
                 if self._tasks[name].done():
                     # Tells why it will never be ready.
                     self._tasks[name].result()
                 await asyncio.sleep(0.02)
 
-    async def start_pair(
+    async def start_delegating_pair(
         self,
     ) -> tuple[daemon.Gateway, daemon.Gateway]:
         """Starts a gateway with a narrow link, and one that it hands over to.
@@ -190,7 +190,7 @@
                 await asyncio.sleep(0.05)
             while narrow.view.version != wide.view.version:
                 await asyncio.sleep(0.05)
-        narrow._delegating.known.note_reply("route-0", REPLY_BYTES)
+        narrow._delegating.selector.note_reply("route-0", REPLY_BYTES)
         return narrow, wide
 
     async def _wait_counted(self, gateway: daemon.Gateway) -> None:
@@ -199,11 +199,11 @@
             while not gateway.reader_election.most_count:
                 await asyncio.sleep(0.005)
 
-    async def probe(self, name: str = "gateway-1") -> int:
+    async def readiness_status(self, name: str = "gateway-1") -> int:
         """Asks a gateway whether it is ready; returns the status."""
         address = self.settings[name].readiness_address
         try:
-            got = await send(
+            got = await send_raw(
                 address,
                 b"GET /hyssoptack/readiness HTTP/1.1\r\nHost: p\r\n\r\n",
             )
@@ -219,9 +219,9 @@
         name: str = "gateway-1",
         method: str = "GET",
         body: bytes = b"",
-    ) -> Got:
+    ) -> Response:
         """Sends a request on a connection of its own."""
-        return await send(
+        return await send_raw(
             self.settings[name].callers_address,
             request_bytes(path, request_id, deadline_ms, method, body),
         )
@@ -261,23 +261,23 @@
     return message.request_bytes(method.encode(), path.encode(), headers, body)
 
 
-async def send(address: str, data: bytes) -> Got:
+async def send_raw(address: str, data: bytes) -> Response:
     """Sends bytes on a new connection and reads one reply."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
         writer.write(data)
-        return await read(reader)
+        return await read_response(reader)
     finally:
         writer.close()
 
 
-async def read(reader: asyncio.StreamReader) -> Got:
+async def read_response(reader: asyncio.StreamReader) -> Response:
     """Reads one reply."""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except (asyncio.IncompleteReadError, ConnectionError):
-        return Got(status=0, headers={}, body=b"")
+        return Response(status=0, headers={}, body=b"")
     lines = head.decode("latin-1").split("\r\n")
     headers = {
         name.lower(): value.strip()
@@ -286,4 +286,4 @@
         )
     }
     body = await reader.readexactly(int(headers.get("content-length", "0")))
-    return Got(status=int(lines[0].split()[1]), headers=headers, body=body)
+    return Response(status=int(lines[0].split()[1]), headers=headers, body=body)
--- a/hyssoptack/gateway/metrics.py
+++ b/hyssoptack/gateway/metrics.py
@@ -9,7 +9,7 @@
 ]  # fmt: skip
 
 
-WAITING_LIMIT_COUNT = 4_000
+MAX_UNCOUNTED_CALL_COUNT = 4_000
 """Calls that wait to be counted at the most, where nobody reads the page: about
 100 queries over 36 shards, 0.4 MB."""
 
@@ -35,19 +35,19 @@
             "hyssoptack_extra_calls_total",
             "Calls beyond the first of a part, by service and cause.",
         )
-        self.parts_left_out = self._counter(
+        self.missing_parts = self._counter(
             "hyssoptack_parts_left_out_total",
             "Shards that answers were given without, by route.",
         )
-        self.requests_at_limit = self._counter(
+        self.requests_at_attempt_limit = self._counter(
             "hyssoptack_requests_at_attempt_limit_total",
             "Requests of which a part took all attempts allowed, by route.",
         )
-        self.upstreams_ended = self._counter(
+        self.upstream_exits = self._counter(
             "hyssoptack_upstreams_ended_total",
             "Upstreams that ended with calls of ours in hand, by service.",
         )
-        self.suspicions = self._counter(
+        self.suspicion_events = self._counter(
             "hyssoptack_suspicions_total",
             "Requests suspected, blocked, refused, tried, cleared, forgotten.",
         )
@@ -59,7 +59,7 @@
             "hyssoptack_upstream_call_ms",
             "Time of an answered call, by service.",
         )
-        self.facts = aioprometheus.Gauge(
+        self.instance_facts = aioprometheus.Gauge(
             "hyssoptack_gateway",
             "Facts of this instance, by name.",
             registry=self._registry,
@@ -73,7 +73,7 @@
             name, doc, buckets=LATENCY_BUCKETS_MS, registry=self._registry
         )
 
-    def note_call(
+    def record_call(
         self, service: str, outcome: str, answered_ms: float | None
     ) -> None:
         """Counts a call; it shows on the next page.
@@ -89,7 +89,7 @@
         self._calls[service, outcome] += 1
         if answered_ms is not None:
             self._call_ms.append((service, answered_ms))
-            if len(self._call_ms) >= WAITING_LIMIT_COUNT:
+            if len(self._call_ms) >= MAX_UNCOUNTED_CALL_COUNT:
                 self._count_calls()
 
     def _count_calls(self) -> None:
@@ -100,7 +100,7 @@
             self.call_ms.observe({"service": service}, answered_ms)
         self._call_ms.clear()
 
-    def page(self) -> bytes:
+    def render_text(self) -> bytes:
         """Returns the page of metrics as text."""
         self._count_calls()
         content, _ = aioprometheus.render(self._registry, ["text/plain"])
--- a/hyssoptack/gateway/pages.py
+++ b/hyssoptack/gateway/pages.py
@@ -13,7 +13,7 @@
 """Returns facts of the instance by name, at a time."""
 
 
-class Pages:
+class StatusPages:
     """The pages of one instance."""
 
     def __init__(
@@ -34,7 +34,7 @@
         self._facts = facts
         self._said_ready = False
 
-    def answer_probe(self, exchange: callerside.Exchange) -> None:
+    def answer_readiness(self, exchange: callerside.Exchange) -> None:
         """Tells the balancer whether to send callers."""
         if exchange.request.path != headers.READINESS_PATH:
             exchange.answer(message.problem_reply(404, "unknown_path"))
@@ -50,8 +50,8 @@
     def answer_metrics(self, exchange: callerside.Exchange) -> None:
         """Shows the metrics, at any path."""
         for name, value in self._facts(clock.now_ms()).items():
-            self._metrics.facts.set({"name": name}, value)
-        page = self._metrics.page()
+            self._metrics.instance_facts.set({"name": name}, value)
+        page = self._metrics.render_text()
         page_headers = ((b"Content-Type", b"text/plain; version=0.0.4"),)
         exchange.answer(
             message.Reply(status=200, headers=page_headers, body=page)
--- a/hyssoptack/gateway/parts.py
+++ b/hyssoptack/gateway/parts.py
@@ -5,7 +5,7 @@
 from hyssoptack.settings import gateway
 
 
-def placing_settings(
+def load_balancer_settings(
     settings: gateway.GatewaySettings,
 ) -> placing.PlacingSettings:
     """Returns how upstreams are weighed."""
@@ -26,6 +26,6 @@
     )
 
 
-def own_link_mbps(settings: gateway.GatewaySettings) -> float:
+def delegation_link_mbps(settings: gateway.GatewaySettings) -> float:
     """Returns the width by which queries are handed over; 0 for never."""
     return settings.link_mbps if settings.mechanisms.handing_over else 0.0
--- a/hyssoptack/gateway/peering_test.py
+++ b/hyssoptack/gateway/peering_test.py
@@ -45,7 +45,7 @@
             )
             site.kill(reader)
             await asyncio.sleep(0.2)
-            site.enter("i-0", "desk", state="draining")
+            site.put_upstream_entry("i-0", "desk", state="draining")
             site.configure({**gateway_test.SINGLE, "prefix": "/new/"})
             await asyncio.sleep(2.8)
             for name, each in site.gateways.items():
--- a/hyssoptack/gateway/pool.py
+++ b/hyssoptack/gateway/pool.py
@@ -52,27 +52,31 @@
 
     Attributes:
         upstream: Whom to call.
-        data: The whole request.
+        build_request: The whole request.
         request_id: The id that the reply must carry.
-        to_head: Whether it is a HEAD request.
-        once: Whether the request may run once only: never on a kept connection.
-        proven: Whether only a connection that lately worked will do.
-        sink: Takes the outcome, once.
+        is_head: Whether it is a HEAD request.
+        needs_new_connection: Whether the request may run once only: never on a
+            kept connection.
+        needs_recent_connection: Whether only a connection that lately worked
+            will do.
+        on_outcome: Takes the outcome, once.
         fingerprint: Names the request's content; empty where nobody asks what
             an upstream had in hand when it ended.
     """
 
     upstream: traffic.Upstream
-    data: collections.abc.Callable[[], bytes]
+    build_request: collections.abc.Callable[[], bytes]
     request_id: bytes
-    to_head: bool
-    once: bool
-    proven: bool
-    sink: upstreamside.Sink
+    is_head: bool
+    needs_new_connection: bool
+    needs_recent_connection: bool
+    on_outcome: upstreamside.Sink
     fingerprint: str = ""
 
 
-OnEnded = collections.abc.Callable[[traffic.Upstream, tuple[Job, ...]], None]
+OnUpstreamExit = collections.abc.Callable[
+    [traffic.Upstream, tuple[Job, ...]], None
+]
 """Told of an upstream that has ended, and of the jobs that it had in hand."""
 
 
@@ -88,25 +92,25 @@
         self._lane = lane
         self.connection: upstreamside.UpstreamConnection | None = None
         self.task: asyncio.Task[None] | None = None
-        self.over = False
+        self.is_over = False
 
     def cancel(self) -> None:
         """Gives the call up; its connection can't be used again."""
-        if self.over:
+        if self.is_over:
             return
-        self.over = True
+        self.is_over = True
         if self.task is not None:
             self.task.cancel()
         if self.connection is not None:
             self.connection.close()
         self._lane.released()
 
-    def end(self, outcome: upstreamside.Outcome) -> None:
+    def complete(self, outcome: upstreamside.Outcome) -> None:
         """Hands the outcome over."""
-        if self.over:
+        if self.is_over:
             return
-        self.over = True
-        self.job.sink(outcome)
+        self.is_over = True
+        self.job.on_outcome(outcome)
 
 
 class Pools:
@@ -116,7 +120,7 @@
         self._id_header = id_header
         self._lanes: dict[str, _Lane] = {}
         self.opened_count = 0
-        self.on_ended: OnEnded = _ignore
+        self.on_upstream_exit: OnUpstreamExit = _ignore
 
     def call(self, job: Job, connection_limit_count: int) -> Call:
         """Starts a call."""
@@ -172,7 +176,11 @@
     def start(self, job: Job) -> Call:
         """Starts a call on a kept or a new connection, or once one is free."""
         call = Call(self, job)
-        connection = None if job.once else self._take_idle(job.proven)
+        connection = (
+            None
+            if job.needs_new_connection
+            else self._take_idle(job.needs_recent_connection)
+        )
         if connection is not None:
             self._use(call, connection)
         elif self._make_room():
@@ -214,11 +222,15 @@
                 self._use(call, connection)
             case int(error):
                 reason = f"connect_failed_{error}"
-                call.end(upstreamside.BrokenCall(reason=reason, sent=False))
+                call.complete(
+                    upstreamside.BrokenCall(reason=reason, sent=False)
+                )
                 self.released()
             case None:
                 reason = "connect_timeout"
-                call.end(upstreamside.BrokenCall(reason=reason, sent=False))
+                call.complete(
+                    upstreamside.BrokenCall(reason=reason, sent=False)
+                )
                 self.released()
 
     async def _connected(
@@ -291,10 +303,10 @@
         ended = found == errno.ECONNREFUSED
         if ended:
             jobs = tuple(call.job for call, _ in broken)
-            self._pools.on_ended(self._upstream, jobs)
+            self._pools.on_upstream_exit(self._upstream, jobs)
         alone = len(broken) == 1
         for call, outcome in broken:
-            call.end(
+            call.complete(
                 dataclasses.replace(
                     outcome, upstream_exited=ended, was_only_call=alone
                 )
@@ -319,7 +331,7 @@
     def _use(
         self, call: Call, connection: upstreamside.UpstreamConnection
     ) -> None:
-        if call.over:
+        if call.is_over:
             connection.close()
             return
         call.connection = connection
@@ -331,10 +343,10 @@
                 case upstreamside.BrokenCall(sent=True) if call.job.fingerprint:
                     self._note_broken(call, outcome)
                 case _:
-                    call.end(outcome)
+                    call.complete(outcome)
 
         job = call.job
-        connection.send(job.data(), job.request_id, job.to_head, ended)
+        connection.send(job.build_request(), job.request_id, job.is_head, ended)
 
     def _give_back(self, connection: upstreamside.UpstreamConnection) -> None:
         # The parser may still be inside the bytes that brought the reply, and
@@ -355,16 +367,18 @@
         waiting = tuple(self._waiting)
         self._waiting.clear()
         for call in waiting:
-            call.end(upstreamside.BrokenCall(reason=WITHDRAWN, sent=False))
+            call.complete(upstreamside.BrokenCall(reason=WITHDRAWN, sent=False))
 
     def released(self) -> None:
         """Starts a call that waited for a connection."""
-        while self._waiting and self._waiting[0].over:
+        while self._waiting and self._waiting[0].is_over:
             self._waiting.popleft()
         if not self._waiting:
             return
         call = self._waiting[0]
-        connection = None if call.job.once else self._take_idle(False)
+        connection = (
+            None if call.job.needs_new_connection else self._take_idle(False)
+        )
         if connection is not None:
             self._waiting.popleft()
             self._use(call, connection)
--- a/hyssoptack/gateway/pool_test.py
+++ b/hyssoptack/gateway/pool_test.py
@@ -16,7 +16,7 @@
 
     def __init__(self, called: service.Service):
         self.pools = pool.Pools(b"x-request-id")
-        self.pools.on_ended = lambda _, jobs: self.ended.append(jobs)
+        self.pools.on_upstream_exit = lambda _, jobs: self.ended.append(jobs)
         self.ended: list[tuple[pool.Job, ...]] = []
         self._upstream = traffic.Upstream(
             upstream_id=called.upstream_id,
@@ -37,12 +37,14 @@
         ]
         job = pool.Job(
             upstream=self._upstream,
-            data=lambda: message.request_bytes(b"GET", path, headers, b""),
+            build_request=lambda: message.request_bytes(
+                b"GET", path, headers, b""
+            ),
             request_id=b"r1",
-            to_head=False,
-            once=False,
-            proven=False,
-            sink=future.set_result,
+            is_head=False,
+            needs_new_connection=False,
+            needs_recent_connection=False,
+            on_outcome=future.set_result,
             fingerprint=path.decode(),
         )
         self.pools.call(job, 9)
--- a/hyssoptack/gateway/ports.py
+++ b/hyssoptack/gateway/ports.py
@@ -16,7 +16,7 @@
 FIRST_VIEWS_CHECK_S = 0.005
 
 
-class Ports:
+class Listeners:
     """The servers that listen."""
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
         """
         await self._accept(earlyport.listening_socket(address), server)
 
-    async def open_to_callers(
+    async def accept_callers(
         self,
         port: socket.socket,
         server: callerside.Server,
--- a/hyssoptack/gateway/reaching_test.py
+++ b/hyssoptack/gateway/reaching_test.py
@@ -23,11 +23,11 @@
                 return alive
 
             running._reaching._probe = probe
-            assert await site.probe() == 200
+            assert await site.readiness_status() == 200
             running._reach.view = reach.View.DOUBTED
             await asyncio.sleep(4 * reaching.CHECK_PERIOD_S)
             assert running._reach.cut
-            assert await site.probe() == 503
+            assert await site.readiness_status() == 503
             got = await site.get("/near/x", "r1")
             assert got.status == 200
             assert got.headers["connection"] == "close"
@@ -39,7 +39,7 @@
             assert site.run_count("r1") == 1
             alive = True
             await asyncio.sleep(2 * reaching.PARTITIONED_CHECK_PERIOD_S)
-            assert await site.probe() == 200
+            assert await site.readiness_status() == 200
             got = await site.get("/one/x", "r2")
             assert "connection" not in got.headers
 
@@ -72,6 +72,6 @@
             async with asyncio.timeout(3.0):
                 while not second._reach.cut:
                     await asyncio.sleep(0.05)
-            assert await site.probe("g-2") == 503
+            assert await site.readiness_status("g-2") == 503
 
     asyncio.run(test())
--- a/hyssoptack/gateway/received.py
+++ b/hyssoptack/gateway/received.py
@@ -31,22 +31,22 @@
 
     Attributes:
         exchange: Where it is answered.
-        facts: What it says of itself.
-        found: Its route.
-        spent_ms: What its caller had spent when it was sent.
-        margin_ms: Kept back from its goal for the way.
+        metadata: What it says of itself.
+        route_match: Its route.
+        caller_spent_ms: What its caller had spent when it was sent.
+        transit_margin_ms: Kept back from its goal for the way.
     """
 
     exchange: Exchange
-    facts: headers.CallerFacts
-    found: routetable.Found
-    spent_ms: float = 0.0
-    margin_ms: float = 0.0
+    metadata: headers.CallerFacts
+    route_match: routetable.Found
+    caller_spent_ms: float = 0.0
+    transit_margin_ms: float = 0.0
 
     @property
-    def away_ms(self) -> float:
+    def reserved_ms(self) -> float:
         """Time to the goal that is used up on the way and by earlier tries."""
-        return self.spent_ms + self.margin_ms
+        return self.caller_spent_ms + self.transit_margin_ms
 
     def goal_at_ms(self, now_ms: float) -> float:
         """Returns when an answer should leave.
@@ -54,20 +54,20 @@
         One that can't be in time any more is better whole than soon: it is
         given as long as one that can.
         """
-        goal_ms = self.found.route.goal_ms
+        goal_ms = self.route_match.route.goal_ms
         due_ms = self.exchange.request.received_ms + goal_ms
-        in_time_ms = due_ms - self.away_ms
+        in_time_ms = due_ms - self.reserved_ms
         return in_time_ms if in_time_ms > now_ms else due_ms
 
     @property
     def request_id(self) -> str:
         """The caller's id of it, for the log."""
-        return self.facts.request_id.decode("latin-1")
+        return self.metadata.request_id.decode("latin-1")
 
     @functools.cached_property
     def fingerprint(self) -> str:
         """Names its content; costs a hash."""
         request = self.exchange.request
         return fingerprint.of(
-            request.method, self.facts.host, request.target, request.body
+            request.method, self.metadata.host, request.target, request.body
         )
--- a/hyssoptack/gateway/relaying.py
+++ b/hyssoptack/gateway/relaying.py
@@ -20,10 +20,10 @@
 
 Send = collections.abc.Callable[[str, notice.Notice], None]
 
-KINDS = {each.value: each for each in callcommand.Kind}
+KINDS_BY_NAME = {each.value: each for each in callcommand.Kind}
 """What a call's outcome may be, by its name in messages."""
 
-Outcomes = collections.abc.Callable[
+OnOutcomes = collections.abc.Callable[
     [dict[int, callcommand.Outcome], tuple[int, ...]], None
 ]
 """Takes outcomes by call, and the calls that wait for their upstreams."""
@@ -38,23 +38,23 @@
         route_name: Its route.
         top_count: Records that its answer has at most.
         fingerprint: Names its content.
-        common: Its head and body.
+        forwarded: Its head and body.
         deadline_at_ms: When its caller stops waiting.
         goal_at_ms: When its answer loses most of its use.
-        sink: Takes the outcomes.
+        on_outcomes: Takes the outcomes.
     """
 
     request_id: bytes
     route_name: str
     top_count: int
     fingerprint: str
-    common: headers.Forwarded
+    forwarded: headers.Forwarded
     deadline_at_ms: float
     goal_at_ms: float
-    sink: Outcomes
+    on_outcomes: OnOutcomes
 
 
-class Relaying:
+class CallRelay:
     """The calls of this instance's queries that others make."""
 
     def __init__(
@@ -72,55 +72,55 @@
             send: Sends a message to an address.
             enabled: Whether others make calls at all.
         """
-        self.known = known
+        self.selector = known
         self.own_address = own_address
         self.send = send
         self._enabled = enabled
-        self.relayed: dict[int, Relayed] = {}
-        self._ask_ids = askids.counter()
+        self.pending: dict[int, PendingRelay] = {}
+        self._ask_ids = askids.new_sequence()
 
-    def gatherer(self, failure_domain: str) -> member.Peer | None:
+    def choose_gatherer(self, failure_domain: str) -> member.Peer | None:
         """Returns who makes calls in a domain; None to make them from here."""
         if not self._enabled or not self.own_address:
             return None
-        return self.known.choose(failure_domain, clock.now_ms())
+        return self.selector.choose(failure_domain, clock.now_ms())
 
     def relay(
         self,
         peer: member.Peer,
         query: Query,
         calls: collections.abc.Sequence[callcommand.Send],
-    ) -> "Relayed":
+    ) -> "PendingRelay":
         """Lets an instance make calls of a query."""
         ask_id = next(self._ask_ids)
-        relayed = Relayed(self, peer, query, ask_id)
-        self.relayed[ask_id] = relayed
+        relayed = PendingRelay(self, peer, query, ask_id)
+        self.pending[ask_id] = relayed
         relayed.start(calls)
         return relayed
 
     def on_batch(self, batch: notice.RelayBatch) -> None:
         """Takes outcomes; those of a query that has ended change nothing."""
-        found = self.relayed.get(batch.ask_id)
+        found = self.pending.get(batch.ask_id)
         if found is not None and found.peer.address == batch.sender_address:
-            found.take(batch)
+            found.on_batch(batch)
 
     def on_undelivered(self, ask: notice.RelayAsk) -> None:
         """Takes that an ask was not sent."""
-        if (found := self.relayed.get(ask.ask_id)) is not None:
-            found.lost(sent=False)
+        if (found := self.pending.get(ask.ask_id)) is not None:
+            found.on_lost(sent=False)
 
     def on_link_lost(self, address: str) -> None:
         """Takes that the connection to an instance has ended."""
-        for each in tuple(self.relayed.values()):
+        for each in tuple(self.pending.values()):
             if each.peer.address == address:
-                each.lost(sent=True)
+                each.on_lost(sent=True)
 
 
-class Relayed:
+class PendingRelay:
     """Calls of one query that one instance was asked to make."""
 
     def __init__(
-        self, owner: Relaying, peer: member.Peer, query: Query, ask_id: int
+        self, owner: CallRelay, peer: member.Peer, query: Query, ask_id: int
     ):
         self.peer = peer
         self._owner = owner
@@ -129,16 +129,16 @@
         self._open: set[int] = set()
         self._heard = False
         self._asked_ms = 0.0
-        self.overdue_ms = math.inf
+        self.overdue_at_ms = math.inf
 
     def start(self, calls: collections.abc.Sequence[callcommand.Send]) -> None:
         """Sends the ask."""
         self._open = {each.call_id for each in calls}
-        self._owner.known.asked(self.peer)
+        self._owner.selector.asked(self.peer)
         now_ms = clock.now_ms()
         to_goal_ms = max(0.0, self._query.goal_at_ms - now_ms)
         self._asked_ms = now_ms
-        self.overdue_ms = now_ms + self._owner.known.overdue_after_ms(
+        self.overdue_at_ms = now_ms + self._owner.selector.overdue_after_ms(
             to_goal_ms
         )
         ask = notice.RelayAsk(
@@ -148,8 +148,8 @@
             top_count=self._query.top_count,
             request_id=self._query.request_id,
             fingerprint=self._query.fingerprint,
-            head=self._query.common.head,
-            body=self._query.common.body,
+            head=self._query.forwarded.head,
+            body=self._query.forwarded.body,
             remaining_ms=self._query.deadline_at_ms - now_ms,
             to_goal_ms=to_goal_ms,
             calls=tuple(
@@ -161,12 +161,12 @@
         )
         self._owner.send(self.peer.address, ask)
 
-    def take(self, batch: notice.RelayBatch) -> None:
+    def on_batch(self, batch: notice.RelayBatch) -> None:
         """Takes what became of some calls."""
         if not self._heard:
             self._heard = True
             took_ms = clock.now_ms() - self._asked_ms
-            self._owner.known.note_first_word(took_ms)
+            self._owner.selector.note_first_word(took_ms)
         outcomes = {
             each.call_id: _outcome(each)
             for each in batch.outcomes
@@ -177,28 +177,28 @@
             each.reason == callresult.GATHERER_DECLINED
             for each in outcomes.values()
         ):
-            self._owner.known.declined(self.peer, clock.now_ms())
+            self._owner.selector.declined(self.peer, clock.now_ms())
         else:
-            self._owner.known.alive(self.peer)
+            self._owner.selector.alive(self.peer)
         waiting = tuple(self._open) if batch.dried_up else ()
         if not self._open:
             self._end()
-        self._query.sink(outcomes, waiting)
+        self._query.on_outcomes(outcomes, waiting)
 
-    def note_time(self, now_ms: float) -> None:
+    def check_overdue(self, now_ms: float) -> None:
         """Takes the time: an instance whose word is overdue may be gone."""
-        if now_ms >= self.overdue_ms and not self._heard:
-            self.overdue_ms = math.inf
-            self._owner.known.lost(self.peer, clock.now_ms())
+        if now_ms >= self.overdue_at_ms and not self._heard:
+            self.overdue_at_ms = math.inf
+            self._owner.selector.lost(self.peer, clock.now_ms())
             self._log("silent")
 
-    def lost(self, sent: bool) -> None:
+    def on_lost(self, sent: bool) -> None:
         """Takes that the instance is gone, or that it was never asked.
 
         Args:
             sent: Whether it may have made the calls.
         """
-        self._owner.known.lost(self.peer, clock.now_ms())
+        self._owner.selector.lost(self.peer, clock.now_ms())
         self._log("link_lost" if sent else "unreachable")
         self._end()
         outcome = callcommand.Outcome(
@@ -206,11 +206,11 @@
             reason=callresult.GATHERER_LOST,
             reached=sent,
         )
-        self._query.sink(dict.fromkeys(self._open, outcome), ())
+        self._query.on_outcomes(dict.fromkeys(self._open, outcome), ())
 
-    def leave(self) -> None:
+    def cancel(self) -> None:
         """Ends the calls that are still out: nobody waits for them."""
-        if self._ask_id not in self._owner.relayed:
+        if self._ask_id not in self._owner.pending:
             return
         self._end()
         left = notice.RelayLeft(
@@ -219,8 +219,8 @@
         self._owner.send(self.peer.address, left)
 
     def _end(self) -> None:
-        if self._owner.relayed.pop(self._ask_id, None) is not None:
-            self._owner.known.ended(self.peer)
+        if self._owner.pending.pop(self._ask_id, None) is not None:
+            self._owner.selector.ended(self.peer)
 
     def _log(self, reason: str) -> None:
         log.write(
@@ -234,7 +234,7 @@
 
 
 def _outcome(told: notice.RelayedOutcome) -> callcommand.Outcome:
-    kind = KINDS.get(told.kind, callcommand.Kind.FAILED)
+    kind = KINDS_BY_NAME.get(told.kind, callcommand.Kind.FAILED)
     reply = None
     if kind is callcommand.Kind.ANSWERED:
         reply = headers.relayed_part(told.signature, told.records)
--- a/hyssoptack/gateway/relaying_test.py
+++ b/hyssoptack/gateway/relaying_test.py
@@ -26,7 +26,7 @@
     north = await site.start("north")
     await site.start("south", failure_domain="south")
     async with asyncio.timeout(WAIT_S):
-        while north._relaying.known.choose("south", 0.0) is None:
+        while north._relaying.selector.choose("south", 0.0) is None:
             await asyncio.sleep(0.05)
     return north
 
@@ -47,8 +47,8 @@
             assert got.body[:16] == bytes([200]) * 16
             assert _runs(site, b"r1") == [1] * SHARD_COUNT
             assert north._pools.opened_count == opened
-            assert not north._relaying.relayed
-            assert not site.gateways["south"]._gathering.gathers
+            assert not north._relaying.pending
+            assert not site.gateways["south"]._gathering.active_gathers
 
     asyncio.run(test())
 
@@ -81,7 +81,7 @@
                 for index in range(SHARD_COUNT)
             ]
             assert max(shard_runs) <= 2
-            assert not north._relaying.relayed
+            assert not north._relaying.pending
 
     asyncio.run(test())
 
@@ -94,7 +94,7 @@
             got = await site.get("/all/x", "r1", name="north")
             assert got.status == 200
             assert _runs(site, b"r1") == [1] * SHARD_COUNT
-            assert north._relaying.known.choose("south", 0.0) is None
+            assert north._relaying.selector.choose("south", 0.0) is None
 
     asyncio.run(test())
 
@@ -142,14 +142,14 @@
             _, writer = await asyncio.open_connection(host, int(port))
             writer.write(harness.request_bytes("/all/x", "r1"))
             await asyncio.sleep(0.1)
-            assert site.gateways["south"]._gathering.gathers
+            assert site.gateways["south"]._gathering.active_gathers
             writer.close()
             async with asyncio.timeout(0.5):
                 while any(
                     not s.cancelled_count for s in site.services.values()
                 ):
                     await asyncio.sleep(0.02)
-            assert not site.gateways["south"]._gathering.gathers
+            assert not site.gateways["south"]._gathering.active_gathers
 
     asyncio.run(test())
 
@@ -205,7 +205,7 @@
                 while sum(_runs(site, b"r1")) < SHARD_COUNT:
                     await asyncio.sleep(0.02)
             asked.cancel()
-            assert not north._relaying.relayed
-            assert not site.gateways["south"]._gathering.gathers
+            assert not north._relaying.pending
+            assert not site.gateways["south"]._gathering.active_gathers
 
     asyncio.run(test())
--- a/hyssoptack/gateway/restarted_test.py
+++ b/hyssoptack/gateway/restarted_test.py
@@ -27,7 +27,7 @@
     async with asyncio.timeout(WAIT_S):
         while not ready():
             await asyncio.sleep(0.05)
-    narrow._delegating.known.note_reply("route-0", REPLY_BYTES)
+    narrow._delegating.selector.note_reply("route-0", REPLY_BYTES)
 
 
 async def _stamps(site, request_id):
@@ -68,14 +68,14 @@
 
             await _ready(site, narrow, lambda: knows(narrow))
             await _restart(site, knows)
-            assert site.gateways["wide"]._serving.running
+            assert site.gateways["wide"]._serving.active_runs
             assert await _stamps(site, "r2") == (200, {"r2"})
 
     asyncio.run(test())
 
 
 def _relaying(sent):
-    return relaying.Relaying(
+    return relaying.CallRelay(
         gatherers.Gatherers(random.Random()),
         "n:1",
         lambda _, each: sent.append(each),
@@ -89,10 +89,10 @@
         route_name="r",
         top_count=5,
         fingerprint="",
-        common=headers.Forwarded(head=b"", body=b""),
+        forwarded=headers.Forwarded(head=b"", body=b""),
         deadline_at_ms=1_000.0,
         goal_at_ms=100.0,
-        sink=sink,
+        on_outcomes=sink,
     )
     call = callcommand.Send(call_id=1, upstream=callplan_test.upstream("u"))
     owner.relay(GATHERER, query, [call])
--- a/hyssoptack/gateway/running.py
+++ b/hyssoptack/gateway/running.py
@@ -27,12 +27,12 @@
 its sockets, and are read before time is said to have passed."""
 
 
-class Running:
+class RequestRun:
     """One request in progress."""
 
     def __init__(
         self,
-        owner: "serving.Serving",
+        owner: "serving.RequestHandler",
         query: received.Request,
         *,
         may_have_run: bool = False,
@@ -46,7 +46,11 @@
             may_have_run: Whether a neighbour may have run some of it.
             awaits_grant: Whether its sender may still take it back.
         """
-        exchange, facts, found = query.exchange, query.facts, query.found
+        exchange, facts, found = (
+            query.exchange,
+            query.metadata,
+            query.route_match,
+        )
         self._owner = owner
         self._exchange = exchange
         self._facts = facts
@@ -54,7 +58,7 @@
         self._version = owner.view.version
         self._now_ms = clock.now_ms()
         received_ms = exchange.request.received_ms
-        self._spent_ms = query.spent_ms
+        self._spent_ms = query.caller_spent_ms
         self._wait_ms = found.route.timeout_ms
         if facts.deadline_ms is not None:
             self._wait_ms = min(self._wait_ms, facts.deadline_ms)
@@ -72,12 +76,14 @@
             awaits_grant=awaits_grant,
             fingerprint=query.fingerprint,
         )
-        self._plan = callplan.CallPlan(self._ask, owner.knowledge, self._now_ms)
+        self._plan = callplan.CallPlan(
+            self._ask, owner.plan_context, self._now_ms
+        )
         self.fingerprint = query.fingerprint
         self._common = headers.forwarded(exchange.request)
         self._calls: dict[int, pool.Call] = {}
         self._traces: dict[int, calltrace.Trace] = {}
-        self._relayed: list[relaying.Relayed] = []
+        self._relayed: list[relaying.PendingRelay] = []
         match found.route.target:
             case traffic.AllShards(top_count=top_count):
                 self._top_count = top_count
@@ -91,7 +97,7 @@
 
     def start(self) -> None:
         """Sends the first calls."""
-        self._owner.running.add(self)
+        self._owner.active_runs.add(self)
         self._exchange.on_abandoned = self._left
         self._carry(self._plan.start(self._now_ms))
 
@@ -147,11 +153,11 @@
             self._may_relay
             and each.must_cross
             and not each.careful
-            and self._owner.is_far(each.upstream.failure_domain)
+            and self._owner.can_relay_to(each.upstream.failure_domain)
         )
 
     def _relay(self, domain: str, calls: list[callcommand.Send]) -> None:
-        peer = self._owner.relaying.gatherer(domain)
+        peer = self._owner.call_relay.choose_gatherer(domain)
         if peer is None:
             for each in calls:
                 self._send(each)
@@ -163,27 +169,27 @@
             route_name=self._route.name,
             top_count=self._top_count,
             fingerprint=self.fingerprint,
-            common=self._common,
+            forwarded=self._common,
             deadline_at_ms=self._deadline_at_ms,
             goal_at_ms=self._ask.goal_at_ms,
-            sink=self._on_relayed,
+            on_outcomes=self._on_relayed,
         )
-        relayed = self._owner.relaying.relay(peer, query, calls)
+        relayed = self._owner.call_relay.relay(peer, query, calls)
         self._relayed.append(relayed)
         call_ids = [each.call_id for each in calls]
-        self._plan.note_relayed(call_ids, relayed.overdue_ms)
+        self._plan.note_relayed(call_ids, relayed.overdue_at_ms)
 
     def _send(self, command: callcommand.Send) -> None:
         upstream = command.upstream
         call_id = command.call_id
         job = pool.Job(
             upstream=upstream,
-            data=lambda: self._data(call_id, upstream),
+            build_request=lambda: self._data(call_id, upstream),
             request_id=self._facts.request_id,
-            to_head=self._exchange.request.method == b"HEAD",
-            once=command.careful or not self._route.idempotent,
-            proven=bool(command.extra),
-            sink=lambda outcome: self._on_outcome(call_id, outcome),
+            is_head=self._exchange.request.method == b"HEAD",
+            needs_new_connection=command.careful or not self._route.idempotent,
+            needs_recent_connection=bool(command.extra),
+            on_outcome=lambda outcome: self._on_outcome(call_id, outcome),
             fingerprint=self.fingerprint,
         )
         limit_count = self._owner.connection_limit_count(upstream)
@@ -209,7 +215,7 @@
         trace.outcome = outcome
         trace.took_ms = clock.now_ms() - trace.sent_ms
         answered = outcome == callcommand.Kind.ANSWERED.value
-        self._owner.metrics.note_call(
+        self._owner.metrics.record_call(
             trace.service, outcome, trace.took_ms if answered else None
         )
 
@@ -217,7 +223,7 @@
         self._now_ms = clock.now_ms()
         self._calls.pop(call_id, None)
         if isinstance(outcome, message.Reply):
-            self._owner.note_reply(self._route.name, outcome)
+            self._owner.record_reply(self._route.name, outcome)
         read = headers.call_outcome(outcome, self._top_count is not None)
         self._note_outcome(call_id, read)
         self._carry(self._plan.on_outcome(call_id, read, self._now_ms))
@@ -265,20 +271,20 @@
             self._wake_after(0.0)
             return
         for each in self._relayed:
-            each.note_time(self._now_ms)
+            each.check_overdue(self._now_ms)
         self._carry(self._plan.on_time(self._now_ms))
 
-    def note_granted(self) -> None:
+    def on_attempts_granted(self) -> None:
         """Takes that the sender will not take the request back."""
         self._now_ms = clock.now_ms()
         self._carry(self._plan.on_granted(self._now_ms))
 
-    def note_cut(self) -> None:
+    def on_partition(self) -> None:
         """Gives up on other failure domains."""
         self._now_ms = clock.now_ms()
         self._carry(self._plan.on_cut(self._now_ms))
 
-    def note_blocked(self) -> None:
+    def on_quarantined(self) -> None:
         """Gives up a request that was found to crash upstreams."""
         self._now_ms = clock.now_ms()
         self._carry(self._plan.on_blocked(self._now_ms))
@@ -294,12 +300,12 @@
             case callcommand.Answer(replies=replies, part_count=part_count):
                 reply = self._answer(replies, part_count)
                 detail = f"{len(replies)}/{part_count}"
-                self._owner.metrics.parts_left_out.add(
+                self._owner.metrics.missing_parts.add(
                     {"route": self._route.name}, part_count - len(replies)
                 )
             case callcommand.Refuse(reason=detail):
                 status = http.HTTPStatus.SERVICE_UNAVAILABLE
-                wait_ms = self._owner.comeback_ms(detail)
+                wait_ms = self._owner.retry_delay_ms(detail)
                 reply = message.problem_reply(status, detail, wait_ms)
             case callcommand.Fail(
                 reason=detail, reply=message.Reply() as failure
@@ -307,7 +313,9 @@
                 reply = headers.single_reply(failure)
             case callcommand.Fail(reason=detail, timed_out=timed_out):
                 if detail == callresult.CRASHES_UPSTREAMS:
-                    self._owner.metrics.suspicions.inc({"what": "refused"})
+                    self._owner.metrics.suspicion_events.inc(
+                        {"what": "refused"}
+                    )
                 status = (
                     http.HTTPStatus.GATEWAY_TIMEOUT
                     if timed_out
@@ -325,7 +333,7 @@
             case callcommand.Answer(replies=replies, part_count=part_count) if (
                 len(replies) < part_count and decided_ms >= goal_at_ms
             ):
-                self._owner.note_late(clock.now_ms() - goal_at_ms)
+                self._owner.record_lateness(clock.now_ms() - goal_at_ms)
 
     def _answer(
         self, replies: tuple[message.Reply, ...], part_count: int
@@ -343,9 +351,9 @@
     def _end(self, status: int, detail: str) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._owner.running.discard(self)
+        self._owner.active_runs.discard(self)
         for each in self._relayed:
-            each.leave()
+            each.cancel()
         now_ms = clock.now_ms()
         started_ms = self._exchange.request.received_ms
         self._count(status, now_ms - started_ms)
@@ -364,7 +372,7 @@
             list_age_ms=round(now_ms - self._owner.view.list_read_ms),
             attempts_count=self._plan.attempts.limit_count,
             widest_count=self._plan.widest_count,
-            calls=[each.text(started_ms) for each in self._traces.values()],
+            calls=[each.describe(started_ms) for each in self._traces.values()],
             **self._named(),
         )
 
@@ -372,7 +380,9 @@
         """Returns where to find a request under which upstreams ended."""
         if not self._plan.caution.ending_count:
             return {}
-        return calltrace.named(self._facts.host, self._exchange.request.target)
+        return calltrace.target_fields(
+            self._facts.host, self._exchange.request.target
+        )
 
     def _count(self, status: int, took_ms: float) -> None:
         counted = self._owner.metrics
@@ -380,7 +390,7 @@
         counted.requests.inc({**labels, "status": str(status)})
         counted.request_ms.observe(labels, took_ms)
         if self._plan.widest_count >= self._plan.attempts.limit_count:
-            counted.requests_at_limit.inc(labels)
+            counted.requests_at_attempt_limit.inc(labels)
 
     def _log_extra(self, command: callcommand.Send) -> None:
         self._owner.metrics.extra_calls.inc(
--- a/hyssoptack/gateway/serving.py
+++ b/hyssoptack/gateway/serving.py
@@ -25,12 +25,12 @@
 from hyssoptack.policy import routetable
 
 
-def log_refusal(status: int, reason: str) -> None:
+def log_unreadable_request(status: int, reason: str) -> None:
     """Logs a request that was refused before its id was known."""
     log.write(log.Event.REQUEST_UNREADABLE, status=status, reason=reason)
 
 
-class Serving:
+class RequestHandler:
     """Serves requests from the beliefs of one instance."""
 
     def __init__(
@@ -44,22 +44,22 @@
         self._knowledge = knowledge
         self.metrics = counted
         self._failure_domain = failure_domain
-        self.crowd = connections.Crowd()
-        self.running: set[running.Running] = set()
+        self.instance_counts = connections.Crowd()
+        self.active_runs: set[running.RequestRun] = set()
         self._random = random.Random()
         self._caller_time = callertime.CallerTime()
-        self.delegating: delegating.Delegating | None = None
-        self.relaying: relaying.Relaying | None = None
+        self.delegator: delegating.Delegator | None = None
+        self.call_relay: relaying.CallRelay | None = None
 
     def handle(self, exchange: callerside.Exchange) -> None:
         """Serves a caller's request."""
         self._serve(exchange, None)
 
-    def take(self, ask: notice.QueryAsk, ready: bool) -> None:
+    def serve_delegated(self, ask: notice.QueryAsk, ready: bool) -> None:
         """Serves a neighbour's query, or declines it."""
         # With another configuration it might run as its sender may not.
         willing = ready and ask.version == self._beliefs.version
-        exchange = self.delegating.take(ask, willing)
+        exchange = self.delegator.accept(ask, willing)
         if exchange is not None:
             self._serve(exchange, ask)
 
@@ -71,7 +71,7 @@
             exchange.answer(
                 message.problem_reply(http.HTTPStatus.BAD_REQUEST, facts)
             )
-            log_refusal(http.HTTPStatus.BAD_REQUEST, facts)
+            log_unreadable_request(http.HTTPStatus.BAD_REQUEST, facts)
             return
         path = exchange.request.path.decode("latin-1")
         found = self._beliefs.route_table.find(facts.host, path)
@@ -84,56 +84,60 @@
                 self._refuse(exchange, facts, status, found.value)
             case routetable.Found():
                 query = received.Request(
-                    exchange=exchange, facts=facts, found=found
+                    exchange=exchange, metadata=facts, route_match=found
                 )
                 if ask is None:
                     self._serve_caller(query)
                 else:
-                    known = dataclasses.replace(query, margin_ms=ask.away_ms)
-                    run = running.Running(self, known, awaits_grant=True)
-                    exchange.on_granted = run.note_granted
+                    known = dataclasses.replace(
+                        query, transit_margin_ms=ask.away_ms
+                    )
+                    run = running.RequestRun(self, known, awaits_grant=True)
+                    exchange.on_commit = run.on_attempts_granted
                     run.start()
 
     def _serve_caller(self, query: received.Request) -> None:
         timed = dataclasses.replace(
-            query, margin_ms=self._caller_time.margin_ms
+            query, transit_margin_ms=self._caller_time.margin_ms
         )
         if self._knowledge.mechanisms.caller_time:
             spent_ms = self._caller_time.spent_ms(
-                query.found.route.name,
-                query.facts.deadline_ms,
+                query.route_match.route.name,
+                query.metadata.deadline_ms,
                 query.exchange.request.is_first,
             )
-            timed = dataclasses.replace(timed, spent_ms=spent_ms)
+            timed = dataclasses.replace(timed, caller_spent_ms=spent_ms)
         version = self._beliefs.version
         known = self._knowledge.suspicions
-        here = self.delegating is None or (
+        here = self.delegator is None or (
             known.holds_any and known.knows(timed.fingerprint)
         )
-        if here or not self.delegating.offer(timed, version):
-            self.run_here(timed, may_have_run=False)
+        if here or not self.delegator.try_delegate(timed, version):
+            self.run_locally(timed, may_have_run=False)
 
-    def run_here(self, query: received.Request, may_have_run: bool) -> None:
+    def run_locally(self, query: received.Request, may_have_run: bool) -> None:
         """Runs a request on this instance.
 
         Args:
             query: The request.
             may_have_run: Whether a neighbour may have run some of it.
         """
-        running.Running(self, query, may_have_run=may_have_run).start()
+        running.RequestRun(self, query, may_have_run=may_have_run).start()
 
-    def can_take_back(self, query: received.Request) -> bool:
+    def can_rerun_locally(self, query: received.Request) -> bool:
         """Whether a query that a neighbour may have begun could be run here.
 
         Each part of it would be an extra call.
         """
-        services = query.found.services
+        services = query.route_match.services
         now_ms = clock.now_ms()
         paid_count = sum(
             self._knowledge.extra_calls.can_spend(each, now_ms)
             for each in services
         )
-        floor_count = callcommand.floor_count(query.found.route, len(services))
+        floor_count = callcommand.floor_count(
+            query.route_match.route, len(services)
+        )
         return paid_count >= floor_count
 
     def _refuse(
@@ -144,7 +148,7 @@
         reason: str,
     ) -> None:
         comes_back = status == http.HTTPStatus.SERVICE_UNAVAILABLE
-        wait_ms = self.comeback_ms(reason) if comes_back else None
+        wait_ms = self.retry_delay_ms(reason) if comes_back else None
         self.metrics.requests.inc({"route": "", "status": str(status)})
         exchange.answer(message.problem_reply(status, reason, wait_ms))
         log.write(
@@ -157,17 +161,17 @@
             version=self._beliefs.version,
         )
 
-    def note_late(self, late_ms: float) -> None:
+    def record_lateness(self, late_ms: float) -> None:
         """Takes how long after the goal's time an answer was written."""
         self._caller_time.answers.note(late_ms)
 
-    def note_reply(self, route_name: str, reply: message.Reply) -> None:
+    def record_reply(self, route_name: str, reply: message.Reply) -> None:
         """Takes an upstream's reply: its size decides who gathers."""
-        if self.delegating is not None:
+        if self.delegator is not None:
             size_bytes = message.reply_size_bytes(reply)
-            self.delegating.known.note_reply(route_name, size_bytes)
+            self.delegator.selector.note_reply(route_name, size_bytes)
 
-    def comeback_ms(self, reason: str) -> float:
+    def retry_delay_ms(self, reason: str) -> float:
         """Returns when a caller that is refused should come back."""
         if not self._knowledge.mechanisms.comeback_by_cause:
             return comeback.FULL_MS
@@ -179,22 +183,22 @@
         )
         return comeback.wait_ms(refusal, self._random)
 
-    def is_far(self, failure_domain: str) -> bool:
+    def can_relay_to(self, failure_domain: str) -> bool:
         """Whether calls into a failure domain are for others to make."""
-        return self.relaying is not None and (
+        return self.call_relay is not None and (
             failure_domain != self._failure_domain
         )
 
-    def note_cut(self) -> None:
+    def on_partition(self) -> None:
         """Ends what waits for other failure domains."""
-        for each in tuple(self.running):
-            each.note_cut()
+        for each in tuple(self.active_runs):
+            each.on_partition()
 
-    def note_blocked(self, fingerprint: str) -> None:
+    def on_quarantined(self, fingerprint: str) -> None:
         """Ends what is found to crash the upstreams that run it."""
-        for each in tuple(self.running):
+        for each in tuple(self.active_runs):
             if each.fingerprint == fingerprint:
-                each.note_blocked()
+                each.on_quarantined()
 
     @property
     def view(self) -> beliefs.ReplicatedView:
@@ -202,7 +206,7 @@
         return self._beliefs
 
     @property
-    def knowledge(self) -> knowing.Knowledge:
+    def plan_context(self) -> knowing.Knowledge:
         """What plans draw on."""
         return self._knowledge
 
@@ -219,5 +223,5 @@
         return connections.limit_count(
             service.max_connections_count,
             upstream.failure_domain == self._failure_domain,
-            self.crowd,
+            self.instance_counts,
         )
--- a/hyssoptack/gateway/suspecting.py
+++ b/hyssoptack/gateway/suspecting.py
@@ -72,7 +72,7 @@
 Peers = collections.abc.Callable[[], collections.abc.Sequence[member.Peer]]
 
 
-class Suspecting:
+class QuarantineSync:
     """One instance's part in what all hold against requests."""
 
     def __init__(
@@ -96,7 +96,7 @@
             on_blocked: Told of a request that is refused from now on.
             counted: The instance's metrics.
         """
-        self.known = known
+        self.suspicions = known
         self._own = own
         self._near = near
         self._far = far
@@ -111,11 +111,11 @@
 
     # What is found.
 
-    def on_upstream_ended(
+    def on_upstream_exit(
         self, upstream: traffic.Upstream, in_hand: tuple[pool.Job, ...]
     ) -> None:
         """Takes that an upstream broke calls off and is gone."""
-        self._metrics.upstreams_ended.inc({"service": upstream.service})
+        self._metrics.upstream_exits.inc({"service": upstream.service})
         log.write(
             log.Event.UPSTREAM_ENDED,
             upstream=upstream.upstream_id,
@@ -128,7 +128,7 @@
         )
 
     def _on_change(self, change: suspicion.Change) -> None:
-        self._metrics.suspicions.inc({"what": change.what.value})
+        self._metrics.suspicion_events.inc({"what": change.what.value})
         log.write(
             EVENTS[change.what],
             fingerprint=change.fingerprint,
@@ -145,10 +145,10 @@
 
     # What is told.
 
-    async def tell(self) -> None:
+    async def share_periodically(self) -> None:
         """Tells others what is held, for as long as it runs."""
         while True:
-            if self._ask_count or self.known.holds_any:
+            if self._ask_count or self.suspicions.holds_any:
                 await self._wait_for_news()
             else:
                 await self._news.wait()
@@ -167,15 +167,15 @@
     def _round(self) -> float:
         """Tells and asks once; returns how long to pause after it, in s."""
         now_ms = clock.now_ms()
-        self.known.forget_old(now_ms)
+        self.suspicions.forget_old(now_ms)
         self._ask()
         if self._news.is_set():
             self._news.clear()
-            news = self.known.take_news(NEWS_COUNT, now_ms)
+            news = self.suspicions.take_news(NEWS_COUNT, now_ms)
             told_count = self._tell(news, NEAR_COUNT, FAR_COUNT)
             self._log_shared(news)
         else:
-            part = self.known.some(PART_COUNT, now_ms)
+            part = self.suspicions.some(PART_COUNT, now_ms)
             told_count = self._tell(part, 1, 1)
         return told_count * SUSPECT_BYTES / PACE_BYTES_PER_S
 
@@ -230,8 +230,8 @@
         match each:
             case notice.SuspectsNotice(sender_id=sender_id, suspects=suspects):
                 for suspect in suspects:
-                    self.known.take_told(suspect, sender_id, now_ms)
+                    self.suspicions.take_told(suspect, sender_id, now_ms)
             case notice.SuspectsWanted(address=address):
-                suspects = self.known.some(ANSWER_COUNT, now_ms)
+                suspects = self.suspicions.some(ANSWER_COUNT, now_ms)
                 if suspects:
                     self._send(address, self._notice(suspects))
--- a/hyssoptack/gateway/warmup_test.py
+++ b/hyssoptack/gateway/warmup_test.py
@@ -21,7 +21,7 @@
     for name in ("g-1", "g-2"):
         await site.start(name, warmup=warmuplimits.WarmupLimits())
     await asyncio.sleep(SETTLED_S)
-    site.enter("cold", "desk", cold_ms=8_000.0)
+    site.put_upstream_entry("cold", "desk", cold_ms=8_000.0)
     async with asyncio.timeout(SETTLED_S):
         while not all(
             each.view.upstreams["cold"].cold_ms
--- a/hyssoptack/platform/keyvalue.py
+++ b/hyssoptack/platform/keyvalue.py
@@ -317,12 +317,12 @@
 
         job = pool.Job(
             upstream=self._store,
-            data=lambda: data,
+            build_request=lambda: data,
             request_id=b"",
-            to_head=False,
-            once=False,
-            proven=False,
-            sink=sink,
+            is_head=False,
+            needs_new_connection=False,
+            needs_recent_connection=False,
+            on_outcome=sink,
         )
         call = self._pools.call(job, CONNECTION_LIMIT_COUNT)
         try:
--- a/hyssoptack/policy/extrawindow_test.py
+++ b/hyssoptack/policy/extrawindow_test.py
@@ -83,10 +83,8 @@
     """Plays requests and as many extra calls as are let through."""
     dice = random.Random(seed)
     part = share(
-        slack_count=budgetshare.SLACK_SHARE_RATIO
-        * SLACK_COUNT
-        / INSTANCE_COUNT,
-        ratio=budgetshare.EXTRA_RATIO_SHARE * RATIO,
+        slack_count=budgetshare.USED_SLACK_RATIO * SLACK_COUNT / INSTANCE_COUNT,
+        ratio=budgetshare.USED_EXTRA_RATIO * RATIO,
     )
     books = [old_book(part) for _ in range(INSTANCE_COUNT)]
     requests, extras = [], []
@@ -122,7 +120,7 @@
 def _play_restarts(seed, instance_count, shared):
     """Plays instances that take all extra calls they get, and start anew."""
     dice = random.Random(seed)
-    part = budgetshare.share(shared, instance_count)
+    part = budgetshare.even_share(shared, instance_count)
     books = [old_book(part) for _ in range(instance_count)]
     requests, extras = [], []
     now_ms = 0.0
@@ -164,8 +162,8 @@
     shared = gateway.BudgetSettings(
         ratio=RATIO, window_ms=WINDOW_MS, slack_count=156.0
     )
-    assert budgetshare.share(shared, 0).slack_count == 0.0
-    book = old_book(budgetshare.share(shared, 0))
+    assert budgetshare.even_share(shared, 0).slack_count == 0.0
+    book = old_book(budgetshare.even_share(shared, 0))
     assert spent_count(book, 0.0) == 0
 
 
@@ -179,7 +177,7 @@
         budgetshare.gather_share(shared, 87, 3, each / sum(links)).slack_count
         for each in links
     ]
-    even = budgetshare.share(shared, 87).slack_count
+    even = budgetshare.even_share(shared, 87).slack_count
     assert shares[0] > 3.0 * even
     assert shares[-1] > 0.5 * even
     assert 3 * sum(shares) <= 216.0
@@ -219,4 +217,4 @@
     by_link = budgetshare.gather_share(shared, 87, 3, 140.0 / 658.0)
     for seed in range(5):
         assert _served_ratio(by_link, seed) > 0.8
-        assert _served_ratio(budgetshare.share(shared, 87), seed) < 0.7
+        assert _served_ratio(budgetshare.even_share(shared, 87), seed) < 0.7
--- a/hyssoptack/reports/calls.py
+++ b/hyssoptack/reports/calls.py
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Call:
-    """A call as `calltrace.Trace.text` writes it.
+    """A call as `calltrace.Trace.describe` writes it.
 
     Attributes:
         upstream_id: Whom it went to.
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -45,10 +45,10 @@
     sent_ms: float
     ended_ms: float
     ended: str
-    got: harness.Got
+    got: harness.Response
 
 
-_NOTHING = harness.Got(status=0, headers={}, body=b"")
+_NOTHING = harness.Response(status=0, headers={}, body=b"")
 
 
 class Caller:
@@ -116,7 +116,7 @@
         limit_s = self._dice.uniform(0.002, 0.02) if leaves else ANSWER_LIMIT_S
         try:
             async with asyncio.timeout(limit_s):
-                got = await harness.read(reader)
+                got = await harness.read_response(reader)
         except TimeoutError:
             writer.transport.abort()
             ended = "left" if leaves else "unanswered"
@@ -148,7 +148,7 @@
         path: str,
         sent_ms: float,
         ended: str,
-        got: harness.Got = _NOTHING,
+        got: harness.Response = _NOTHING,
     ) -> None:
         self.asked.append(
             Asked(
--- a/soak/play.py
+++ b/soak/play.py
@@ -180,7 +180,7 @@
         async with asyncio.timeout(START_LIMIT_S):
             while True:
                 try:
-                    if (await harness.send(address, request)).status == 200:
+                    if (await harness.send_raw(address, request)).status == 200:
                         return
                 except OSError:
                     # It does not listen yet.
--- a/soak/soak_test.py
+++ b/soak/soak_test.py
@@ -56,7 +56,7 @@
         sent_ms=sent_ms,
         ended_ms=sent_ms + 20.0,
         ended="answered",
-        got=harness.Got(status=status, headers=headers or {}, body=body),
+        got=harness.Response(status=status, headers=headers or {}, body=body),
     )
 
 
