--- a/hyssoptack/charts/chart.py
+++ b/hyssoptack/charts/chart.py
@@ -24,13 +24,13 @@
         name: Its file's name.
         initial: The state that everything begins in.
         states: Every state.
-        table: Target state by (state, event).
+        transitions: Target state by (state, event).
     """
 
     name: str
     initial: str
     states: frozenset[str]
-    table: dict[tuple[str, str], str]
+    transitions: dict[tuple[str, str], str]
 
     def step(self, state: str, event: str) -> str:
         """Returns the next state; the same one for an event it does not take.
@@ -38,16 +38,16 @@
         Raises:
             BrokenInvariant: The chart has no such state.
         """
-        target = self.table.get((state, event))
+        target = self.transitions.get((state, event))
         if target is not None:
             return target
         if state not in self.states:
             raise BrokenInvariant(f"chart {self.name} has no state {state!r}")
         return state
 
-    def takes(self, state: str, event: str) -> bool:
+    def accepts(self, state: str, event: str) -> bool:
         """Tells whether a state takes an event."""
-        return (state, event) in self.table
+        return (state, event) in self.transitions
 
 
 @functools.cache
@@ -67,13 +67,16 @@
         for transition in source.transitions
     }
     return Chart(
-        name=name, initial=root.initial, states=frozenset(children), table=table
+        name=name,
+        initial=root.initial,
+        states=frozenset(children),
+        transitions=table,
     )
 
 
-def drawing(chart: Chart) -> str:
+def mermaid(chart: Chart) -> str:
     """Returns a chart as Mermaid text, for the docs."""
     lines = ["stateDiagram-v2", f"    [*] --> {chart.initial}"]
-    for (state, event), target in sorted(chart.table.items()):
+    for (state, event), target in sorted(chart.transitions.items()):
         lines.append(f"    {state} --> {target}: {event}")
     return "\n".join(lines)
--- a/hyssoptack/charts/chart_test.py
+++ b/hyssoptack/charts/chart_test.py
@@ -13,7 +13,7 @@
 @pytest.mark.parametrize("name", NAMES)
 def test_the_docs_draw_the_chart(name):
     text = (ROOT / "docs" / "CHARTS.md").read_text("utf-8")
-    assert chart.drawing(chart.load(name)) in text
+    assert chart.mermaid(chart.load(name)) in text
 
 
 def test_an_unknown_event_changes_nothing():
@@ -30,7 +30,7 @@
     reachable, frontier = set(), {"sending"}
     while frontier:
         state = frontier.pop()
-        for (source, _event), target in action.table.items():
+        for (source, _event), target in action.transitions.items():
             if source == state and target not in reachable:
                 reachable.add(target)
                 frontier.add(target)
@@ -40,6 +40,6 @@
 
 def test_a_configuration_never_leaves_force():
     configuration = chart.load("configuration")
-    for (source, event), target in configuration.table.items():
+    for (source, event), target in configuration.transitions.items():
         if source in ("in_force", "updating"):
             assert target in ("in_force", "updating"), event
--- a/hyssoptack/core/fingerprint.py
+++ b/hyssoptack/core/fingerprint.py
@@ -15,7 +15,7 @@
 LENGTH_BYTES = 4
 
 
-def of(method: bytes, host: str, target: bytes, body: bytes) -> str:
+def compute(method: bytes, host: str, target: bytes, body: bytes) -> str:
     """Returns a request's fingerprint, in hexadecimal digits.
 
     Args:
--- a/hyssoptack/core/fingerprint_test.py
+++ b/hyssoptack/core/fingerprint_test.py
@@ -10,7 +10,7 @@
         "target": b"/one/x?q=1",
         "body": b"",
     }
-    return fingerprint.of(**{**given, **changes})
+    return fingerprint.compute(**{**given, **changes})
 
 
 def test_the_same_content_has_the_same_name():
--- a/hyssoptack/core/keyspace.py
+++ b/hyssoptack/core/keyspace.py
@@ -39,7 +39,7 @@
     return xxhash.xxh32_intdigest(text.encode()) % KEYSPACE_SIZE_COUNT
 
 
-def measure_count(ranges: tuple[KeyRange, ...]) -> int:
+def key_count(ranges: tuple[KeyRange, ...]) -> int:
     """Counts the keys in a tuple of disjoint ranges."""
     return sum(each.high - each.low for each in ranges)
 
@@ -72,7 +72,7 @@
     return tuple(left)
 
 
-def joined(ranges: tuple[KeyRange, ...]) -> tuple[KeyRange, ...]:
+def merge_adjacent(ranges: tuple[KeyRange, ...]) -> tuple[KeyRange, ...]:
     """Returns disjoint ranges in order, with those that touch made one."""
     result: list[KeyRange] = []
     for each in sorted(ranges):
@@ -85,4 +85,4 @@
 
 def coverage_ratio(answered: tuple[KeyRange, ...]) -> float:
     """Returns the share of the whole key space that disjoint ranges hold."""
-    return measure_count(answered) / KEYSPACE_SIZE_COUNT
+    return key_count(answered) / KEYSPACE_SIZE_COUNT
--- a/hyssoptack/core/mechanism.py
+++ b/hyssoptack/core/mechanism.py
@@ -52,5 +52,5 @@
     told_calls: bool = True
 
 
-ALL = Mechanisms()
+ALL_ENABLED = Mechanisms()
 NAMES = tuple(field.name for field in dataclasses.fields(Mechanisms))
--- a/hyssoptack/core/notice.py
+++ b/hyssoptack/core/notice.py
@@ -62,7 +62,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class ViewWanted:
+class ViewRequest:
     """Asks a reader for all that it knows: its last notice did not suffice.
 
     Attributes:
@@ -92,7 +92,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class CutNotice:
+class PartitionNotice:
     """The sender takes its failure domain as cut off from all others.
 
     Attributes:
@@ -103,7 +103,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class SeenCall:
+class LatencySample:
     """One call to an upstream as an instance has measured it.
 
     Attributes:
@@ -116,7 +116,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class CallNotice:
+class LatencyNotice:
     """Calls to upstreams that are slow, or were lately.
 
     Attributes:
@@ -125,11 +125,11 @@
     """
 
     sender_id: str
-    seen_calls: dict[str, SeenCall]
+    seen_calls: dict[str, LatencySample]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class QueryAsk:
+class DelegationRequest:
     """Asks a neighbour to run a caller's query on the sender's behalf.
 
     Attributes:
@@ -162,7 +162,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class QueryTaken:
+class DelegationStatus:
     """Says that an asked query runs, or that it does not and never will.
 
     Attributes:
@@ -177,7 +177,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class QueryAnswer:
+class DelegationAnswer:
     """The answer to an asked query, as its caller gets it.
 
     Attributes:
@@ -198,7 +198,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class QueryLeft:
+class DelegationCancel:
     """Says that nobody waits for an asked query any more.
 
     Attributes:
@@ -224,7 +224,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class RelayAsk:
+class RelayRequest:
     """Asks an instance beside the upstreams to make calls of a query.
 
     Attributes:
@@ -296,7 +296,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class RelayLeft:
+class RelayCancel:
     """Says that relayed calls are not waited for any more.
 
     Attributes:
@@ -309,7 +309,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class SuspectEnding:
+class SuspectCrash:
     """An upstream that ended with a suspected request in hand.
 
     Attributes:
@@ -344,7 +344,7 @@
     blocked_count: int = 0
     blocked_for_ms: float = 0.0
     kept_for_ms: float = 0.0
-    endings: tuple[SuspectEnding, ...] = ()
+    endings: tuple[SuspectCrash, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -361,7 +361,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class SuspectsWanted:
+class SuspectsRequest:
     """Asks for all such requests: the asker has just started.
 
     Attributes:
@@ -372,7 +372,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class QueryGranted:
+class DelegationCommit:
     """Says that an asked query will not be taken back.
 
     Attributes:
@@ -384,40 +384,40 @@
     ask_id: int
 
 
-Notice = (
+Message = (
     ViewNotice
-    | ViewWanted
+    | ViewRequest
     | InstancesNotice
-    | CutNotice
-    | CallNotice
-    | QueryAsk
-    | QueryTaken
-    | QueryAnswer
-    | QueryLeft
-    | QueryGranted
-    | RelayAsk
+    | PartitionNotice
+    | LatencyNotice
+    | DelegationRequest
+    | DelegationStatus
+    | DelegationAnswer
+    | DelegationCancel
+    | DelegationCommit
+    | RelayRequest
     | RelayBatch
-    | RelayLeft
+    | RelayCancel
     | SuspectsNotice
-    | SuspectsWanted
+    | SuspectsRequest
 )
 
 KINDS: dict[int, type] = {
     12: ViewNotice,
-    13: CallNotice,
-    14: ViewWanted,
+    13: LatencyNotice,
+    14: ViewRequest,
     15: InstancesNotice,
-    16: CutNotice,
-    17: QueryAsk,
-    18: QueryTaken,
-    19: QueryAnswer,
-    20: QueryLeft,
-    21: RelayAsk,
+    16: PartitionNotice,
+    17: DelegationRequest,
+    18: DelegationStatus,
+    19: DelegationAnswer,
+    20: DelegationCancel,
+    21: RelayRequest,
     22: RelayBatch,
-    23: RelayLeft,
+    23: RelayCancel,
     24: SuspectsNotice,
-    25: SuspectsWanted,
-    26: QueryGranted,
+    25: SuspectsRequest,
+    26: DelegationCommit,
 }
 """Kinds by number, for `peers.codec`. Numbers are never used again for another
 kind: 10 and 11 were notices with whole lists."""
--- a/hyssoptack/core/traffic.py
+++ b/hyssoptack/core/traffic.py
@@ -68,8 +68,8 @@
         prefix: Start of the paths; begins and ends with a slash.
         idempotent: Whether a request may run more than once.
         timeout_ms: Longest time that a caller is kept waiting.
-        goal_ms: Time within which an answer is of full use.
-        rank: Urgency, 0 the most urgent.
+        latency_goal_ms: Time within which an answer is of full use.
+        priority: Urgency, 0 the most urgent.
         max_attempts_count: Most upstreams (of each shard) that one request may
             be sent to.
         target: Where requests go.
@@ -80,13 +80,13 @@
     prefix: str
     idempotent: bool
     timeout_ms: float
-    goal_ms: float
-    rank: int
+    latency_goal_ms: float
+    priority: int
     max_attempts_count: int
     target: Target
 
     @property
-    def may_be_taken_back(self) -> bool:
+    def is_rerunnable(self) -> bool:
         """Whether two instances may each send a request to upstreams."""
         return self.idempotent and self.max_attempts_count > 1
 
@@ -143,7 +143,7 @@
     limits: Limits
 
     @property
-    def gathered_services(self) -> frozenset[str]:
+    def shard_services(self) -> frozenset[str]:
         """The services that queries go to as shards of an index."""
         return frozenset(
             shard
--- a/hyssoptack/core/waiting.py
+++ b/hyssoptack/core/waiting.py
@@ -10,16 +10,16 @@
 
 MS_PER_S = 1_000.0
 
-LATE_MS = 3.0
+STALL_THRESHOLD_MS = 3.0
 """A timer that fires this late was held up by this process; on an idle machine
 timers fire within 1 ms."""
 
-READ_MS = 50.0
+SOCKET_READ_MS = 50.0
 """Then given to what lies in the sockets: a reply is read in under 1 ms, and
 some hundred may wait."""
 
 
-async def finished(work: asyncio.Future, limit_ms: float) -> bool:
+async def wait_until_done(work: asyncio.Future, limit_ms: float) -> bool:
     """Waits for work to finish; does not cancel it.
 
     Args:
@@ -31,6 +31,6 @@
     """
     due_ms = clock.now_ms() + limit_ms
     done, _ = await asyncio.wait({work}, timeout=limit_ms / MS_PER_S)
-    if not done and clock.now_ms() - due_ms > LATE_MS:
-        done, _ = await asyncio.wait({work}, timeout=READ_MS / MS_PER_S)
+    if not done and clock.now_ms() - due_ms > STALL_THRESHOLD_MS:
+        done, _ = await asyncio.wait({work}, timeout=SOCKET_READ_MS / MS_PER_S)
     return bool(done)
--- a/hyssoptack/core/warmuplimits.py
+++ b/hyssoptack/core/warmuplimits.py
@@ -18,7 +18,7 @@
     overage_ratio: float = 1.0
     slack_count: float = 0.0
 
-    def limit_count(self, service: traffic.Service) -> float:
+    def limit_per_s(self, service: traffic.Service) -> float:
         """Returns the limit for an upstream of a service; inf for none."""
         if not service.warmup_per_s:
             return math.inf
--- a/hyssoptack/entry/actor.py
+++ b/hyssoptack/entry/actor.py
@@ -138,7 +138,7 @@
         try:
             if not self._send_to(lane.instance_id, ask):
                 return _unsent()
-            if not await waiting.finished(done, ask.remaining_ms):
+            if not await waiting.wait_until_done(done, ask.remaining_ms):
                 return await self._settle(ask)
             outcome = done.result()
             if outcome is not None:
--- a/hyssoptack/entry/executor.py
+++ b/hyssoptack/entry/executor.py
@@ -73,7 +73,7 @@
         Raises:
             chart.BrokenInvariant: The state does not take the event.
         """
-        if not _CHART.takes(self.chart_state, event):
+        if not _CHART.accepts(self.chart_state, event):
             raise chart.BrokenInvariant(f"{event} in {self.chart_state}")
         self.chart_state = _CHART.step(self.chart_state, event)
 
--- a/hyssoptack/entry/problem.py
+++ b/hyssoptack/entry/problem.py
@@ -78,7 +78,8 @@
             "index_version": answer.index_version,
             "coverage_ratio": round(answer.coverage_ratio, 6),
             "covered_ranges": [
-                (each.low, each.high) for each in keyspace.joined(answer.ranges)
+                (each.low, each.high)
+                for each in keyspace.merge_adjacent(answer.ranges)
             ],
             "upstream_call_count": answer.upstream_call_count,
             "extra_call_count": answer.extra_call_count,
--- a/hyssoptack/events/log.py
+++ b/hyssoptack/events/log.py
@@ -78,7 +78,7 @@
         return self.value[0]
 
     @property
-    def meaning(self) -> str:
+    def description(self) -> str:
         """When the event is written."""
         return self.value[1]
 
--- a/hyssoptack/events/log_test.py
+++ b/hyssoptack/events/log_test.py
@@ -16,7 +16,8 @@
         for number, name, meaning in _ROW.findall(text)
     }
     known = {
-        (event.number, event.name.lower(), event.meaning) for event in log.Event
+        (event.number, event.name.lower(), event.description)
+        for event in log.Event
     }
     assert listed == known
 
--- a/hyssoptack/events/writer.py
+++ b/hyssoptack/events/writer.py
@@ -35,7 +35,7 @@
     def __call__(self, message: dict[str, object]) -> None:
         """Takes a message, and writes what the reader takes now."""
         self._add(message)
-        self.write()
+        self.flush()
 
     def _add(self, message: dict[str, object]) -> None:
         line = _encoder.encode(_slim(message, self._instance_id)) + b"\n"
@@ -45,7 +45,7 @@
         self._lines.append(line)
         self._size_bytes += len(line)
 
-    def write(self) -> None:
+    def flush(self) -> None:
         """Writes buffered lines until the reader takes no more."""
         while self._lines:
             line = self._lines.popleft()
@@ -103,4 +103,4 @@
 def flush() -> None:
     """Writes what is buffered, as far as the reader takes it."""
     if _current is not None:
-        _current.write()
+        _current.flush()
--- a/hyssoptack/events/writer_test.py
+++ b/hyssoptack/events/writer_test.py
@@ -20,7 +20,7 @@
     received = b""
     os.set_blocking(reading, False)
     for _ in range(1_000):
-        made.write()
+        made.flush()
         try:
             received += os.read(reading, 1 << 20)
         except BlockingIOError:
--- a/hyssoptack/gateway/blocklist.py
+++ b/hyssoptack/gateway/blocklist.py
@@ -142,7 +142,7 @@
             )
             for name, entry in missing
         }
-        match await self._store.grant(min(LEASE_MAX_MS, ttl_ms)):
+        match await self._store.grant_lease(min(LEASE_MAX_MS, ttl_ms)):
             case expression.Result(tag="ok", ok=lease):
                 result = await self._store.put_all(items, lease)
             case granted:
--- a/hyssoptack/gateway/daemon.py
+++ b/hyssoptack/gateway/daemon.py
@@ -106,7 +106,7 @@
         self.reader_election = readership.Readership(
             settings.instance_id,
             settings.failure_domain,
-            readership.pace(settings.belief_bound_ms),
+            readership.pace(settings.propagation_bound_ms),
         )
         self._extra_calls = extrawindow.Book(
             budgetshare.even_share(settings.budget, 0), clock.now_ms()
@@ -200,25 +200,25 @@
             suspicions=self._suspicions,
         )
 
-    def _on_query(self, each: notice.Notice) -> None:
+    def _on_query(self, each: notice.Message) -> None:
         ready = self.view.is_complete and not self._stop.is_set()
         match each:
-            case notice.QueryAsk():
+            case notice.DelegationRequest():
                 self._serving.serve_delegated(each, ready)
-            case notice.RelayAsk():
+            case notice.RelayRequest():
                 self._gathering.accept(each, ready)
             case notice.RelayBatch():
                 self._relaying.on_batch(each)
-            case notice.RelayLeft():
+            case notice.RelayCancel():
                 self._gathering.on_cancel(each)
-            case notice.SuspectsNotice() | notice.SuspectsWanted():
+            case notice.SuspectsNotice() | notice.SuspectsRequest():
                 self._suspecting.on_message(each)
             case _:
                 self._delegating.on_message(each)
 
-    def _on_undelivered(self, each: notice.Notice) -> None:
+    def _on_undelivered(self, each: notice.Message) -> None:
         match each:
-            case notice.RelayAsk():
+            case notice.RelayRequest():
                 self._relaying.on_undelivered(each)
             case _:
                 self._delegating.on_undelivered(each)
@@ -230,7 +230,7 @@
     def _on_configuration(self, offered: traffic.Configuration) -> None:
         self._callers.limits = offered.limits
         self._warmups.install_services(offered.services)
-        self._extra_calls.gathered = offered.gathered_services
+        self._extra_calls.gathered = offered.shard_services
 
     def _on_reach(self) -> None:
         """Lets callers find another instance while this one is cut off."""
@@ -349,10 +349,10 @@
 
     async def _follow_settings(self) -> None:
         """Reads the settings file again when it has changed."""
-        changed_ns = gateway.changed_ns(self._path)
+        changed_ns = gateway.modified_ns(self._path)
         while True:
             await asyncio.sleep(SETTINGS_CHECK_S)
-            seen_ns = gateway.changed_ns(self._path)
+            seen_ns = gateway.modified_ns(self._path)
             if seen_ns != changed_ns:
                 changed_ns = seen_ns
                 self.reload()
@@ -378,8 +378,10 @@
         waiting = [name for name in changed if name in RESTART_FIELDS]
         log.write(log.Event.RELOADED, changed=changed, at_restart=waiting)
         self._settings = settings
-        self._store.move(settings.store_address)
-        self.reader_election.pace = readership.pace(settings.belief_bound_ms)
+        self._store.set_address(settings.store_address)
+        self.reader_election.pace = readership.pace(
+            settings.propagation_bound_ms
+        )
         self._placing.settings = parts.load_balancer_settings(settings)
         self._warmups.limits = settings.warmup
         self._delegating.selector.link_mbps = parts.delegation_link_mbps(
--- a/hyssoptack/gateway/delegating.py
+++ b/hyssoptack/gateway/delegating.py
@@ -25,7 +25,7 @@
 from hyssoptack.platform import headers
 from hyssoptack.policy import delegation
 
-Send = collections.abc.Callable[[str, notice.Notice], None]
+Send = collections.abc.Callable[[str, notice.Message], None]
 
 STALL_CHECK_S = 0.1
 """How often an instance that runs others' queries looks whether it stood still;
@@ -111,7 +111,7 @@
         """Hands a query over if that is better; tells whether it did."""
         now_ms = clock.now_ms()
         route = query.route_match.route
-        if not route.may_be_taken_back:
+        if not route.is_rerunnable:
             return False
         match route.target:
             case traffic.AllShards(shards=shards):
@@ -150,7 +150,7 @@
         return stalled or now_ms - self._woke_ms < WAKE_MS
 
     def accept(
-        self, ask: notice.QueryAsk, can_serve: bool
+        self, ask: notice.DelegationRequest, can_serve: bool
     ) -> PeerExchange | None:
         """Takes a neighbour's query, or declines it.
 
@@ -166,7 +166,7 @@
         running_already = key in self._taken
         stale = self.messages_may_be_stale()
         begun = running_already or (can_serve and not stale and ask.fresh)
-        taken = notice.QueryTaken(
+        taken = notice.DelegationStatus(
             sender_address=self.own_address, ask_id=ask.ask_id, begun=begun
         )
         self.send(ask.sender_address, taken)
@@ -209,7 +209,7 @@
     ) -> None:
         self._taken.pop(key, None)
         address, ask_id = key
-        answer = notice.QueryAnswer(
+        answer = notice.DelegationAnswer(
             sender_address=self.own_address,
             ask_id=ask_id,
             reply_bytes=self.selector.reply_bytes(route_name),
@@ -226,13 +226,13 @@
 
     # What comes back.
 
-    def on_message(self, each: notice.Notice) -> None:
+    def on_message(self, each: notice.Message) -> None:
         """Takes a neighbour's word on a query."""
         match each:
-            case notice.QueryTaken(ask_id=ask_id, begun=begun):
+            case notice.DelegationStatus(ask_id=ask_id, begun=begun):
                 if (found := self.pending.get(ask_id)) is not None:
                     found.on_status(begun)
-            case notice.QueryAnswer(ask_id=ask_id):
+            case notice.DelegationAnswer(ask_id=ask_id):
                 if (found := self.pending.get(ask_id)) is not None:
                     found.on_answer(each)
                 else:
@@ -242,17 +242,17 @@
                         ask_id=ask_id,
                         status=each.status,
                     )
-            case notice.QueryGranted(sender_address=address, ask_id=ask_id):
+            case notice.DelegationCommit(sender_address=address, ask_id=ask_id):
                 self._granted((address, ask_id))
-            case notice.QueryLeft(sender_address=address, ask_id=ask_id):
+            case notice.DelegationCancel(sender_address=address, ask_id=ask_id):
                 exchange = self._taken.pop((address, ask_id), None)
                 if exchange is not None and exchange.on_abandoned is not None:
                     exchange.on_abandoned()
 
-    def on_undelivered(self, each: notice.Notice) -> None:
+    def on_undelivered(self, each: notice.Message) -> None:
         """Takes that a message did not reach its neighbour."""
         match each:
-            case notice.QueryAsk(ask_id=ask_id):
+            case notice.DelegationRequest(ask_id=ask_id):
                 if (found := self.pending.get(ask_id)) is not None:
                     found.on_undelivered()
 
@@ -297,7 +297,7 @@
 
     def _ask(self, version: int, fresh: bool) -> None:
         request = self._query.exchange.request
-        ask = notice.QueryAsk(
+        ask = notice.DelegationRequest(
             sender_address=self._owner.own_address,
             ask_id=self._ask_id,
             version=version,
@@ -352,7 +352,8 @@
                 self._say_granted()
                 request = self._query.exchange.request
                 due_ms = (
-                    request.received_ms + self._query.route_match.route.goal_ms
+                    request.received_ms
+                    + self._query.route_match.route.latency_goal_ms
                 )
                 left_ms = max(0.0, due_ms - clock.now_ms())
                 self._wait(left_ms + delegation.ANSWER_SLACK_MS, self._check)
@@ -385,7 +386,7 @@
             message.problem_reply(status, "neighbour_lost")
         )
 
-    def on_answer(self, answer: notice.QueryAnswer) -> None:
+    def on_answer(self, answer: notice.DelegationAnswer) -> None:
         """Passes the neighbour's answer on."""
         self._owner.selector.answered(self._peer.address)
         route_name = self._query.route_match.route.name
@@ -396,7 +397,7 @@
         )
         request = self._query.exchange.request
         self._query.exchange.answer(reply)
-        if headers.parts_are_missing(reply):
+        if headers.has_missing_parts(reply):
             # Given at the goal: the rest is what the way back took.
             late_ms = clock.now_ms() - self._goal_at_ms
             self._owner.selector.hops.note(self._hop_ms + late_ms)
@@ -430,13 +431,13 @@
         self._end()
 
     def _say_left(self) -> None:
-        left = notice.QueryLeft(
+        left = notice.DelegationCancel(
             sender_address=self._owner.own_address, ask_id=self._ask_id
         )
         self._owner.send(self._peer.address, left)
 
     def _say_granted(self) -> None:
-        granted = notice.QueryGranted(
+        granted = notice.DelegationCommit(
             sender_address=self._owner.own_address, ask_id=self._ask_id
         )
         self._owner.send(self._peer.address, granted)
--- a/hyssoptack/gateway/following.py
+++ b/hyssoptack/gateway/following.py
@@ -104,9 +104,9 @@
             exact = self._read_count % readership.EXACT_READ_COUNT == 0
             self._read_count += 1
             asked_ms = clock.now_ms()
-            result = await self._store.list(
+            result = await self._store.read_range(
                 wire.UPSTREAM_PREFIX,
-                stale=not exact,
+                allow_stale=not exact,
                 timeout_ms=self._readers.pace.list_timeout_ms,
             )
             match result:
@@ -144,7 +144,7 @@
         listed: dict[str, traffic.Upstream] = {}
         unreadable: dict[str, str] = {}
         for item in listing.items:
-            match wire.upstream(item.key, item.value):
+            match wire.parse_upstream(item.key, item.value):
                 case expression.Result(tag="ok", ok=upstream):
                     cold_ms = min(max(0.0, upstream.cold_ms), COLD_MAX_MS)
                     if cold_ms != upstream.cold_ms:
@@ -205,7 +205,7 @@
     async def _read_configuration(
         self, stale: bool
     ) -> expression.Result[int, keyvalue.Failure]:
-        result = await self._store.list(wire.OPERATOR_PREFIX, stale)
+        result = await self._store.read_range(wire.OPERATOR_PREFIX, stale)
         return result.map(self._take_operators_keys)
 
     async def _watch_configuration(
@@ -278,7 +278,7 @@
 
     def _take_configuration(self, value: bytes, source: str) -> bool:
         """Takes a configuration as stored; tells whether it is now in force."""
-        match wire.configuration(value):
+        match wire.parse_configuration(value):
             case expression.Result(tag="ok", ok=offered):
                 now_ms = clock.now_ms()
                 taken = self._beliefs.apply_configuration(
@@ -310,7 +310,7 @@
                 await self._pause(self._lease_ms / KEEPS_PER_LEASE_COUNT)
 
     async def _enter(self) -> int | None:
-        granted = await self._store.grant(self._lease_ms)
+        granted = await self._store.grant_lease(self._lease_ms)
         match granted:
             case expression.Result(tag="ok", ok=lease):
                 key = wire.PEER_PREFIX + self._settings.instance_id
@@ -331,10 +331,10 @@
 
     async def _renew(self, lease: int) -> bool:
         """Renews a lease; tells whether it may still hold."""
-        match await self._store.keep(lease):
+        match await self._store.renew_lease(lease):
             case expression.Result(
                 tag="error",
-                error=keyvalue.Failure(trouble=keyvalue.Trouble.NO_LEASE),
+                error=keyvalue.Failure(kind=keyvalue.FailureKind.NO_LEASE),
             ):
                 return False
             case _:
@@ -349,7 +349,9 @@
         for pause_ms in pauses_ms:
             await self._pause(pause_ms)
             await self._wait_for_turn()
-            result = await self._store.list(wire.OWN_PREFIX, stale=True)
+            result = await self._store.read_range(
+                wire.OWN_PREFIX, allow_stale=True
+            )
             match result:
                 case expression.Result(tag="ok", ok=listing):
                     self._take_instances(listing.items)
@@ -383,13 +385,13 @@
     def _note_lost(self, failure: keyvalue.Failure) -> None:
         if self._lost_since_ms is not None:
             return
-        if failure.trouble is keyvalue.Trouble.COMPACTED:
+        if failure.kind is keyvalue.FailureKind.COMPACTED:
             return
         self._lost_since_ms = clock.now_ms()
         log.write(
             log.Event.STORE_LOST,
             detail=failure.detail,
-            trouble=failure.trouble.value,
+            trouble=failure.kind.value,
             version=self._beliefs.version,
         )
 
--- a/hyssoptack/gateway/following_test.py
+++ b/hyssoptack/gateway/following_test.py
@@ -136,10 +136,10 @@
         self.stale = []
         self._count = count
 
-    async def list(self, _prefix, stale=False, timeout_ms=0.0):
+    async def read_range(self, _prefix, allow_stale=False, timeout_ms=0.0):
         if len(self.stale) == self._count:
             raise asyncio.CancelledError
-        self.stale.append(stale)
+        self.stale.append(allow_stale)
         return expression.Ok(keyvalue.Listing(items=[], store_revision=1))
 
 
--- a/hyssoptack/gateway/gathering.py
+++ b/hyssoptack/gateway/gathering.py
@@ -29,7 +29,7 @@
 """Urgency of relayed calls where an upstream is scarce: queries of its own
 domain go first."""
 
-Send = collections.abc.Callable[[str, notice.Notice], None]
+Send = collections.abc.Callable[[str, notice.Message], None]
 LimitCount = collections.abc.Callable[[traffic.Upstream], int]
 
 
@@ -63,7 +63,7 @@
         self._suspicions = suspicions
         self.active_gathers: dict[tuple[str, int], GatherTask] = {}
 
-    def accept(self, ask: notice.RelayAsk, ready: bool) -> None:
+    def accept(self, ask: notice.RelayRequest, ready: bool) -> None:
         """Makes calls, or says at once that it makes none.
 
         Args:
@@ -83,7 +83,7 @@
         self.active_gathers[key] = gather
         gather.start()
 
-    def on_cancel(self, left: notice.RelayLeft) -> None:
+    def on_cancel(self, left: notice.RelayCancel) -> None:
         """Ends the calls of a query that nobody waits for any more."""
         gather = self.active_gathers.get((left.sender_address, left.ask_id))
         if gather is not None:
@@ -93,11 +93,11 @@
 class GatherTask:
     """The calls of one ask."""
 
-    def __init__(self, owner: GathererService, ask: notice.RelayAsk):
+    def __init__(self, owner: GathererService, ask: notice.RelayRequest):
         self._owner = owner
         self._ask = ask
         self._started_ms = clock.now_ms()
-        self._common = headers.Forwarded(head=ask.head, body=ask.body)
+        self._common = headers.ForwardedRequest(head=ask.head, body=ask.body)
         self._calls: dict[int, pool.Call] = {}
         self._open: dict[int, str] = {}
         self._ready: list[notice.RelayedOutcome] = []
@@ -166,7 +166,7 @@
         now_ms = clock.now_ms()
         self._calls.pop(call_id, None)
         upstream_id = self._open.pop(call_id)
-        read = headers.call_outcome(outcome, to_merge=True)
+        read = headers.call_outcome(outcome, is_part=True)
         known = self._owner.view.load_balancer
         known.ended(upstream_id)
         # The asking instance learns from the call as well.
--- a/hyssoptack/gateway/peering.py
+++ b/hyssoptack/gateway/peering.py
@@ -39,7 +39,7 @@
 OnInstances = collections.abc.Callable[[tuple[member.Peer, ...]], None]
 """Told of each new list of instances, and of who may gather elsewhere."""
 
-OnMessage = collections.abc.Callable[[notice.Notice], None]
+OnMessage = collections.abc.Callable[[notice.Message], None]
 
 
 def _ignore(_: object) -> None:
@@ -80,7 +80,7 @@
         self.on_undelivered: OnMessage = _ignore
         self.on_link_lost: collections.abc.Callable[[str], None] = _ignore
 
-    def send(self, address: str, each: notice.Notice) -> None:
+    def send(self, address: str, each: notice.Message) -> None:
         """Sends a message to a neighbour; without a port, to nobody."""
         if self._links is not None:
             self._links.send(address, each)
@@ -145,7 +145,7 @@
         )
         self._links.send(address, made)
 
-    def _answer_wanted(self, wanted: notice.ViewWanted) -> None:
+    def _answer_wanted(self, wanted: notice.ViewRequest) -> None:
         """Sends everything to one who could not use the last view."""
         self._history.put(self._beliefs.upstreams)
         fresh = wanted.version >= self._beliefs.version
@@ -177,7 +177,7 @@
         """Tells neighbours that other failure domains show no life."""
         if self._links is None:
             return
-        made = notice.CutNotice(sender_id=self._settings.instance_id)
+        made = notice.PartitionNotice(sender_id=self._settings.instance_id)
         for peer in self.reader_election.neighbours():
             self._links.send(peer.address, made)
 
@@ -193,13 +193,13 @@
             calls = self._beliefs.load_balancer.seen_calls(clock.now_ms())
             if not calls or self._links is None:
                 continue
-            made = notice.CallNotice(
+            made = notice.LatencyNotice(
                 sender_id=self._settings.instance_id, seen_calls=calls
             )
             for peer in self._some(CALLS_PEERS_COUNT):
                 self._links.send(peer.address, made)
 
-    def _on_undelivered(self, address: str, body: notice.Notice) -> None:
+    def _on_undelivered(self, address: str, body: notice.Message) -> None:
         match body:
             case notice.ViewNotice():
                 self._told.pop(address, None)
@@ -216,11 +216,11 @@
                         each.neighbours, each.total_count
                     )
                     self._on_instances(each.far_gatherers)
-                case notice.CutNotice():
+                case notice.PartitionNotice():
                     self._on_cut()
-                case notice.ViewWanted():
+                case notice.ViewRequest():
                     self._answer_wanted(each)
-                case notice.CallNotice(seen_calls=seen_calls):
+                case notice.LatencyNotice(seen_calls=seen_calls):
                     self._beliefs.load_balancer.told(seen_calls, clock.now_ms())
                 case _:
                     self.on_message(each)
@@ -249,7 +249,7 @@
 
     def _ask(self, view: notice.ViewNotice) -> None:
         """Asks a reader for what its notice left out."""
-        wanted = notice.ViewWanted(
+        wanted = notice.ViewRequest(
             address=self._settings.peer_address, version=self._beliefs.version
         )
         if self._links is not None:
@@ -260,7 +260,7 @@
         if stored is None:
             log.write(log.Event.CONFIG_REFUSED, errors=["can't be expanded"])
             return
-        match wire.configuration(stored):
+        match wire.parse_configuration(stored):
             case expression.Result(tag="ok", ok=offered):
                 source = f"peer {view.sender_id}"
                 self.cache_configuration(stored)
--- a/hyssoptack/gateway/received.py
+++ b/hyssoptack/gateway/received.py
@@ -38,7 +38,7 @@
     """
 
     exchange: Exchange
-    metadata: headers.CallerFacts
+    metadata: headers.RequestMetadata
     route_match: routetable.Found
     caller_spent_ms: float = 0.0
     transit_margin_ms: float = 0.0
@@ -54,7 +54,7 @@
         One that can't be in time any more is better whole than soon: it is
         given as long as one that can.
         """
-        goal_ms = self.route_match.route.goal_ms
+        goal_ms = self.route_match.route.latency_goal_ms
         due_ms = self.exchange.request.received_ms + goal_ms
         in_time_ms = due_ms - self.reserved_ms
         return in_time_ms if in_time_ms > now_ms else due_ms
@@ -68,6 +68,6 @@
     def fingerprint(self) -> str:
         """Names its content; costs a hash."""
         request = self.exchange.request
-        return fingerprint.of(
+        return fingerprint.compute(
             request.method, self.metadata.host, request.target, request.body
         )
--- a/hyssoptack/gateway/relaying.py
+++ b/hyssoptack/gateway/relaying.py
@@ -18,7 +18,7 @@
 from hyssoptack.policy import callresult
 from hyssoptack.policy import gatherers
 
-Send = collections.abc.Callable[[str, notice.Notice], None]
+Send = collections.abc.Callable[[str, notice.Message], None]
 
 KINDS_BY_NAME = {each.value: each for each in callcommand.Kind}
 """What a call's outcome may be, by its name in messages."""
@@ -48,7 +48,7 @@
     route_name: str
     top_count: int
     fingerprint: str
-    forwarded: headers.Forwarded
+    forwarded: headers.ForwardedRequest
     deadline_at_ms: float
     goal_at_ms: float
     on_outcomes: OnOutcomes
@@ -104,7 +104,7 @@
         if found is not None and found.peer.address == batch.sender_address:
             found.on_batch(batch)
 
-    def on_undelivered(self, ask: notice.RelayAsk) -> None:
+    def on_undelivered(self, ask: notice.RelayRequest) -> None:
         """Takes that an ask was not sent."""
         if (found := self.pending.get(ask.ask_id)) is not None:
             found.on_lost(sent=False)
@@ -141,7 +141,7 @@
         self.overdue_at_ms = now_ms + self._owner.selector.overdue_after_ms(
             to_goal_ms
         )
-        ask = notice.RelayAsk(
+        ask = notice.RelayRequest(
             sender_address=self._owner.own_address,
             ask_id=self._ask_id,
             route_name=self._query.route_name,
@@ -213,7 +213,7 @@
         if self._ask_id not in self._owner.pending:
             return
         self._end()
-        left = notice.RelayLeft(
+        left = notice.RelayCancel(
             sender_address=self._owner.own_address, ask_id=self._ask_id
         )
         self._owner.send(self.peer.address, left)
--- a/hyssoptack/gateway/restarted_test.py
+++ b/hyssoptack/gateway/restarted_test.py
@@ -89,7 +89,7 @@
         route_name="r",
         top_count=5,
         fingerprint="",
-        forwarded=headers.Forwarded(head=b"", body=b""),
+        forwarded=headers.ForwardedRequest(head=b"", body=b""),
         deadline_at_ms=1_000.0,
         goal_at_ms=100.0,
         on_outcomes=sink,
--- a/hyssoptack/gateway/running.py
+++ b/hyssoptack/gateway/running.py
@@ -80,7 +80,7 @@
             self._ask, owner.plan_context, self._now_ms
         )
         self.fingerprint = query.fingerprint
-        self._common = headers.forwarded(exchange.request)
+        self._common = headers.forwarded_request(exchange.request)
         self._calls: dict[int, pool.Call] = {}
         self._traces: dict[int, calltrace.Trace] = {}
         self._relayed: list[relaying.PendingRelay] = []
--- a/hyssoptack/gateway/serving.py
+++ b/hyssoptack/gateway/serving.py
@@ -55,7 +55,9 @@
         """Serves a caller's request."""
         self._serve(exchange, None)
 
-    def serve_delegated(self, ask: notice.QueryAsk, ready: bool) -> None:
+    def serve_delegated(
+        self, ask: notice.DelegationRequest, ready: bool
+    ) -> None:
         """Serves a neighbour's query, or declines it."""
         # With another configuration it might run as its sender may not.
         willing = ready and ask.version == self._beliefs.version
@@ -64,9 +66,9 @@
             self._serve(exchange, ask)
 
     def _serve(
-        self, exchange: received.Exchange, ask: notice.QueryAsk | None
+        self, exchange: received.Exchange, ask: notice.DelegationRequest | None
     ) -> None:
-        facts = headers.caller_facts(exchange.request)
+        facts = headers.read_metadata(exchange.request)
         if isinstance(facts, str):
             exchange.answer(
                 message.problem_reply(http.HTTPStatus.BAD_REQUEST, facts)
@@ -143,7 +145,7 @@
     def _refuse(
         self,
         exchange: received.Exchange,
-        facts: headers.CallerFacts,
+        facts: headers.RequestMetadata,
         status: int,
         reason: str,
     ) -> None:
--- a/hyssoptack/gateway/suspecting.py
+++ b/hyssoptack/gateway/suspecting.py
@@ -68,7 +68,7 @@
     suspicion.What.FORGOTTEN: log.Event.SUSPICION_ENDED,
 }
 
-Send = collections.abc.Callable[[str, notice.Notice], None]
+Send = collections.abc.Callable[[str, notice.Message], None]
 Peers = collections.abc.Callable[[], collections.abc.Sequence[member.Peer]]
 
 
@@ -216,14 +216,14 @@
         if not peers:
             return
         self._ask_count -= 1
-        wanted = notice.SuspectsWanted(address=self._own.address)
+        wanted = notice.SuspectsRequest(address=self._own.address)
         for peer in peers:
             self._send(peer.address, wanted)
 
     # What others tell.
 
     def on_message(
-        self, each: notice.SuspectsNotice | notice.SuspectsWanted
+        self, each: notice.SuspectsNotice | notice.SuspectsRequest
     ) -> None:
         """Takes another instance's word, or answers its question."""
         now_ms = clock.now_ms()
@@ -231,7 +231,7 @@
             case notice.SuspectsNotice(sender_id=sender_id, suspects=suspects):
                 for suspect in suspects:
                     self.suspicions.take_told(suspect, sender_id, now_ms)
-            case notice.SuspectsWanted(address=address):
+            case notice.SuspectsRequest(address=address):
                 suspects = self.suspicions.some(ANSWER_COUNT, now_ms)
                 if suspects:
                     self._send(address, self._notice(suspects))
--- a/hyssoptack/gateway/suspecting_test.py
+++ b/hyssoptack/gateway/suspecting_test.py
@@ -247,7 +247,7 @@
             gathering = site.gateways["s1"]._gathering
             sent = []
             gathering.send = lambda _, body: sent.append(body)
-            ask = notice.RelayAsk(
+            ask = notice.RelayRequest(
                 sender_address="127.0.0.1:1",
                 ask_id=1,
                 route_name="route-0",
--- a/hyssoptack/platform/headers.py
+++ b/hyssoptack/platform/headers.py
@@ -25,12 +25,12 @@
 
 STATUS_MISDIRECTED = 421
 STATUS_BAD_GATEWAY = 502
-STATUS_PROMISES = frozenset((408, 421, 429, 503))
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 """With these a caller is told that its request has not run."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class CallerFacts:
+class RequestMetadata:
     """What a request says of itself besides its content.
 
     Attributes:
@@ -44,7 +44,7 @@
     host: str
 
 
-def caller_facts(request: message.Request) -> CallerFacts | str:
+def read_metadata(request: message.Request) -> RequestMetadata | str:
     """Reads a request's facts, or says what is wrong with them."""
     ids = request.values(REQUEST_ID)
     hosts = request.values(b"host")
@@ -58,7 +58,7 @@
     name = (
         host[0] if host[2].isdigit() and host[0] else hosts[0].decode("latin-1")
     )
-    return CallerFacts(
+    return RequestMetadata(
         request_id=ids[0], deadline_ms=_deadline(request), host=name
     )
 
@@ -76,7 +76,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Forwarded:
+class ForwardedRequest:
     """What all calls of one request have in common on the wire.
 
     Attributes:
@@ -88,7 +88,7 @@
     body: bytes
 
 
-def forwarded(request: message.Request) -> Forwarded:
+def forwarded_request(request: message.Request) -> ForwardedRequest:
     """Returns what goes to each upstream that a request is sent to."""
     head = message.request_head(
         request.method,
@@ -96,11 +96,11 @@
         message.end_to_end_headers(request.headers, _OWN_HEADERS),
         len(request.body),
     )
-    return Forwarded(head=head, body=request.body)
+    return ForwardedRequest(head=head, body=request.body)
 
 
 def upstream_request(
-    common: Forwarded, upstream: traffic.Upstream, remaining_ms: float
+    common: ForwardedRequest, upstream: traffic.Upstream, remaining_ms: float
 ) -> bytes:
     """Returns a request as it goes to one upstream."""
     return b"%sX-Request-Deadline: %d\r\nX-Expected-Instance: %s\r\n\r\n%s" % (
@@ -112,13 +112,13 @@
 
 
 def call_outcome(
-    seen: upstreamside.Outcome, to_merge: bool
+    seen: upstreamside.Outcome, is_part: bool
 ) -> callcommand.Outcome:
     """Reads what became of a call.
 
     Args:
         seen: What the connection saw of it.
-        to_merge: Whether its reply is to be part of a merged answer.
+        is_part: Whether its reply is to be part of a merged answer.
     """
     match seen:
         case upstreamside.BrokenCall(reason=reason, sent=False):
@@ -132,13 +132,13 @@
                 ended=seen.upstream_exited,
                 alone=seen.was_only_call,
             )
-        case message.Reply() if to_merge:
+        case message.Reply() if is_part:
             return part_outcome(seen)
         case message.Reply():
-            return outcome(seen)
+            return reply_outcome(seen)
 
 
-def outcome(reply: message.Reply) -> callcommand.Outcome:
+def reply_outcome(reply: message.Reply) -> callcommand.Outcome:
     """Reads what an upstream's reply says about the request.
 
     Args:
@@ -164,7 +164,7 @@
         return _failed("encoded_reply")
     if success and not signed:
         return _failed("unsigned_success")
-    passable = signed and reply.status not in STATUS_PROMISES
+    passable = signed and reply.status not in NOT_RUN_STATUSES
     if success or (passable and 400 <= reply.status < 500):
         return callcommand.Outcome(kind=callcommand.Kind.ANSWERED, reply=reply)
     return callcommand.Outcome(
@@ -179,13 +179,13 @@
 
     A failure is no part, even where it would do as an answer of its own.
     """
-    read = outcome(reply)
+    read = reply_outcome(reply)
     if read.kind is callcommand.Kind.ANSWERED and reply.status != 200:
         return _failed(f"status_{reply.status}")
     return read
 
 
-def parts_are_missing(reply: message.Reply) -> bool:
+def has_missing_parts(reply: message.Reply) -> bool:
     """Whether a merged answer leaves shards out."""
     return reply.value(_MISSING.lower()) not in (b"", b"0")
 
--- a/hyssoptack/platform/headers_test.py
+++ b/hyssoptack/platform/headers_test.py
@@ -35,7 +35,7 @@
     ],
 )
 def test_only_an_explicit_word_says_that_nothing_ran(given, kind):
-    assert headers.outcome(given).kind is kind
+    assert headers.reply_outcome(given).kind is kind
 
 
 def test_a_failure_is_no_part_of_a_merged_answer():
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize("status", [429, 503])
 def test_a_failure_that_ran_is_not_passed_on_as_a_promise(status):
     # The caller would take it for "not run".
-    assert headers.outcome(reply(status, SIGNED)).reply is None
+    assert headers.reply_outcome(reply(status, SIGNED)).reply is None
 
 
 def request(*fields, target=b"/a?q=1"):
@@ -65,10 +65,10 @@
 
 
 def test_facts_of_a_request_are_read():
-    facts = headers.caller_facts(
+    facts = headers.read_metadata(
         request(HOST, ID, (b"X-Request-Deadline", b"250"))
     )
-    assert facts == headers.CallerFacts(
+    assert facts == headers.RequestMetadata(
         request_id=b"r1", deadline_ms=250.0, host="shop.example"
     )
 
@@ -84,11 +84,11 @@
     ],
 )
 def test_ambiguous_requests_are_refused(given):
-    assert isinstance(headers.caller_facts(given), str)
+    assert isinstance(headers.read_metadata(given), str)
 
 
 def test_a_deadline_that_is_no_number_is_none():
-    facts = headers.caller_facts(
+    facts = headers.read_metadata(
         request(HOST, ID, (b"X-Request-Deadline", b"soon"))
     )
     assert facts.deadline_ms is None
@@ -104,7 +104,7 @@
         (b"X-Keep", b"2"),
     )
     data = headers.upstream_request(
-        headers.forwarded(given), callplan_test.upstream("i-1"), 99.9
+        headers.forwarded_request(given), callplan_test.upstream("i-1"), 99.9
     )
     assert data.startswith(b"GET /a?q=1 HTTP/1.1\r\n")
     assert b"X-Request-Deadline: 99\r\n" in data
--- a/hyssoptack/platform/keyvalue.py
+++ b/hyssoptack/platform/keyvalue.py
@@ -30,7 +30,7 @@
 WATCH_MARGIN_MS = 700.0
 """Added to a watch's own time for the same reasons."""
 
-LATE_MS = 300.0
+STALL_THRESHOLD_MS = 300.0
 """An answer handled this long after its timeout was kept waiting by a stop of
 the whole process, not by the network."""
 
@@ -41,7 +41,7 @@
 """Most pages of one range: 200,000 items, far over what is kept there."""
 
 
-class Trouble(enum.Enum):
+class FailureKind(enum.Enum):
     """Why a call brought nothing."""
 
     UNREACHABLE = "unreachable"
@@ -56,7 +56,7 @@
 class Failure:
     """A call that brought nothing."""
 
-    trouble: Trouble
+    kind: FailureKind
     detail: str
 
 
@@ -134,11 +134,11 @@
 _ENCODER = msgspec.json.Encoder()
 
 _TROUBLES = {
-    404: Trouble.NO_LEASE,
-    410: Trouble.COMPACTED,
-    412: Trouble.CONFLICT,
-    429: Trouble.BUSY,
-    503: Trouble.BUSY,
+    404: FailureKind.NO_LEASE,
+    410: FailureKind.COMPACTED,
+    412: FailureKind.CONFLICT,
+    429: FailureKind.BUSY,
+    503: FailureKind.BUSY,
 }
 
 
@@ -148,9 +148,9 @@
     def __init__(self, address: str, pools: pool.Pools):
         self._pools = pools
         self.call_count = 0
-        self.move(address)
+        self.set_address(address)
 
-    def move(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Calls the store at another address from now on."""
         self._host = address.encode()
         self._store = traffic.Upstream(
@@ -163,17 +163,17 @@
             cold_ms=0.0,
         )
 
-    async def list(
+    async def read_range(
         self,
         prefix: str,
-        stale: bool = False,
+        allow_stale: bool = False,
         timeout_ms: float = CALL_TIMEOUT_MS,
     ) -> expression.Result[Listing, Failure]:
         """Reads all items under a prefix; pages are not one snapshot.
 
         Args:
             prefix: Start of the keys.
-            stale: Whether an answer some seconds old will do.
+            allow_stale: Whether an answer some seconds old will do.
             timeout_ms: Longest wait for each page.
 
         Returns:
@@ -181,7 +181,9 @@
         """
         items: list[Item] = []
         read_at: position.Position | None = None
-        query = {"prefix": prefix} | ({"allow_stale": "1"} if stale else {})
+        query = {"prefix": prefix} | (
+            {"allow_stale": "1"} if allow_stale else {}
+        )
         for _ in range(PAGE_LIMIT_COUNT):
             result = await self._call("GET", "kv-range", query, timeout_ms)
             match result:
@@ -223,13 +225,15 @@
             changes.ok.era = _era(result.ok)
         return changes
 
-    async def grant(self, ttl_ms: float) -> expression.Result[int, Failure]:
+    async def grant_lease(
+        self, ttl_ms: float
+    ) -> expression.Result[int, Failure]:
         """Takes a lease; returns its number."""
         body = _ENCODER.encode({"ttl_ms": int(ttl_ms)})
         result = await self._call("POST", "kv-lease", {}, body=body)
         return _read(result, _LEASE).map(lambda found: found.lease)
 
-    async def keep(
+    async def renew_lease(
         self, lease: int
     ) -> expression.Result[message.Reply, Failure]:
         """Renews a lease."""
@@ -282,7 +286,7 @@
         started_ms = clock.now_ms()
         outcome = await self._exchange(method, path, timeout_ms, body)
         took_ms = clock.now_ms() - started_ms
-        if took_ms > timeout_ms + LATE_MS:
+        if took_ms > timeout_ms + STALL_THRESHOLD_MS:
             # The process was stopped meanwhile: what came is as old as that.
             outcome = upstreamside.BrokenCall(
                 reason="answer_too_old", sent=True
@@ -291,12 +295,12 @@
             case message.Reply(status=200):
                 return expression.Ok(outcome)
             case message.Reply(status=status):
-                trouble = _TROUBLES.get(status, Trouble.REFUSED)
+                trouble = _TROUBLES.get(status, FailureKind.REFUSED)
                 detail = f"{method} {name}: status {status}"
             case upstreamside.BrokenCall(reason=reason):
-                trouble = Trouble.UNREACHABLE
+                trouble = FailureKind.UNREACHABLE
                 detail = f"{method} {name}: {reason}"
-        return expression.Error(Failure(trouble=trouble, detail=detail))
+        return expression.Error(Failure(kind=trouble, detail=detail))
 
     async def _exchange(
         self, method: str, path: str, timeout_ms: float, body: bytes
@@ -341,7 +345,7 @@
 
 
 _ERA_CHANGED = Failure(
-    trouble=Trouble.COMPACTED, detail="the store changed its era meanwhile"
+    kind=FailureKind.COMPACTED, detail="the store changed its era meanwhile"
 )
 
 
@@ -363,4 +367,4 @@
     try:
         return decoder.decode(body)
     except msgspec.DecodeError as error:
-        return Failure(trouble=Trouble.REFUSED, detail=f"unreadable: {error}")
+        return Failure(kind=FailureKind.REFUSED, detail=f"unreadable: {error}")
--- a/hyssoptack/platform/wire.py
+++ b/hyssoptack/platform/wire.py
@@ -89,7 +89,7 @@
 _SERVER = msgspec.json.Decoder(_Server)
 
 
-def configuration(
+def parse_configuration(
     data: bytes,
 ) -> expression.Result[traffic.Configuration, str]:
     """Reads a configuration.
@@ -121,8 +121,8 @@
         prefix=raw.prefix,
         idempotent=raw.route_type == _IDEMPOTENT,
         timeout_ms=raw.timeout_ms,
-        goal_ms=raw.target_latency_ms,
-        rank=raw.priority,
+        latency_goal_ms=raw.target_latency_ms,
+        priority=raw.priority,
         max_attempts_count=max(1, raw.max_attempts),
         target=_target(raw),
     )
@@ -164,7 +164,9 @@
     )
 
 
-def upstream(key: str, data: bytes) -> expression.Result[traffic.Upstream, str]:
+def parse_upstream(
+    key: str, data: bytes
+) -> expression.Result[traffic.Upstream, str]:
     """Reads one entry of the list of upstreams.
 
     Args:
--- a/hyssoptack/platform/wire_test.py
+++ b/hyssoptack/platform/wire_test.py
@@ -51,7 +51,7 @@
     ],
 )
 def test_each_kind_of_target_is_read(fields, target):
-    found = wire.configuration(stored({**ROUTE, **fields})).ok
+    found = wire.parse_configuration(stored({**ROUTE, **fields})).ok
     (route,) = found.routes
     assert route.target == target
     assert not route.idempotent
@@ -70,12 +70,12 @@
     ],
 )
 def test_what_is_no_configuration_is_an_error_value(data):
-    assert "unreadable" in wire.configuration(data).error
+    assert "unreadable" in wire.parse_configuration(data).error
 
 
 def test_unknown_fields_are_left_out():
     data = stored({**ROUTE, "service": "one", "new": 1}, newer=True)
-    assert wire.configuration(data).is_ok()
+    assert wire.parse_configuration(data).is_ok()
 
 
 ENTRY = {
@@ -94,16 +94,18 @@
 
 
 def test_an_upstreams_entry_is_read():
-    found = wire.upstream("servers/i-1", entry()).ok
+    found = wire.parse_upstream("servers/i-1", entry()).ok
     assert found.upstream_id == found.expected_id == "i-1"
     assert found.draining
     assert (found.failure_domain, found.cold_ms) == ("north", 40)
-    assert wire.upstream("servers/i-1", b"[]").is_error()
+    assert wire.parse_upstream("servers/i-1", b"[]").is_error()
 
 
 def test_two_starts_under_one_id_are_two_upstreams():
-    first = wire.upstream("servers/i-1", entry(born=1_800_000_000_000)).ok
-    second = wire.upstream("servers/i-1", entry(born=1_800_000_000_007)).ok
+    first = wire.parse_upstream("servers/i-1", entry(born=1_800_000_000_000)).ok
+    second = wire.parse_upstream(
+        "servers/i-1", entry(born=1_800_000_000_007)
+    ).ok
     assert first.upstream_id != second.upstream_id
     assert first.expected_id == second.expected_id == "i-1"
 
@@ -128,4 +130,4 @@
     ],
 )
 def test_another_writers_entry_names_no_upstream(key, data):
-    assert "unreadable" in wire.upstream(key, data).error
+    assert "unreadable" in wire.parse_upstream(key, data).error
--- a/hyssoptack/policy/callchoice.py
+++ b/hyssoptack/policy/callchoice.py
@@ -60,7 +60,7 @@
             preferred_domain=self._preferred.get(part.service, ""),
             # What it may take along should be as little as can be.
             idle=self._care.careful,
-            rank=self._ask.route.rank,
+            rank=self._ask.route.priority,
         )
         if cut and upstream is None:
             part.last_reason = callresult.CUT_OFF
@@ -84,7 +84,7 @@
             return None
         part.resend_count += 1
         return self._know.placing.usable(
-            part.shed_by.pop(0), self._ask.route.rank, now_ms
+            part.shed_by.pop(0), self._ask.route.priority, now_ms
         )
 
     def must_cross(self, part: callpart.Part) -> bool:
--- a/hyssoptack/policy/callplan.py
+++ b/hyssoptack/policy/callplan.py
@@ -54,7 +54,7 @@
         self._ends_ms = max(now_ms, ask.ends_at_ms - END_MARGIN_MS)
         self._hedge_time = hedgetime.HedgeTime(
             knowledge.placing.typical(ask.route.name),
-            ask.route.goal_ms,
+            ask.route.latency_goal_ms,
             ask.goal_at_ms,
             now_ms,
             len(ask.services),
--- a/hyssoptack/policy/callplan_test.py
+++ b/hyssoptack/policy/callplan_test.py
@@ -50,8 +50,8 @@
         prefix="/",
         idempotent=idempotent,
         timeout_ms=END_MS,
-        goal_ms=GOAL_MS,
-        rank=1,
+        latency_goal_ms=GOAL_MS,
+        priority=1,
         max_attempts_count=attempts,
         target=target or traffic.OneService(service="s0"),
     )
--- a/hyssoptack/policy/knowing.py
+++ b/hyssoptack/policy/knowing.py
@@ -25,7 +25,7 @@
     placing: placing.Placing
     extra_calls: extrawindow.Book
     domains: reach.Reach = dataclasses.field(default_factory=reach.Reach)
-    mechanisms: mechanism.Mechanisms = mechanism.ALL
+    mechanisms: mechanism.Mechanisms = mechanism.ALL_ENABLED
     suspicions: suspicion.Suspicions = dataclasses.field(
         default_factory=lambda: suspicion.Suspicions(random.Random())
     )
--- a/hyssoptack/policy/merge.py
+++ b/hyssoptack/policy/merge.py
@@ -37,7 +37,7 @@
             return True
         for part in fresh:
             bisect.insort(self._ranges, part)
-        self._covered_count += keyspace.measure_count(fresh)
+        self._covered_count += keyspace.key_count(fresh)
         if fresh == (reply.key_range,):
             inside = reply.key_range
             self._hits.extend(
--- a/hyssoptack/policy/placing.py
+++ b/hyssoptack/policy/placing.py
@@ -75,7 +75,7 @@
 
     failure_domain: str
     crossing_ratio: float
-    mechanisms: mechanism.Mechanisms = mechanism.ALL
+    mechanisms: mechanism.Mechanisms = mechanism.ALL_ENABLED
 
 
 class Placing:
@@ -285,7 +285,7 @@
             return None
         return standing.upstream
 
-    def seen_calls(self, now_ms: float) -> dict[str, notice.SeenCall]:
+    def seen_calls(self, now_ms: float) -> dict[str, notice.LatencySample]:
         """Returns the calls that neighbours should know of.
 
         Only this instance's own: what it was told would else go round for ever.
@@ -307,14 +307,14 @@
         if slow_count > max(1, OWN_FAULT_RATIO * len(fresh)):
             return {}
         return {
-            upstream_id: notice.SeenCall(
+            upstream_id: notice.LatencySample(
                 ratio=round(seen.ratio, 1), age_ms=round(now_ms - seen.end_ms)
             )
             for upstream_id, seen in news.items()
         }
 
     def told(
-        self, seen_calls: dict[str, notice.SeenCall], now_ms: float
+        self, seen_calls: dict[str, notice.LatencySample], now_ms: float
     ) -> None:
         """Takes a neighbour's calls as if they were its own.
 
--- a/hyssoptack/policy/routetable_test.py
+++ b/hyssoptack/policy/routetable_test.py
@@ -13,8 +13,8 @@
         prefix=prefix,
         idempotent=True,
         timeout_ms=1_000.0,
-        goal_ms=100.0,
-        rank=0,
+        latency_goal_ms=100.0,
+        priority=0,
         max_attempts_count=2,
         target=target,
     )
--- a/hyssoptack/policy/suspect.py
+++ b/hyssoptack/policy/suspect.py
@@ -102,7 +102,7 @@
         blocked_for_ms=max(0.0, entry.blocked_until_ms - now_ms),
         kept_for_ms=max(0.0, entry.over_ms - now_ms),
         endings=tuple(
-            notice.SuspectEnding(
+            notice.SuspectCrash(
                 upstream_id=each.upstream_id,
                 age_ms=now_ms - each.at_ms,
                 proven=each.proven,
--- a/hyssoptack/policy/warmup.py
+++ b/hyssoptack/policy/warmup.py
@@ -161,7 +161,7 @@
 
     def _limit_count(self, upstream: traffic.Upstream) -> float:
         service = self._services.get(upstream.service)
-        return self.limits.limit_count(service) if service else math.inf
+        return self.limits.limit_per_s(service) if service else math.inf
 
     def _share(self, limit_count: float) -> int:
         found = self._shares.get(limit_count)
--- a/hyssoptack/policy/warmup_test.py
+++ b/hyssoptack/policy/warmup_test.py
@@ -14,7 +14,7 @@
 
 LIMITS = warmuplimits.WarmupLimits(overage_ratio=1.5, slack_count=5.0)
 PER_S = 10.0
-LIMIT_COUNT = LIMITS.limit_count(
+LIMIT_COUNT = LIMITS.limit_per_s(
     traffic.Service(name="s", max_connections_count=1, warmup_per_s=PER_S)
 )
 COLD = callplan_test.upstream("a")
--- a/hyssoptack/relay/client.py
+++ b/hyssoptack/relay/client.py
@@ -187,7 +187,7 @@
             self._post_act(f"http://{upstream.address}/act", body)
         )
         try:
-            if await waiting.finished(sent, remaining_ms):
+            if await waiting.wait_until_done(sent, remaining_ms):
                 return sent.result()
         finally:
             sent.cancel()
--- a/hyssoptack/reports/calls.py
+++ b/hyssoptack/reports/calls.py
@@ -20,14 +20,14 @@
 
     Attributes:
         upstream_id: Whom it went to.
-        why: `first`, or what it was made once more for.
+        cause: `first`, or what it was made once more for.
         after_ms: When it was decided on, from the request's arrival.
         took_ms: From then to its outcome.
         outcome: What became of it.
     """
 
     upstream_id: str
-    why: str
+    cause: str
     after_ms: float
     took_ms: float
     outcome: str
@@ -43,7 +43,7 @@
         return self.outcome == "answered"
 
 
-def of(entry: story.Entry) -> list[Call]:
+def parse(entry: story.Entry) -> list[Call]:
     """Returns the calls of a request's last line."""
     found = []
     for text in entry.fields.get("calls", ()):
@@ -51,7 +51,7 @@
         found.append(
             Call(
                 upstream_id=where.partition("@")[0],
-                why=why,
+                cause=why,
                 after_ms=float(after),
                 took_ms=float(took),
                 outcome=outcome,
--- a/hyssoptack/reports/margins.py
+++ b/hyssoptack/reports/margins.py
@@ -54,7 +54,9 @@
     end_s: float
 
 
-def services(entries: collections.abc.Iterable[story.Entry]) -> dict[str, str]:
+def services_by_upstream(
+    entries: collections.abc.Iterable[story.Entry],
+) -> dict[str, str]:
     """Returns the service of each upstream that the entries tell of."""
     known: dict[str, str] = {}
     for each in entries:
@@ -68,7 +70,7 @@
 
 def spreads(entries: list[story.Entry]) -> list[Spread]:
     """Returns each request's spread over upstreams, the widest first."""
-    known = services(entries)
+    known = services_by_upstream(entries)
     taken_back = {
         each.fields["request_id"]
         for each in entries
@@ -79,7 +81,7 @@
         if each.kind != "request_ended":
             continue
         parts = seen.setdefault(str(each.fields["request_id"]), {})
-        for call in calls.of(each):
+        for call in calls.parse(each):
             service = known.get(call.upstream_id, call.upstream_id)
             if call.sent:
                 upstreams = parts.setdefault(service, {})
@@ -113,15 +115,15 @@
         entries: All entries, in order of time.
         window_s: How long a window is.
     """
-    known = services(entries)
+    known = services_by_upstream(entries)
     extras: dict[str, list[float]] = collections.defaultdict(list)
     firsts: dict[str, list[float]] = collections.defaultdict(list)
     for each in entries:
         if each.kind != "request_ended":
             continue
-        for call in calls.of(each):
+        for call in calls.parse(each):
             service = known.get(call.upstream_id, call.upstream_id)
-            if call.why == "first":
+            if call.cause == "first":
                 firsts[service].append(each.time_s)
             elif call.sent:
                 extras[service].append(each.time_s)
--- a/hyssoptack/reports/profile.py
+++ b/hyssoptack/reports/profile.py
@@ -46,7 +46,7 @@
 
 def routes(entries: list[story.Entry]) -> dict[str, Route]:
     """Returns what the requests of each route did."""
-    known = margins.services(entries)
+    known = margins.services_by_upstream(entries)
     found: dict[str, Route] = {}
     for entry in entries:
         if entry.kind != "request_ended" or "calls" not in entry.fields:
@@ -57,7 +57,7 @@
 
 
 def _note(route: Route, entry: story.Entry, known: dict[str, str]) -> None:
-    made = calls.of(entry)
+    made = calls.parse(entry)
     route.took_ms.append(entry.fields["took_ms"])
     answers = [each.after_ms + each.took_ms for each in made if each.answered]
     if answers:
@@ -78,9 +78,9 @@
     """Notes whether the calls that a part was sent once more in paid off."""
     used = next((each for each in part if each.answered), None)
     for each in part:
-        if each.why == "first":
+        if each.cause == "first":
             continue
-        counts = route.extras[each.why]
+        counts = route.extras[each.cause]
         counts["made"] += 1
         if each is used:
             counts["used"] += 1
--- a/hyssoptack/reports/story.py
+++ b/hyssoptack/reports/story.py
@@ -61,7 +61,7 @@
     )
 
 
-def of_request(entries: list[Entry], request_id: str) -> list[Entry]:
+def for_request(entries: list[Entry], request_id: str) -> list[Entry]:
     """Returns what concerns a request, in order of time.
 
     Args:
--- a/hyssoptack/scripts/explain.py
+++ b/hyssoptack/scripts/explain.py
@@ -34,6 +34,6 @@
         except OSError as error:
             print(f"{path}: {error.strerror}", file=sys.stderr)
             return EXIT_USAGE
-    told = story.of_request(story.read(lines), request_id)
+    told = story.for_request(story.read(lines), request_id)
     print(story.text(told))
     return EXIT_OK if told else EXIT_NOT_FOUND
--- a/hyssoptack/settings/catalog.py
+++ b/hyssoptack/settings/catalog.py
@@ -39,7 +39,7 @@
             fields.choice("class", _CLASSES, query.Urgency.BROWSING.value)
         ),
     )
-    fields.finish()
+    fields.reject_unknown()
     return result
 
 
@@ -63,7 +63,7 @@
             "connect_cost_ms", 0, 10_000, defaults["connect_cost_ms"]
         ),
     )
-    fields.finish()
+    fields.reject_unknown()
     return result
 
 
@@ -75,7 +75,7 @@
         ),
         "connect_cost_ms": fields.number("connect_cost_ms", 0, 10_000),
     }
-    fields.finish()
+    fields.reject_unknown()
     return result
 
 
@@ -87,14 +87,14 @@
     if high <= low:
         fields.error("high", high, "a key above low")
     upstreams = [
-        _upstream(each, defaults) for each in fields.listed("upstreams")
+        _upstream(each, defaults) for each in fields.mapping_list("upstreams")
     ]
     shard = catalog.Shard(
         shard_id=fields.text("shard_id"),
         key_range=keyspace.KeyRange(low, high),
         upstream_ids=tuple(upstream.upstream_id for upstream in upstreams),
     )
-    fields.finish()
+    fields.reject_unknown()
     return shard, upstreams
 
 
@@ -125,9 +125,9 @@
 
 def _service(name: str, fields: check.Fields) -> catalog.Service:
     defaults = _upstream_defaults(
-        fields.sub("upstream_defaults", required=True)
+        fields.submapping("upstream_defaults", required=True)
     )
-    pairs = [_shard(each, defaults) for each in fields.listed("shards")]
+    pairs = [_shard(each, defaults) for each in fields.mapping_list("shards")]
     shards = [shard for shard, _ in pairs]
     upstreams = [upstream for _, group in pairs for upstream in group]
     _check_shards(fields, shards, upstreams)
@@ -142,7 +142,7 @@
         shards=tuple(shards),
         upstreams={upstream.upstream_id: upstream for upstream in upstreams},
     )
-    fields.finish()
+    fields.reject_unknown()
     return result
 
 
@@ -169,7 +169,7 @@
         error = check.SettingsError(
             file=file,
             key="(document)",
-            value=check.shown(found),
+            value=check.abbreviated(found),
             expected="profiles and services",
         )
         return {}, [error]
@@ -215,11 +215,11 @@
         errors.extend(yaml_errors)
         fields = check.Fields(document, file, "", errors)
         if part_name == PROFILES_PART:
-            for name, each in fields.named("profiles").items():
+            for name, each in fields.named_mappings("profiles").items():
                 profiles[name] = _profile(name, each)
         else:
             name = part_name.removeprefix(SERVICE_PREFIX)
-            each = fields.sub("service", required=True)
+            each = fields.submapping("service", required=True)
             each.path = f"services.{name}"
             services[name] = _service(name, each)
     for service in services.values():
@@ -228,7 +228,7 @@
                 check.SettingsError(
                     file=file,
                     key=f"services.{service.name}.profile",
-                    value=check.shown(service.profile),
+                    value=check.abbreviated(service.profile),
                     expected="one of: " + ", ".join(sorted(profiles)),
                 )
             )
--- a/hyssoptack/settings/check.py
+++ b/hyssoptack/settings/check.py
@@ -33,7 +33,7 @@
 _PORT_MAX = 65_535
 
 
-def shown(value: object) -> str:
+def abbreviated(value: object) -> str:
     """Returns a value as a short text for an error."""
     if value is _MISSING:
         return "nothing"
@@ -68,7 +68,10 @@
         )
         self.errors.append(
             SettingsError(
-                file=self.file, key=key, value=shown(value), expected=expected
+                file=self.file,
+                key=key,
+                value=abbreviated(value),
+                expected=expected,
             )
         )
 
@@ -166,14 +169,16 @@
             return ()
         return tuple(value)
 
-    def sub(self, name: str, required: bool = False) -> "Fields":
+    def submapping(self, name: str, required: bool = False) -> "Fields":
         """Opens a mapping within this one; an absent one reads as empty."""
         value = self._take(name, _MISSING)
         if value is _MISSING and not required:
             value = {}
         return Fields(value, self.file, self._path_of(name), self.errors)
 
-    def named(self, name: str, required: bool = True) -> dict[str, "Fields"]:
+    def named_mappings(
+        self, name: str, required: bool = True
+    ) -> dict[str, "Fields"]:
         """Opens a mapping from names to mappings."""
         value = self._take(name, _MISSING if required else {})
         if not isinstance(value, dict) or not all(
@@ -188,7 +193,7 @@
             for key, each in value.items()
         }
 
-    def listed(self, name: str) -> list["Fields"]:
+    def mapping_list(self, name: str) -> list["Fields"]:
         """Opens a list of mappings."""
         value = self._take(name, _MISSING)
         if not isinstance(value, list) or not value:
@@ -201,7 +206,7 @@
             for index, each in enumerate(value)
         ]
 
-    def finish(self) -> None:
+    def reject_unknown(self) -> None:
         """Reports every field that nothing asked for."""
         known = ", ".join(sorted(self._seen))
         for name, value in self._mapping.items():
--- a/hyssoptack/settings/gateway.py
+++ b/hyssoptack/settings/gateway.py
@@ -90,10 +90,10 @@
     link_mbps: float = 0.0
     crossing_ratio: float = 1.5
     trusted_fingerprints: tuple[str, ...] = ()
-    mechanisms: mechanism.Mechanisms = mechanism.ALL
+    mechanisms: mechanism.Mechanisms = mechanism.ALL_ENABLED
 
     @property
-    def belief_bound_ms(self) -> float:
+    def propagation_bound_ms(self) -> float:
         """The time in which any change in the store has to be heeded."""
         return min(
             self.leaving_bound_ms,
@@ -118,7 +118,7 @@
         return expression.Error(f"{path}: {error.strerror}")
 
 
-def changed_ns(path: str) -> int:
+def modified_ns(path: str) -> int:
     """Returns when a file was changed; 0 for one that can't be looked at."""
     try:
         return os.stat(path).st_mtime_ns if path else 0
--- a/hyssoptack/settings/instance.py
+++ b/hyssoptack/settings/instance.py
@@ -135,7 +135,7 @@
         list_period_ms=fields.number("list_period_ms", 50, 600_000, 500),
         watcher_count=fields.count("watcher_count", 1, 10, 2),
     )
-    fields.finish()
+    fields.reject_unknown()
     return result
 
 
@@ -164,7 +164,7 @@
             result.thread_count,
             "more than max_query_count + max_action_count",
         )
-    fields.finish()
+    fields.reject_unknown()
     return result
 
 
@@ -176,7 +176,7 @@
         link_idle_ms=fields.number("link_idle_ms", 1_000, _HOUR_MS, 60_000),
         seed_addresses=fields.addresses("seed_addresses"),
     )
-    fields.finish()
+    fields.reject_unknown()
     return result
 
 
@@ -188,7 +188,7 @@
         queue_limit_count=fields.count("queue_limit_count", 0, 10_000, 32),
         claim_max_age_ms=fields.number("claim_max_age_ms", 10, 600_000, 2_000),
     )
-    fields.finish()
+    fields.reject_unknown()
     return result
 
 
@@ -197,7 +197,7 @@
         balancer_lag_ms=fields.number("balancer_lag_ms", 0, 600_000, 1_500),
         drain_limit_ms=fields.number("drain_limit_ms", 0, 600_000, 10_000),
     )
-    fields.finish()
+    fields.reject_unknown()
     return result
 
 
@@ -225,13 +225,13 @@
         operator_address=fields.address("operator_address"),
         peer_address=fields.address("peer_address"),
         log_path=fields.text("log_path", ""),
-        platform=_platform(fields.sub("platform", required=True)),
-        front=_front(fields.sub("front")),
-        peers=_peers(fields.sub("peers")),
-        relay=_relay(fields.sub("relay")),
-        shutdown=_shutdown(fields.sub("shutdown")),
+        platform=_platform(fields.submapping("platform", required=True)),
+        front=_front(fields.submapping("front")),
+        peers=_peers(fields.submapping("peers")),
+        relay=_relay(fields.submapping("relay")),
+        shutdown=_shutdown(fields.submapping("shutdown")),
     )
-    fields.finish()
+    fields.reject_unknown()
     return result, errors
 
 
