--- a/bench/baseline_entry.py
+++ b/bench/baseline_entry.py
@@ -35,7 +35,7 @@
     read, errors = instance.load(settings)
     if read is None:
         sys.exit("\n".join(map(str, errors)))
-    gate = admission.Adaptive() if admits else admission.Everyone()
+    gate = admission.Adaptive() if admits else admission.AdmitAll()
     daemon.run(read, _hedging(hedges), gate)
 
 
--- a/bench/slopes/memory.py
+++ b/bench/slopes/memory.py
@@ -19,7 +19,7 @@
     know = example.knowledge(service)
     for upstream_id in service.upstreams:
         know.upstream_health.upstreams[upstream_id].held_versions = (1, 2)
-        know.router.lanes(service, upstream_id)
+        know.router.paths(service, upstream_id)
     return service, know
 
 
@@ -34,7 +34,7 @@
         )
         for number in range(count)
     )
-    return membership.listed(membership.Roster(), members, 1.0)
+    return membership.merge_listed(membership.Roster(), members, 1.0)
 
 
 def _queries(count: int) -> object:
--- a/bench/slopes/plan.py
+++ b/bench/slopes/plan.py
@@ -19,13 +19,13 @@
             example.asked(number=number), example.profile(), current, know, 0.0
         )
         commands = plan.start(0.0)
-    asks = [each for each in commands if isinstance(each, querycommand.Ask)]
+    asks = [each for each in commands if isinstance(each, querycommand.Send)]
     replies = [example.answer_to(ask, current) for ask in asks]
     with fit.Stopwatch() as second:
         for reply in replies:
             know.upstream_health.note(current.name, reply, 1.0)
             commands = plan.on_reply(reply, 1.0)
-            plan.next_time_ms()
+            plan.next_deadline_ms()
     assert isinstance(commands[-1], querycommand.Finish)
     return first.cpu_ms + second.cpu_ms
 
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -100,21 +100,23 @@
             return
         if kind == "reply":
             # Late answers still show how slow the upstream is.
-            self._know.upstream_health.note(self._service.name, body, now_ms)
+            self._know.upstream_health.record_reply(
+                self._service.name, body, now_ms
+            )
         plan = self._plans.get(number)
         if plan is None:
             return
         if kind == "reply":
             commands = plan.on_reply(body, now_ms)
         else:
-            commands = plan.on_time(now_ms)
+            commands = plan.on_timeout(now_ms)
         self._carry(plan, number, commands, now_ms)
 
     def _carry(self, plan, number: int, commands, now_ms: float) -> None:
         for command in commands:
             match command:
-                case querycommand.Ask():
-                    took_ms = next(self._times[command.lane.upstream_id])
+                case querycommand.Send():
+                    took_ms = next(self._times[command.path.upstream_id])
                     reply = example.answer_to(
                         command, self._service, service_ms=took_ms
                     )
--- a/hyssoptack/entry/actor.py
+++ b/hyssoptack/entry/actor.py
@@ -67,7 +67,7 @@
         """
         limit = self._state.settings.front.max_action_count
         if self.in_flight_count >= limit:
-            return claim.not_run(
+            return claim.not_run_outcome(
                 refusal.Reason.OVERLOADED, "too many actions are in flight"
             )
         self.in_flight_count += 1
@@ -91,7 +91,7 @@
         upstream = _upstream_for(service, asked)
         lane = self._lane(service, upstream, now_ms)
         if lane is None:
-            return claim.not_run(
+            return claim.not_run_outcome(
                 refusal.Reason.UPSTREAM_UNAVAILABLE,
                 f"no way to upstream {upstream.upstream_id} now",
             )
@@ -113,7 +113,7 @@
         service: catalog.Service,
         upstream: catalog.Upstream,
         now_ms: float,
-    ) -> routing.Lane | None:
+    ) -> routing.RelayPath | None:
         """Finds a way to the one upstream that an action may go to.
 
         Ejection is no bar here: there is no other upstream to prefer.
@@ -122,7 +122,7 @@
             upstream.upstream_id, now_ms
         ):
             return None
-        lanes = self._state.router.lanes(service, upstream.upstream_id)
+        lanes = self._state.router.paths(service, upstream.upstream_id)
         own = [each for each in lanes if each.instance_id == self._own_id]
         if own and self._relay.owns(upstream.upstream_id, now_ms):
             return own[0]
@@ -130,11 +130,11 @@
         return self._random.choice(remote) if remote else None
 
     async def _ask_peer(
-        self, lane: routing.Lane, ask: message.ActionAsk
+        self, lane: routing.RelayPath, ask: message.ActionAsk
     ) -> action.Outcome:
         done = asyncio.get_running_loop().create_future()
         self._asked[ask.request_id] = done
-        self._state.awaited.asked(lane.instance_id, clock.now_ms())
+        self._state.awaited.record_request(lane.instance_id, clock.now_ms())
         try:
             if not self._send_to(lane.instance_id, ask):
                 return _unsent()
@@ -142,7 +142,7 @@
                 return await self._settle(ask)
             outcome = done.result()
             if outcome is not None:
-                self._state.awaited.heard(lane.instance_id)
+                self._state.awaited.record_response(lane.instance_id)
             return outcome if outcome is not None else _unsent()
         finally:
             del self._asked[ask.request_id]
@@ -174,15 +174,15 @@
                 break
             found, version = read
             if not claim.may_release(found, digest):
-                return claim.recorded(found)
+                return claim.recorded_outcome(found)
             if found is not None and ask.request_id in found.barred:
                 return _lost_executor()
-            wanted = claim.released(
+            wanted = claim.released_claim(
                 found, ask.request_id, digest, "the executor did not answer"
             )
             await self._claims.write(key, wanted, version, ttl_ms)
             # Read again: only a release that is seen in the store counts.
-        return claim.unknown("the executor did not answer")
+        return claim.unknown_outcome("the executor did not answer")
 
     async def look_up(self, service: str, key: str) -> action.Outcome:
         """Returns what is on record for an idempotency key."""
@@ -195,8 +195,10 @@
         )
         read = await self._claims.read(claim.key_of(asked))
         if read is None:
-            return claim.unknown("the key-value service can't be read now")
-        return claim.recorded(read[0])
+            return claim.unknown_outcome(
+                "the key-value service can't be read now"
+            )
+        return claim.recorded_outcome(read[0])
 
     def _ttl_ms(self, service: str) -> int:
         return self._state.catalog.services[service].action_retention_ms
@@ -214,13 +216,13 @@
 
 
 def _unsent() -> action.Outcome:
-    return claim.not_run(
+    return claim.not_run_outcome(
         refusal.Reason.UPSTREAM_UNAVAILABLE, "no executor could be reached"
     )
 
 
 def _lost_executor() -> action.Outcome:
-    return claim.not_run(
+    return claim.not_run_outcome(
         refusal.Reason.UPSTREAM_UNAVAILABLE,
         "the executor did not answer and can't run the request any more",
     )
--- a/hyssoptack/entry/actor_test.py
+++ b/hyssoptack/entry/actor_test.py
@@ -28,7 +28,7 @@
 
 def _state(current) -> types.SimpleNamespace:
     """Returns a state whose only way to each upstream is another instance."""
-    lane = routing.Lane(
+    lane = routing.RelayPath(
         upstream_id="any", instance_id=EXECUTOR_ID, slot_count=1
     )
     return types.SimpleNamespace(
@@ -38,7 +38,7 @@
         ),
         incarnation=f"{example.OWN_ID}-1",
         catalog=types.SimpleNamespace(services={"service": current}),
-        awaited=membership.Awaited(),
+        awaited=membership.PendingAnswers(),
         router=types.SimpleNamespace(lanes=lambda *_: [lane]),
         upstream_health=types.SimpleNamespace(is_draining=lambda *_: False),
     )
--- a/hyssoptack/entry/coordinator.py
+++ b/hyssoptack/entry/coordinator.py
@@ -33,7 +33,7 @@
 class _Sent:
     """A call in flight: where it went and when."""
 
-    lane: routing.Lane
+    lane: routing.RelayPath
     sent_ms: float
 
 
@@ -70,14 +70,14 @@
         self._numbers = itertools.count(1)
         self._random = random.Random()
         self._running: dict[str, _Running] = {}
-        self._gates: dict[str, admission.Gate] = {}
+        self._gates: dict[str, admission.Limiter] = {}
         self.started_count = 0
 
     def in_flight_count(self) -> int:
         """Returns the queries in flight."""
         return len(self._running)
 
-    def gates(self) -> dict[str, admission.Gate]:
+    def gates(self) -> dict[str, admission.Limiter]:
         """Returns admission's view by service, for the operator port."""
         return self._gates
 
@@ -102,7 +102,7 @@
         if refused is not None:
             self._count(asked, profile, refused, 0.0)
             return refused
-        self._gates[asked.service] = admission.enter(gate, asked.urgency)
+        self._gates[asked.service] = admission.begin_query(gate, asked.urgency)
         self.started_count += 1
         plan = queryplan.QueryPlan(
             asked, profile, service, self._state.knowledge, now_ms
@@ -111,25 +111,25 @@
         self._close(plan, profile, result, now_ms)
         return result
 
-    def _gate(self, service: str) -> admission.Gate:
+    def _gate(self, service: str) -> admission.Limiter:
         front = self._state.settings.front
         if service not in self._gates:
-            self._gates[service] = admission.new_gate(
+            self._gates[service] = admission.new_limiter(
                 front.max_query_count, front.urgent_reserve_count
             )
         return self._gates[service]
 
     def _admit(
-        self, gate: admission.Gate, asked: query.Query
+        self, gate: admission.Limiter, asked: query.Query
     ) -> refusal.Refusal | None:
         match self._policy:
-            case admission.Everyone():
+            case admission.AdmitAll():
                 return None
             case admission.Adaptive():
                 return self._admit_adaptively(gate, asked)
 
     def _admit_adaptively(
-        self, gate: admission.Gate, asked: query.Query
+        self, gate: admission.Limiter, asked: query.Query
     ) -> refusal.Refusal | None:
         total = len(self._running)
         if total >= self._state.settings.front.max_query_count:
@@ -142,7 +142,7 @@
                 gate, asked, self._random.random(), clock.now_ms()
             )
         if not isinstance(decision, admission.Admitted):
-            self._gates[asked.service] = admission.refused(
+            self._gates[asked.service] = admission.record_refusal(
                 gate, asked.urgency, clock.now_ms()
             )
         match decision:
@@ -155,7 +155,7 @@
                     detail="too many queries are in flight for this service",
                     retry_after_ms=retry_after_ms,
                 )
-            case admission.TooShort(expected_ms=expected_ms):
+            case admission.DeadlineTooShort(expected_ms=expected_ms):
                 return refusal.Refusal(
                     reason=refusal.Reason.DEADLINE_TOO_SHORT,
                     ran=refusal.Ran.NO,
@@ -195,10 +195,10 @@
         result: Result | None = None
         for command in commands:
             match command:
-                case querycommand.Ask(lane=lane):
+                case querycommand.Send(path=lane):
                     group = asks.setdefault(lane.instance_id, [])
                     group.append(self._note_ask(running, command, now_ms))
-                case querycommand.Drop(
+                case querycommand.Cancel(
                     call_id=call_id, instance_id=instance_id
                 ):
                     running.sent.pop(call_id, None)
@@ -215,12 +215,12 @@
             self._arm(running, now_ms)
 
     def _note_ask(
-        self, running: _Running, ask: querycommand.Ask, now_ms: float
+        self, running: _Running, ask: querycommand.Send, now_ms: float
     ) -> message.UpstreamAsk:
-        running.sent[ask.call_id] = _Sent(lane=ask.lane, sent_ms=now_ms)
+        running.sent[ask.call_id] = _Sent(lane=ask.path, sent_ms=now_ms)
         return message.UpstreamAsk(
             call_id=ask.call_id,
-            upstream_id=ask.lane.upstream_id,
+            upstream_id=ask.path.upstream_id,
             index_version=ask.index_version,
         )
 
@@ -250,13 +250,13 @@
             text=asked.text,
             limit_count=asked.limit_count,
             urgency=asked.urgency,
-            remaining_ms=running.plan.ends_ms - now_ms,
+            remaining_ms=running.plan.end_ms - now_ms,
             asks=asks,
         )
         if instance_id == self._own_id:
             self._relay.handle(sub, self._local_sink(asked.query_id))
             return
-        self._state.awaited.asked(instance_id, now_ms)
+        self._state.awaited.record_request(instance_id, now_ms)
         if not self._send_to(instance_id, sub):
             self.on_undelivered(instance_id, sub)
 
@@ -273,7 +273,7 @@
         """Sets the timer for the plan's next step in time."""
         if running.timer is not None:
             running.timer.cancel()
-        wait_s = max(0.0, running.plan.next_time_ms() - now_ms) / MS_PER_S
+        wait_s = max(0.0, running.plan.next_deadline_ms() - now_ms) / MS_PER_S
         loop = asyncio.get_running_loop()
         running.timer = loop.call_later(wait_s, self._on_time, running)
 
@@ -281,16 +281,16 @@
         if running.done.done():
             return
         now_ms = clock.now_ms()
-        self._carry(running, running.plan.on_time(now_ms), now_ms)
+        self._carry(running, running.plan.on_timeout(now_ms), now_ms)
 
     def on_sub_answer(self, answer: message.SubAnswer) -> None:
         """Takes upstream replies from a peer's relay."""
-        self._state.awaited.heard(answer.origin)
+        self._state.awaited.record_response(answer.origin)
         now_ms = clock.now_ms()
         service = self._service_of(answer)
         if service:
             for reply in answer.replies:
-                self._state.upstream_health.note(service, reply, now_ms)
+                self._state.upstream_health.record_reply(service, reply, now_ms)
         self._on_replies(answer.origin, answer.query_id, answer.replies)
 
     def _service_of(self, answer: message.SubAnswer) -> str:
@@ -324,13 +324,13 @@
             del running.sent[reply.call_id]
             if reply.status is message.CallStatus.ANSWERED:
                 added_ms = now_ms - sent.sent_ms - reply.service_ms
-                self._state.router.note_overhead(instance_id, added_ms)
+                self._state.router.record_overhead(instance_id, added_ms)
             commands.extend(running.plan.on_reply(reply, now_ms))
         self._carry(running, commands, now_ms)
 
     def on_undelivered(self, instance_id: str, sub: message.SubQuery) -> None:
         """Takes back a sub-query that could not be sent to a peer."""
-        self._state.awaited.failed(instance_id)
+        self._state.awaited.record_unreachable(instance_id)
         replies = tuple(
             message.UpstreamReply(
                 call_id=ask.call_id,
@@ -352,8 +352,8 @@
         now_ms = clock.now_ms()
         elapsed_ms = now_ms - started_ms
         asked = plan.query
-        good = isinstance(result, query.Answer) and not plan.shed_seen
-        self._gates[asked.service] = admission.leave(
+        good = isinstance(result, query.Answer) and not plan.was_shed
+        self._gates[asked.service] = admission.end_query(
             self._gates[asked.service],
             asked.urgency,
             elapsed_ms,
--- a/hyssoptack/entry/daemon.py
+++ b/hyssoptack/entry/daemon.py
@@ -281,7 +281,7 @@
         match body:
             case message.UpstreamNote(upstream_id=upstream_id):
                 if self._state.catalog.upstream(upstream_id) is not None:
-                    self._state.upstream_health.drain_seen(
+                    self._state.upstream_health.record_drain(
                         upstream_id, clock.now_ms()
                     )
             case message.Heartbeat():
--- a/hyssoptack/entry/executor.py
+++ b/hyssoptack/entry/executor.py
@@ -120,7 +120,7 @@
         service = self._state.catalog.services.get(ask.action.service)
         upstream = service.upstreams.get(ask.upstream_id) if service else None
         if upstream is None or not self._relay.owns(ask.upstream_id, now_ms):
-            return claim.not_run(
+            return claim.not_run_outcome(
                 refusal.Reason.UPSTREAM_UNAVAILABLE,
                 f"upstream {ask.upstream_id} is not served from here now",
             )
@@ -160,7 +160,7 @@
                     attempt.version = held_version
                     attempt.held = found
                     return None
-            wanted = claim.held(
+            wanted = claim.held_claim(
                 found,
                 attempt.attempt_id,
                 attempt.digest,
@@ -173,7 +173,7 @@
         attempt.take("store_unreachable")
         # The claim may exist although nobody will send: let it go later.
         self._start(self._record_release(attempt, "the store was lost"))
-        return claim.not_run(
+        return claim.not_run_outcome(
             refusal.Reason.STORE_UNAVAILABLE,
             "the claim could not be made; nothing was sent",
         )
@@ -204,7 +204,7 @@
         if now_ms >= expires_ms:
             attempt.take("too_late")
             self._start(self._record_release(attempt, "claimed too late"))
-            return claim.not_run(
+            return claim.not_run_outcome(
                 refusal.Reason.UPSTREAM_UNAVAILABLE, "claimed too late to send"
             )
         attempt.take("send_started")
@@ -220,14 +220,14 @@
             case client.DidNotRun(detail=detail):
                 attempt.take("upstream_did_not_run")
                 self._start(self._record_release(attempt, detail))
-                return claim.not_run(
+                return claim.not_run_outcome(
                     refusal.Reason.UPSTREAM_UNAVAILABLE, detail
                 )
             case client.MayHaveRun(detail=detail):
                 attempt.take("answer_lost")
                 lost = action.ClaimState.UNKNOWN
                 self._start(self._record(attempt, lost, "", detail))
-                return claim.unknown(detail)
+                return claim.unknown_outcome(detail)
 
     async def _record(
         self,
@@ -244,7 +244,7 @@
 
     async def _record_release(self, attempt: _Attempt, note: str) -> None:
         """Releases the claim, if it exists, so that the key can be used."""
-        wanted = claim.released(
+        wanted = claim.released_claim(
             attempt.held, attempt.request_id, attempt.digest, note
         )
         await self._keep_writing(attempt, wanted)
--- a/hyssoptack/entry/state.py
+++ b/hyssoptack/entry/state.py
@@ -46,24 +46,24 @@
         self.catalog = catalog.EMPTY
         self.in_force_since_ms = 0.0
         self.roster = membership.Roster()
-        self.awaited = membership.Awaited()
+        self.awaited = membership.PendingAnswers()
         self.addresses: dict[str, str] = {}
         self.lately_heard: collections.deque[member.Member] = collections.deque(
             maxlen=LATELY_COUNT
         )
-        self.upstream_health = health.Health()
+        self.upstream_health = health.HealthTracker()
         self.budgets = budget.Book()
         self.router = routing.Router(settings.instance_id, self.upstream_health)
-        self.knowledge = queryplan.Knowledge(
+        self.knowledge = queryplan.QueryPlanContext(
             router=self.router,
             upstream_health=self.upstream_health,
-            budgets=self.budgets,
-            hedges=hedges,
+            retry_budgets=self.budgets,
+            hedge_policy=hedges,
             current_service=lambda name: self.catalog.services.get(name),
         )
         self.visible_since_ms = 0.0
         self._refreshed_ms = clock.now_ms()
-        self._view: routing.View | None = None
+        self._view: routing.RoutingView | None = None
         self._owned: frozenset[str] = frozenset()
 
     def take(self, event: str) -> None:
@@ -117,7 +117,7 @@
         """Returns the instances that call an upstream."""
         for service in self.catalog.services.values():
             if upstream_id in service.upstreams:
-                lanes = self.router.lanes(service, upstream_id)
+                lanes = self.router.paths(service, upstream_id)
                 return {lane.instance_id for lane in lanes}
         return set()
 
@@ -125,7 +125,7 @@
         self, members: tuple[member.Member, ...], now_ms: float
     ) -> None:
         """Takes the platform's list."""
-        self.roster = membership.listed(self.roster, members, now_ms)
+        self.roster = membership.merge_listed(self.roster, members, now_ms)
         mine = any(each.incarnation == self.incarnation for each in members)
         if mine and not self.visible_since_ms:
             self.visible_since_ms = now_ms
@@ -136,8 +136,8 @@
         if sender.incarnation == self.incarnation:
             return
         known = sender.incarnation in self.roster.sightings
-        self.roster = membership.heard(self.roster, sender, now_ms)
-        self.awaited.heard(sender.instance_id)
+        self.roster = membership.record_message(self.roster, sender, now_ms)
+        self.awaited.record_response(sender.instance_id)
         self.lately_heard.append(sender)
         if not known:
             self.addresses = membership.addresses(self.roster)
@@ -169,7 +169,7 @@
             self.roster, KEEP_LAGS_COUNT * max(lag_ms, 1.0), now_ms
         )
         self._install_view(now_ms)
-        settled = bool(self.visible_since_ms) and ownership.may_use(
+        settled = bool(self.visible_since_ms) and ownership.may_use_shares(
             self.visible_since_ms, lag_ms, now_ms
         )
         owned = self._owned if settled else frozenset()
@@ -182,12 +182,14 @@
         domains = {each.failure_domain for each in self._members()}
         domains.add(self.settings.failure_domain)
         assumed = {
-            domain: membership.assumed(self.roster, domain, lag_ms, now_ms)
+            domain: membership.recently_seen(
+                self.roster, domain, lag_ms, now_ms
+            )
             for domain in domains
         }
-        view = routing.View(
+        view = routing.RoutingView(
             catalog=self.catalog,
-            assumed=assumed,
+            recently_seen=assumed,
             usable=self.usable(now_ms),
             owner_count=self.settings.relay.owner_count,
             column_size_count=self.settings.relay.column_size_count,
@@ -207,9 +209,9 @@
     def _members(self) -> list[member.Member]:
         return [each.member for each in self.roster.sightings.values()]
 
-    def _upstreams_owned(self, view: routing.View) -> frozenset[str]:
+    def _upstreams_owned(self, view: routing.RoutingView) -> frozenset[str]:
         domain = self.settings.failure_domain
-        names = {*view.assumed.get(domain, ()), self.settings.instance_id}
+        names = {*view.recently_seen.get(domain, ()), self.settings.instance_id}
         candidates = tuple(sorted(names))
         owned: set[str] = set()
         for service in self.catalog.services.values():
@@ -236,10 +238,10 @@
         self.take("configured")
 
 
-def _same_view(one: routing.View, other: routing.View) -> bool:
+def _same_view(one: routing.RoutingView, other: routing.RoutingView) -> bool:
     """Compares views cheaply: catalogs by identity."""
     return (
         one.catalog is other.catalog
-        and one.assumed == other.assumed
+        and one.recently_seen == other.recently_seen
         and one.usable == other.usable
     )
--- a/hyssoptack/gateway/beliefs.py
+++ b/hyssoptack/gateway/beliefs.py
@@ -148,15 +148,15 @@
 
     def apply_evacuations(self, source: str, now_ms: float) -> bool:
         """Puts the evacuations in force; tells whether they changed."""
-        current = self.evacuations.current(now_ms)
+        current = self.evacuations.evacuated_domains(now_ms)
         if current == self._evacuated:
             return False
         log.write(
             log.Event.EVACUATIONS_CHANGED,
             began=sorted(current - self._evacuated),
             ended=sorted(self._evacuated - current),
-            era=self.evacuations.at.era,
-            revision=self.evacuations.at.revision,
+            era=self.evacuations.store_position.era,
+            revision=self.evacuations.store_position.revision,
             source=source,
         )
         ended, self._evacuated = self._evacuated - current, current
@@ -171,7 +171,7 @@
         now_ms: float,
     ) -> bool:
         """Takes a whole list of evacuations; tells whether any changed."""
-        self.evacuations.take_all(domains, at, now_ms)
+        self.evacuations.replace_all(domains, at, now_ms)
         return self.apply_evacuations(source, now_ms)
 
     def remaining_grace_ms(self, now_ms: float) -> float:
--- a/hyssoptack/gateway/blocklist.py
+++ b/hyssoptack/gateway/blocklist.py
@@ -63,7 +63,10 @@
     """One instance's part in what is stored."""
 
     def __init__(
-        self, known: suspicion.Suspicions, store: keyvalue.Client, prefix: str
+        self,
+        known: suspicion.SuspectRegistry,
+        store: keyvalue.Client,
+        prefix: str,
     ):
         """Makes the part of one instance.
 
@@ -88,8 +91,10 @@
         now_ms = clock.now_ms()
         missing = [
             (name, entry)
-            for name, entry in self._known.newest_blocked(STORED_COUNT, now_ms)
-            if stored.get(name, 0) < entry.blocked_count
+            for name, entry in self._known.newest_quarantined(
+                STORED_COUNT, now_ms
+            )
+            if stored.get(name, 0) < entry.quarantine_count
         ]
         if missing:
             await self._write(missing, now_ms)
@@ -124,20 +129,20 @@
             blocked_for_ms=max(0.0, entry.until_unix_ms - unix_ms),
             kept_for_ms=max(0.0, entry.over_unix_ms - unix_ms),
         )
-        self._known.take_told(told, "store", clock.now_ms())
+        self._known.merge_notice(told, "store", clock.now_ms())
 
     async def _write(
-        self, missing: list[tuple[str, suspect.Entry]], now_ms: float
+        self, missing: list[tuple[str, suspect.SuspectRecord]], now_ms: float
     ) -> None:
-        ttl_ms = max(entry.over_ms - now_ms for _, entry in missing)
+        ttl_ms = max(entry.expires_ms - now_ms for _, entry in missing)
         unix_ms = _unix_ms() - now_ms
         items = {
             self._prefix + name: msgspec.json.encode(
                 StoredEntry(
                     fingerprint=name,
-                    blocked_count=entry.blocked_count,
-                    until_unix_ms=unix_ms + entry.blocked_until_ms,
-                    over_unix_ms=unix_ms + entry.over_ms,
+                    blocked_count=entry.quarantine_count,
+                    until_unix_ms=unix_ms + entry.quarantined_until_ms,
+                    over_unix_ms=unix_ms + entry.expires_ms,
                 )
             )
             for name, entry in missing
--- a/hyssoptack/gateway/blocklist_test.py
+++ b/hyssoptack/gateway/blocklist_test.py
@@ -61,11 +61,11 @@
             for name in site.gateways:
                 known = suspecting_test._suspicions(site, name)
                 (fingerprint,) = known._blocked
-                known.note_answer(fingerprint, clock.now_ms())
+                known.record_answer(fingerprint, clock.now_ms())
             await _wait(lambda: not _stored(site))
             for name in site.gateways:
                 known = suspecting_test._suspicions(site, name)
-                assert not known.holds_any
+                assert not known.has_entries
 
     asyncio.run(test())
 
@@ -76,7 +76,7 @@
             await _blocked(site)
             await site.start("n3")
             await _wait(
-                lambda: site.gateways["n3"].reader_election.total_count == 4
+                lambda: site.gateways["n3"].reader_election.instance_count == 4
             )
 
     asyncio.run(test())
--- a/hyssoptack/gateway/budgetshare.py
+++ b/hyssoptack/gateway/budgetshare.py
@@ -65,18 +65,18 @@
 def update_shares(
     book: extrawindow.Book,
     settings: gateway.GatewaySettings,
-    readers: readership.Readership,
+    readers: readership.ReaderElection,
 ) -> None:
     """Gives an instance its parts, from the instances that it knows of."""
-    even = even_share(settings.budget, readers.most_count)
+    even = even_share(settings.budget, readers.peak_instance_count)
     book.share = book.gather_share = even
     own_mbps = parts.delegation_link_mbps(settings)
-    if own_mbps and readers.most_mbps:
+    if own_mbps and readers.peak_neighbour_mbps:
         book.gather_share = gather_share(
             settings.budget,
-            readers.most_count,
+            readers.peak_instance_count,
             len(settings.failure_domains),
-            own_mbps / (own_mbps + readers.most_mbps),
+            own_mbps / (own_mbps + readers.peak_neighbour_mbps),
         )
 
 
--- a/hyssoptack/gateway/crashing_test.py
+++ b/hyssoptack/gateway/crashing_test.py
@@ -90,7 +90,7 @@
     async with asyncio.timeout(8.0):
         # Each knows of the others: the list of instances is read by then.
         while any(
-            each.reader_election.total_count < 3 for each in _gateways(site)
+            each.reader_election.instance_count < 3 for each in _gateways(site)
         ):
             await asyncio.sleep(0.05)
 
--- a/hyssoptack/gateway/daemon.py
+++ b/hyssoptack/gateway/daemon.py
@@ -103,19 +103,21 @@
             on_configuration=self._on_configuration,
             keeps_lapsed_upstreams=settings.mechanisms.grace,
         )
-        self.reader_election = readership.Readership(
+        self.reader_election = readership.ReaderElection(
             settings.instance_id,
             settings.failure_domain,
-            readership.pace(settings.propagation_bound_ms),
+            readership.read_timings(settings.propagation_bound_ms),
         )
         self._extra_calls = extrawindow.Book(
             budgetshare.even_share(settings.budget, 0), clock.now_ms()
         )
-        self._reach = reach.Reach()
-        self._suspicions = suspicion.Suspicions(
+        self._reach = reach.PartitionDetector()
+        self._suspicions = suspicion.SuspectRegistry(
             random.Random(), settings.mechanisms.suspicion
         )
-        self._suspicions.trust(settings.trusted_fingerprints, clock.now_ms())
+        self._suspicions.set_trusted(
+            settings.trusted_fingerprints, clock.now_ms()
+        )
         self._metrics = metrics.Metrics()
         self._serving = serving.RequestHandler(
             self.view,
@@ -138,10 +140,10 @@
             self.view,
             self.reader_election,
             self._on_instances,
-            self._reach.note_told,
+            self._reach.on_neighbour_suspicion,
         )
         self._delegating = delegating.Delegator(
-            delegation.Delegation(
+            delegation.DelegateSelector(
                 parts.delegation_link_mbps(settings), random.Random()
             ),
             settings.peer_address,
@@ -151,7 +153,7 @@
         )
         self._serving.delegator = self._delegating
         self._relaying = relaying.CallRelay(
-            gatherers.Gatherers(random.Random()),
+            gatherers.GathererSelector(random.Random()),
             settings.peer_address,
             self._peering.send,
             settings.mechanisms.relaying,
@@ -236,9 +238,9 @@
         """Lets callers find another instance while this one is cut off."""
         away = self._reach.leaves_rotation
         self._callers.closing = away or self._stop.is_set()
-        if not self._reach.cut:
+        if not self._reach.is_partitioned:
             return
-        if self._reach.found_here:
+        if self._reach.detected_locally:
             self._peering.publish_partition()
         self._serving.on_partition()
 
@@ -259,9 +261,9 @@
             "caller_connection_count": len(self._callers.connections),
             "opened_connection_count": self._pools.opened_count,
             "store_call_count": self._store.call_count,
-            "instance_count": self.reader_election.total_count,
+            "instance_count": self.reader_election.instance_count,
             "suspected_count": self._suspicions.suspected_count,
-            "blocked_count": self._suspicions.blocked_count,
+            "blocked_count": self._suspicions.quarantined_count,
         }
 
     async def run(self, callers_port: socket.socket | None = None) -> None:
@@ -379,7 +381,7 @@
         log.write(log.Event.RELOADED, changed=changed, at_restart=waiting)
         self._settings = settings
         self._store.set_address(settings.store_address)
-        self.reader_election.pace = readership.pace(
+        self.reader_election.read_timings = readership.read_timings(
             settings.propagation_bound_ms
         )
         self._placing.settings = parts.load_balancer_settings(settings)
@@ -390,7 +392,9 @@
         budgetshare.update_shares(
             self._extra_calls, self._settings, self.reader_election
         )
-        self._suspicions.trust(settings.trusted_fingerprints, clock.now_ms())
+        self._suspicions.set_trusted(
+            settings.trusted_fingerprints, clock.now_ms()
+        )
 
     def _on_instances(self, far_gatherers: tuple[member.Peer, ...]) -> None:
         """Takes a new list of instances: shares go by their number."""
@@ -400,9 +404,11 @@
             self.reader_election.neighbours(), clock.now_ms()
         )
         own_count = len(self.reader_election.neighbours()) + 1
-        self._serving.instance_counts = connections.Crowd(
-            own_count=own_count,
-            other_count=max(0, self.reader_election.total_count - own_count),
+        self._serving.instance_counts = connections.InstanceCounts(
+            same_domain_count=own_count,
+            other_domain_count=max(
+                0, self.reader_election.instance_count - own_count
+            ),
         )
         budgetshare.update_shares(
             self._extra_calls, self._settings, self.reader_election
--- a/hyssoptack/gateway/delegating.py
+++ b/hyssoptack/gateway/delegating.py
@@ -81,7 +81,7 @@
 
     def __init__(
         self,
-        known: delegation.Delegation,
+        known: delegation.DelegateSelector,
         own_address: str,
         send: Send,
         run_here: RunLocally,
@@ -278,17 +278,17 @@
         self._peer = peer
         self._ask_id = ask_id
         self._state = _State.SENT
-        self._hop_ms = owner.selector.hops.usual_ms
+        self._hop_ms = owner.selector.hop_delays.usual_ms
         self._goal_at_ms = query.goal_at_ms(clock.now_ms())
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self, version: int) -> None:
         """Sends the query to the neighbour."""
         self._owner.pending[self._ask_id] = self
-        self._owner.selector.handed(self._peer.address)
+        self._owner.selector.begin_delegation(self._peer.address)
         self._query.exchange.on_abandoned = self._left
         self._ask(version, fresh=True)
-        self._wait(delegation.BEGUN_WAIT_MS, self._not_begun)
+        self._wait(delegation.ACCEPT_TIMEOUT_MS, self._not_begun)
 
     @property
     def address(self) -> str:
@@ -342,7 +342,7 @@
     def _check(self) -> None:
         """Asks whether the neighbour still runs the query."""
         self._ask(version=0, fresh=False)
-        self._wait(delegation.BEGUN_WAIT_MS, lambda: self.on_lost("silent"))
+        self._wait(delegation.ACCEPT_TIMEOUT_MS, lambda: self.on_lost("silent"))
 
     def on_status(self, begun: bool) -> None:
         """Takes whether the neighbour runs the query."""
@@ -360,7 +360,7 @@
             case _State.SENT, False:
                 self._back("declined", may_have_run=False)
             case _State.BEGUN, True:
-                self._wait(delegation.CHECK_PERIOD_MS, self._check)
+                self._wait(delegation.LIVENESS_CHECK_PERIOD_MS, self._check)
             case _State.BEGUN, False:
                 self.on_lost("forgotten")
 
@@ -377,7 +377,7 @@
         if self._state is _State.SENT:
             self._back(reason, may_have_run=True)
             return
-        self._owner.selector.failed(self._peer.address, clock.now_ms())
+        self._owner.selector.record_failure(self._peer.address, clock.now_ms())
         self._say_left()
         self._end()
         self._log_back(reason, may_have_run=True)
@@ -388,9 +388,9 @@
 
     def on_answer(self, answer: notice.DelegationAnswer) -> None:
         """Passes the neighbour's answer on."""
-        self._owner.selector.answered(self._peer.address)
+        self._owner.selector.record_answer(self._peer.address)
         route_name = self._query.route_match.route.name
-        self._owner.selector.note_reply(route_name, answer.reply_bytes)
+        self._owner.selector.record_reply_size(route_name, answer.reply_bytes)
         self._end()
         reply = message.Reply(
             status=answer.status, headers=answer.headers, body=answer.body
@@ -400,7 +400,7 @@
         if headers.has_missing_parts(reply):
             # Given at the goal: the rest is what the way back took.
             late_ms = clock.now_ms() - self._goal_at_ms
-            self._owner.selector.hops.note(self._hop_ms + late_ms)
+            self._owner.selector.hop_delays.note(self._hop_ms + late_ms)
         log.write(
             log.Event.QUERY_HANDED,
             request_id=self._query.request_id,
@@ -411,7 +411,7 @@
 
     def _back(self, reason: str, may_have_run: bool) -> None:
         """Runs the query here, as the neighbour won't."""
-        self._owner.selector.failed(self._peer.address, clock.now_ms())
+        self._owner.selector.record_failure(self._peer.address, clock.now_ms())
         self._end()
         self._log_back(reason, may_have_run)
         self._owner.run_locally(self._query, may_have_run)
@@ -446,4 +446,4 @@
         if self._timer is not None:
             self._timer.cancel()
         self._owner.pending.pop(self._ask_id, None)
-        self._owner.selector.ended(self._peer.address)
+        self._owner.selector.end_delegation(self._peer.address)
--- a/hyssoptack/gateway/delegating_test.py
+++ b/hyssoptack/gateway/delegating_test.py
@@ -125,7 +125,7 @@
             got = await site.get("/all/x", "r1", name="narrow")
             took_s = asyncio.get_running_loop().time() - started_s
             assert got.status == 200
-            assert took_s * 1_000 < delegation.BEGUN_WAIT_MS + 150.0
+            assert took_s * 1_000 < delegation.ACCEPT_TIMEOUT_MS + 150.0
             # It is left alone from then on.
             assert (
                 narrow._delegating.selector.choose(
@@ -190,7 +190,7 @@
 def test_who_stood_still_takes_no_query_that_may_have_waited_as_long():
     sent = []
     held = delegating.Delegator(
-        delegation.Delegation(0.0, random.Random(1)),
+        delegation.DelegateSelector(0.0, random.Random(1)),
         "w:1",
         lambda _, each: sent.append(each),
         None,
@@ -212,7 +212,7 @@
     # After a stop the loop runs its timers first, and reads messages then.
     sent = []
     held = delegating.Delegator(
-        delegation.Delegation(0.0, random.Random(1)),
+        delegation.DelegateSelector(0.0, random.Random(1)),
         "w:1",
         lambda _, each: sent.append(each),
         None,
--- a/hyssoptack/gateway/evacuation_test.py
+++ b/hyssoptack/gateway/evacuation_test.py
@@ -45,7 +45,7 @@
     """Waits until all gateways know what is evacuated."""
     async with asyncio.timeout(HEARD_TIMEOUT_S):
         while any(
-            each.view.evacuations.current(0.0) != domains
+            each.view.evacuations.evacuated_domains(0.0) != domains
             for each in site.gateways.values()
         ):
             await asyncio.sleep(0.02)
--- a/hyssoptack/gateway/following.py
+++ b/hyssoptack/gateway/following.py
@@ -101,18 +101,20 @@
         failure_count = 0
         while True:
             await self._wait_for_turn()
-            exact = self._read_count % readership.EXACT_READ_COUNT == 0
+            exact = (
+                self._read_count % readership.READS_PER_EXACT_READ_COUNT == 0
+            )
             self._read_count += 1
             asked_ms = clock.now_ms()
             result = await self._store.read_range(
                 wire.UPSTREAM_PREFIX,
                 allow_stale=not exact,
-                timeout_ms=self._readers.pace.list_timeout_ms,
+                timeout_ms=self._readers.read_timings.list_timeout_ms,
             )
             match result:
                 case expression.Result(tag="ok", ok=listing):
                     failure_count = 0
-                    self._readers.read(asked_ms, exact)
+                    self._readers.record_read(asked_ms, exact)
                     self._note_back()
                     self._take_list(listing)
                     self._beliefs.apply_evacuations("time", clock.now_ms())
@@ -121,7 +123,7 @@
                 case expression.Result(error=failure):
                     failure_count += 1
                     self._read_count = 0
-                    self._readers.read_failed()
+                    self._readers.record_read_failure()
                     self._note_lost(failure)
                     await self._pause(RETRY.wait_ms(failure_count))
 
@@ -129,14 +131,14 @@
         """Returns when to read again: no later than the grace's end."""
         grace_ms = self._beliefs.remaining_grace_ms(now_ms)
         if not grace_ms:
-            return self._readers.pace.list_period_ms
+            return self._readers.read_timings.list_period_ms
         # The next reading has to be an exact one.
         self._read_count = 0
-        period_ms = self._readers.pace.list_period_ms
+        period_ms = self._readers.read_timings.list_period_ms
         return min(period_ms, grace_ms + GRACE_SLACK_MS)
 
     async def _wait_for_turn(self) -> None:
-        while wait_ms := self._readers.wait_ms(clock.now_ms()):
+        while wait_ms := self._readers.read_delay_ms(clock.now_ms()):
             self._read_count = 0
             await asyncio.sleep(wait_ms / message.MS_PER_S)
 
@@ -180,7 +182,9 @@
         # watch from its revision, or a neighbour's word, brings what is newer.
         stale = True
         while True:
-            if self._beliefs.version and self._readers.wait_ms(clock.now_ms()):
+            if self._beliefs.version and self._readers.read_delay_ms(
+                clock.now_ms()
+            ):
                 await self._wait_for_turn()
                 revision = None
             if revision is None:
@@ -212,7 +216,7 @@
         self, revision: int
     ) -> expression.Result[int, keyvalue.Failure]:
         result = await self._store.watch(
-            wire.OPERATOR_PREFIX, revision, self._readers.pace.watch_ms
+            wire.OPERATOR_PREFIX, revision, self._readers.read_timings.watch_ms
         )
         return result.map(self._take_operators_changes)
 
@@ -234,15 +238,15 @@
     def _take_operators_changes(self, found: keyvalue.Changes) -> int:
         """Takes what operators have changed; returns the revision reached."""
         changes = [
-            evacuation.Change(
+            evacuation.EvacuationChange(
                 failure_domain=domain,
                 ended=item.removed,
-                at=position.Position(found.era, item.revision),
+                store_position=position.Position(found.era, item.revision),
             )
             for item in found.events
             if (domain := self._evacuated_domain(item)) is not None
         ]
-        self._beliefs.evacuations.take_changes(changes, found.position)
+        self._beliefs.evacuations.apply_changes(changes, found.position)
         evacuated = self._beliefs.apply_evacuations("watch", clock.now_ms())
         configured = self._take_configurations(found.events, "watch")
         if evacuated or configured:
@@ -376,7 +380,7 @@
             each for each in peers if each.failure_domain == domain
         )
         self._readers.install(neighbours, len(peers))
-        far = gatherers.chosen(peers, domain)
+        far = gatherers.select_gatherers(peers, domain)
         self._on_instances(far)
         self._peers.publish_instances(neighbours, len(peers), far)
 
--- a/hyssoptack/gateway/following_test.py
+++ b/hyssoptack/gateway/following_test.py
@@ -33,7 +33,9 @@
         pools=pool.Pools(b""),
         on_configuration=lambda _: None,
     )
-    readers = readership.Readership("g", "north", readership.pace(3_000.0))
+    readers = readership.ReaderElection(
+        "g", "north", readership.read_timings(3_000.0)
+    )
     peers = types.SimpleNamespace(reader_election=readers)
     made = following.StoreWatcher(
         settings, believed, None, peers, lambda _: None, None
@@ -60,15 +62,15 @@
     peers = peering.Peering(
         made._settings, believed, made._readers, lambda: None, lambda: None
     )
-    history = listing.History()
-    history.put(upstreams)
+    history = listing.ListHistory()
+    history.add(upstreams)
     made = notice.ViewNotice(
         sender_id="g2",
         sender_address="",
         version=0,
         configuration=b"",
         revision=2,
-        change=history.whole(),
+        change=history.full_change(),
         grace_ms=grace_ms,
         list_age_ms=list_age_ms,
     )
@@ -147,7 +149,7 @@
     made, _ = follower(list_age_ms=0.0)
     made._store = _Store(4)
     made._peers.publish_view = lambda: None
-    made._readers.pace = readership.pace(0.0)
+    made._readers.read_timings = readership.read_timings(0.0)
     with contextlib.suppress(asyncio.CancelledError):
         asyncio.run(made.poll_upstreams())
     assert made._store.stale == [True, False, True, False]
--- a/hyssoptack/gateway/gathering.py
+++ b/hyssoptack/gateway/gathering.py
@@ -43,7 +43,7 @@
         send: Send,
         limit_count: LimitCount,
         is_stale: collections.abc.Callable[[], bool],
-        suspicions: suspicion.Suspicions,
+        suspicions: suspicion.SuspectRegistry,
     ):
         """Makes the calls of one instance, of which there are none yet.
 
@@ -77,7 +77,7 @@
         if not ready or self._is_stale():
             gather.decline(callresult.GATHERER_DECLINED)
             return
-        if self._suspicions.is_blocked(ask.fingerprint, clock.now_ms()):
+        if self._suspicions.is_quarantined(ask.fingerprint, clock.now_ms()):
             gather.decline(callresult.CRASHES_UPSTREAMS)
             return
         self.active_gathers[key] = gather
--- a/hyssoptack/gateway/harness.py
+++ b/hyssoptack/gateway/harness.py
@@ -190,13 +190,13 @@
                 await asyncio.sleep(0.05)
             while narrow.view.version != wide.view.version:
                 await asyncio.sleep(0.05)
-        narrow._delegating.selector.note_reply("route-0", REPLY_BYTES)
+        narrow._delegating.selector.record_reply_size("route-0", REPLY_BYTES)
         return narrow, wide
 
     async def _wait_counted(self, gateway: daemon.Gateway) -> None:
         """Waits until a gateway knows its share of the extra calls."""
         async with asyncio.timeout(START_TIMEOUT_S):
-            while not gateway.reader_election.most_count:
+            while not gateway.reader_election.peak_instance_count:
                 await asyncio.sleep(0.005)
 
     async def readiness_status(self, name: str = "gateway-1") -> int:
--- a/hyssoptack/gateway/peering.py
+++ b/hyssoptack/gateway/peering.py
@@ -53,7 +53,7 @@
         self,
         settings: gateway.GatewaySettings,
         believed: beliefs.ReplicatedView,
-        readers: readership.Readership,
+        readers: readership.ReaderElection,
         on_instances: OnInstances,
         on_cut: collections.abc.Callable[[], None],
     ):
@@ -72,7 +72,7 @@
         self._on_instances = on_instances
         self._on_cut = on_cut
         self._told: dict[str, _Told] = {}
-        self._history = listing.History()
+        self._history = listing.ListHistory()
         self._configuration = b""
         self._random = random.Random()
         self._links: link.Links | None = None
@@ -113,13 +113,13 @@
         """Tells all neighbours what has changed since they were last told."""
         if self._links is None:
             return
-        self._history.put(self._beliefs.upstreams)
+        self._history.add(self._beliefs.upstreams)
         for peer in self.reader_election.neighbours():
             told = self._told.get(peer.address, _NOTHING_TOLD)
             fresh = told.version == self._beliefs.version
             self._send_view(
                 peer.address,
-                self._history.since(told.digest),
+                self._history.change_since(told.digest),
                 b"" if fresh or not told.version else self._configuration,
             )
 
@@ -137,8 +137,10 @@
             grace_ms=self._beliefs.remaining_grace_ms(now_ms),
             list_age_ms=now_ms - self._beliefs.list_read_ms,
             exact_age_ms=self.reader_election.exact_age_ms(now_ms),
-            evacuated=tuple(self._beliefs.evacuations.current(now_ms)),
-            evacuated_at=self._beliefs.evacuations.at,
+            evacuated=tuple(
+                self._beliefs.evacuations.evacuated_domains(now_ms)
+            ),
+            evacuated_at=self._beliefs.evacuations.store_position,
         )
         self._told[address] = _Told(
             version=self._beliefs.version, digest=change.digest
@@ -147,11 +149,11 @@
 
     def _answer_wanted(self, wanted: notice.ViewRequest) -> None:
         """Sends everything to one who could not use the last view."""
-        self._history.put(self._beliefs.upstreams)
+        self._history.add(self._beliefs.upstreams)
         fresh = wanted.version >= self._beliefs.version
         self._send_view(
             wanted.address,
-            self._history.whole(),
+            self._history.full_change(),
             b"" if fresh else self._configuration,
         )
 
@@ -241,7 +243,7 @@
         if view.version > self._beliefs.version:
             self._ask(view)
         elif listed:
-            self.reader_election.heard(
+            self.reader_election.record_other_reader(
                 view.sender_id, clock.now_ms(), view.exact_age_ms
             )
         elif not behind:
@@ -271,8 +273,8 @@
 
     def _take_list(self, view: notice.ViewNotice) -> bool:
         """Takes the list; tells whether the own one is as new now."""
-        self._history.put(self._beliefs.upstreams)
-        taken = listing.applied(
+        self._history.add(self._beliefs.upstreams)
+        taken = listing.apply_change(
             view.change, self._beliefs.upstreams, self._history.digest
         )
         if taken is None:
--- a/hyssoptack/gateway/peering_test.py
+++ b/hyssoptack/gateway/peering_test.py
@@ -88,7 +88,7 @@
                 site.store.put(key, json.dumps(entry).encode())
             running = await site.start("g-1")
             async with asyncio.timeout(5.0):
-                while running.reader_election.most_count < 21:
+                while running.reader_election.peak_instance_count < 21:
                     await asyncio.sleep(0.05)
             slack_count = site.settings["g-1"].budget.slack_count
             assert 21 * running._extra_calls.share.slack_count <= slack_count
@@ -103,7 +103,7 @@
             await _three(site)
             async with asyncio.timeout(5.0):
                 for each in site.gateways.values():
-                    while each.reader_election.total_count != 3:
+                    while each.reader_election.instance_count != 3:
                         await asyncio.sleep(0.05)
                     assert len(each.reader_election.neighbours()) == 2
 
--- a/hyssoptack/gateway/reaching.py
+++ b/hyssoptack/gateway/reaching.py
@@ -44,7 +44,7 @@
     def __init__(
         self,
         believed: beliefs.ReplicatedView,
-        known: reach.Reach,
+        known: reach.PartitionDetector,
         failure_domain: str,
         store_address: collections.abc.Callable[[], str],
         on_change: collections.abc.Callable[[], None],
@@ -64,20 +64,20 @@
         """Looks into doubts for as long as it runs."""
         while True:
             before = self._state()
-            if self._known.view is not reach.View.WELL:
-                self._known.note_look(await self._look(), clock.now_ms())
+            if self._known.state is not reach.PartitionState.CONNECTED:
+                self._known.record_check(await self._look(), clock.now_ms())
             self._note_change(before)
             # A query may have ended the cut meanwhile.
             before = self._state()
             pause_s = (
                 PARTITIONED_CHECK_PERIOD_S
-                if self._known.cut
+                if self._known.is_partitioned
                 else CHECK_PERIOD_S
             )
             await asyncio.sleep(pause_s)
             self._note_change(before)
 
-    async def _look(self) -> reach.Look:
+    async def _look(self) -> reach.CheckResult:
         far = self._far()
         chosen = self._random.sample(far, min(PROBE_COUNT, len(far)))
         store_alive, *far_alive = await asyncio.gather(
@@ -85,10 +85,12 @@
             *(self._probe(each.address) for each in chosen),
         )
         # Where nothing is listed elsewhere, nothing can be cut off.
-        return reach.Look(
-            far_alive=any(far_alive) or not far,
+        return reach.CheckResult(
+            others_alive=any(far_alive) or not far,
             store_alive=store_alive,
-            covered=self._beliefs.load_balancer.covers_near(self._services()),
+            covers_all_services=self._beliefs.load_balancer.covers_near(
+                self._services()
+            ),
         )
 
     def _services(self) -> set[str]:
@@ -109,12 +111,12 @@
         ]
 
     def _state(self) -> tuple[bool, bool]:
-        return self._known.cut, self._known.leaves_rotation
+        return self._known.is_partitioned, self._known.leaves_rotation
 
     def _note_change(self, before: tuple[bool, bool]) -> None:
         if self._state() == before:
             return
-        cut = self._known.cut
+        cut = self._known.is_partitioned
         log.write(
             log.Event.DOMAINS_LOST if cut else log.Event.DOMAINS_BACK,
             failure_domain=self._failure_domain,
--- a/hyssoptack/gateway/reaching_test.py
+++ b/hyssoptack/gateway/reaching_test.py
@@ -24,9 +24,9 @@
 
             running._reaching._probe = probe
             assert await site.readiness_status() == 200
-            running._reach.view = reach.View.DOUBTED
+            running._reach.state = reach.PartitionState.SUSPECTED
             await asyncio.sleep(4 * reaching.CHECK_PERIOD_S)
-            assert running._reach.cut
+            assert running._reach.is_partitioned
             assert await site.readiness_status() == 503
             got = await site.get("/near/x", "r1")
             assert got.status == 200
@@ -68,9 +68,9 @@
 
             for each in (first, second):
                 each._reaching._probe = silence
-            first._reach.note_waited(reach.Tally(sent_count=4), 200.0)
+            first._reach.record_wait(reach.RemoteCallTally(sent_count=4), 200.0)
             async with asyncio.timeout(3.0):
-                while not second._reach.cut:
+                while not second._reach.is_partitioned:
                     await asyncio.sleep(0.05)
             assert await site.readiness_status("g-2") == 503
 
--- a/hyssoptack/gateway/received.py
+++ b/hyssoptack/gateway/received.py
@@ -39,7 +39,7 @@
 
     exchange: Exchange
     metadata: headers.RequestMetadata
-    route_match: routetable.Found
+    route_match: routetable.RouteMatch
     caller_spent_ms: float = 0.0
     transit_margin_ms: float = 0.0
 
--- a/hyssoptack/gateway/relaying.py
+++ b/hyssoptack/gateway/relaying.py
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        known: gatherers.Gatherers,
+        known: gatherers.GathererSelector,
         own_address: str,
         send: Send,
         enabled: bool,
@@ -134,12 +134,12 @@
     def start(self, calls: collections.abc.Sequence[callcommand.Send]) -> None:
         """Sends the ask."""
         self._open = {each.call_id for each in calls}
-        self._owner.selector.asked(self.peer)
+        self._owner.selector.begin_query(self.peer)
         now_ms = clock.now_ms()
         to_goal_ms = max(0.0, self._query.goal_at_ms - now_ms)
         self._asked_ms = now_ms
-        self.overdue_at_ms = now_ms + self._owner.selector.overdue_after_ms(
-            to_goal_ms
+        self.overdue_at_ms = (
+            now_ms + self._owner.selector.first_report_timeout_ms(to_goal_ms)
         )
         ask = notice.RelayRequest(
             sender_address=self._owner.own_address,
@@ -166,7 +166,7 @@
         if not self._heard:
             self._heard = True
             took_ms = clock.now_ms() - self._asked_ms
-            self._owner.selector.note_first_word(took_ms)
+            self._owner.selector.record_first_report(took_ms)
         outcomes = {
             each.call_id: _outcome(each)
             for each in batch.outcomes
@@ -177,9 +177,9 @@
             each.reason == callresult.GATHERER_DECLINED
             for each in outcomes.values()
         ):
-            self._owner.selector.declined(self.peer, clock.now_ms())
+            self._owner.selector.record_decline(self.peer, clock.now_ms())
         else:
-            self._owner.selector.alive(self.peer)
+            self._owner.selector.record_report(self.peer)
         waiting = tuple(self._open) if batch.dried_up else ()
         if not self._open:
             self._end()
@@ -189,7 +189,7 @@
         """Takes the time: an instance whose word is overdue may be gone."""
         if now_ms >= self.overdue_at_ms and not self._heard:
             self.overdue_at_ms = math.inf
-            self._owner.selector.lost(self.peer, clock.now_ms())
+            self._owner.selector.record_loss(self.peer, clock.now_ms())
             self._log("silent")
 
     def on_lost(self, sent: bool) -> None:
@@ -198,7 +198,7 @@
         Args:
             sent: Whether it may have made the calls.
         """
-        self._owner.selector.lost(self.peer, clock.now_ms())
+        self._owner.selector.record_loss(self.peer, clock.now_ms())
         self._log("link_lost" if sent else "unreachable")
         self._end()
         outcome = callcommand.Outcome(
@@ -220,7 +220,7 @@
 
     def _end(self) -> None:
         if self._owner.pending.pop(self._ask_id, None) is not None:
-            self._owner.selector.ended(self.peer)
+            self._owner.selector.end_query(self.peer)
 
     def _log(self, reason: str) -> None:
         log.write(
--- a/hyssoptack/gateway/restarted_test.py
+++ b/hyssoptack/gateway/restarted_test.py
@@ -76,7 +76,7 @@
 
 def _relaying(sent):
     return relaying.CallRelay(
-        gatherers.Gatherers(random.Random()),
+        gatherers.GathererSelector(random.Random()),
         "n:1",
         lambda _, each: sent.append(each),
         enabled=True,
--- a/hyssoptack/gateway/running.py
+++ b/hyssoptack/gateway/running.py
@@ -378,7 +378,7 @@
 
     def _named(self) -> dict[str, str]:
         """Returns where to find a request under which upstreams ended."""
-        if not self._plan.caution.ending_count:
+        if not self._plan.caution.crash_count:
             return {}
         return calltrace.target_fields(
             self._facts.host, self._exchange.request.target
--- a/hyssoptack/gateway/serving.py
+++ b/hyssoptack/gateway/serving.py
@@ -44,7 +44,7 @@
         self._knowledge = knowledge
         self.metrics = counted
         self._failure_domain = failure_domain
-        self.instance_counts = connections.Crowd()
+        self.instance_counts = connections.InstanceCounts()
         self.active_runs: set[running.RequestRun] = set()
         self._random = random.Random()
         self._caller_time = callertime.CallerTime()
@@ -78,13 +78,13 @@
         path = exchange.request.path.decode("latin-1")
         found = self._beliefs.route_table.find(facts.host, path)
         match found:
-            case routetable.Miss.NOT_CONFIGURED:
+            case routetable.RouteMiss.NOT_CONFIGURED:
                 status = http.HTTPStatus.SERVICE_UNAVAILABLE
                 self._refuse(exchange, facts, status, found.value)
-            case routetable.Miss.NO_ROUTE:
+            case routetable.RouteMiss.NO_ROUTE:
                 status = http.HTTPStatus.NOT_FOUND
                 self._refuse(exchange, facts, status, found.value)
-            case routetable.Found():
+            case routetable.RouteMatch():
                 query = received.Request(
                     exchange=exchange, metadata=facts, route_match=found
                 )
@@ -112,7 +112,7 @@
         version = self._beliefs.version
         known = self._knowledge.suspicions
         here = self.delegator is None or (
-            known.holds_any and known.knows(timed.fingerprint)
+            known.has_entries and known.is_tracked(timed.fingerprint)
         )
         if here or not self.delegator.try_delegate(timed, version):
             self.run_locally(timed, may_have_run=False)
@@ -171,19 +171,19 @@
         """Takes an upstream's reply: its size decides who gathers."""
         if self.delegator is not None:
             size_bytes = message.reply_size_bytes(reply)
-            self.delegator.selector.note_reply(route_name, size_bytes)
+            self.delegator.selector.record_reply_size(route_name, size_bytes)
 
     def retry_delay_ms(self, reason: str) -> float:
         """Returns when a caller that is refused should come back."""
         if not self._knowledge.mechanisms.comeback_by_cause:
-            return comeback.FULL_MS
+            return comeback.OVERLOADED_RETRY_MS
         domains = self._knowledge.domains
-        cut_for_ms = clock.now_ms() - domains.cut_since_ms
-        refusal = comeback.Refusal(
+        cut_for_ms = clock.now_ms() - domains.partitioned_since_ms
+        refusal = comeback.RefusalContext(
             cause=comeback.cause_of(reason),
-            cut_for_ms=cut_for_ms if domains.cut else 0.0,
+            partitioned_for_ms=cut_for_ms if domains.is_partitioned else 0.0,
         )
-        return comeback.wait_ms(refusal, self._random)
+        return comeback.retry_delay_ms(refusal, self._random)
 
     def can_relay_to(self, failure_domain: str) -> bool:
         """Whether calls into a failure domain are for others to make."""
@@ -222,7 +222,7 @@
         )
         if service is None:
             return 1
-        return connections.limit_count(
+        return connections.connection_limit_count(
             service.max_connections_count,
             upstream.failure_domain == self._failure_domain,
             self.instance_counts,
--- a/hyssoptack/gateway/suspecting.py
+++ b/hyssoptack/gateway/suspecting.py
@@ -61,11 +61,11 @@
 as many calls of this instance at most as that and its queue."""
 
 EVENTS = {
-    suspicion.What.SUSPECTED: log.Event.SUSPICION_BEGAN,
-    suspicion.What.BLOCKED: log.Event.REQUEST_BLOCKED,
-    suspicion.What.TRIED: log.Event.REQUEST_TRIED,
-    suspicion.What.CLEARED: log.Event.SUSPICION_ENDED,
-    suspicion.What.FORGOTTEN: log.Event.SUSPICION_ENDED,
+    suspicion.ChangeKind.SUSPECTED: log.Event.SUSPICION_BEGAN,
+    suspicion.ChangeKind.QUARANTINED: log.Event.REQUEST_BLOCKED,
+    suspicion.ChangeKind.PROBED: log.Event.REQUEST_TRIED,
+    suspicion.ChangeKind.CLEARED: log.Event.SUSPICION_ENDED,
+    suspicion.ChangeKind.EXPIRED: log.Event.SUSPICION_ENDED,
 }
 
 Send = collections.abc.Callable[[str, notice.Message], None]
@@ -77,7 +77,7 @@
 
     def __init__(
         self,
-        known: suspicion.Suspicions,
+        known: suspicion.SuspectRegistry,
         own: member.Peer,
         near: Peers,
         far: Peers,
@@ -107,7 +107,7 @@
         self._ask_count = ASK_ROUNDS_COUNT
         self._news = asyncio.Event()
         known.on_change = self._on_change
-        known.on_news = self._news.set
+        known.on_pending_notices = self._news.set
 
     # What is found.
 
@@ -127,18 +127,18 @@
             in_hand_count=len(in_hand),
         )
 
-    def _on_change(self, change: suspicion.Change) -> None:
-        self._metrics.suspicion_events.inc({"what": change.what.value})
+    def _on_change(self, change: suspicion.SuspicionChange) -> None:
+        self._metrics.suspicion_events.inc({"what": change.kind.value})
         log.write(
-            EVENTS[change.what],
+            EVENTS[change.kind],
             fingerprint=change.fingerprint,
-            what=change.what.value,
+            what=change.kind.value,
             upstreams=list(change.upstream_ids),
-            blocked_count=change.blocked_count,
-            for_ms=round(change.for_ms),
+            blocked_count=change.quarantine_count,
+            for_ms=round(change.quarantine_ms),
             source=change.source,
         )
-        if change.what is suspicion.What.BLOCKED:
+        if change.kind is suspicion.ChangeKind.QUARANTINED:
             # The plan that found so is not done with its own command yet.
             loop = asyncio.get_running_loop()
             loop.call_soon(self._on_blocked, change.fingerprint)
@@ -148,7 +148,7 @@
     async def share_periodically(self) -> None:
         """Tells others what is held, for as long as it runs."""
         while True:
-            if self._ask_count or self.suspicions.holds_any:
+            if self._ask_count or self.suspicions.has_entries:
                 await self._wait_for_news()
             else:
                 await self._news.wait()
@@ -167,15 +167,15 @@
     def _round(self) -> float:
         """Tells and asks once; returns how long to pause after it, in s."""
         now_ms = clock.now_ms()
-        self.suspicions.forget_old(now_ms)
+        self.suspicions.expire(now_ms)
         self._ask()
         if self._news.is_set():
             self._news.clear()
-            news = self.suspicions.take_news(NEWS_COUNT, now_ms)
+            news = self.suspicions.pop_new_notices(NEWS_COUNT, now_ms)
             told_count = self._tell(news, NEAR_COUNT, FAR_COUNT)
             self._log_shared(news)
         else:
-            part = self.suspicions.some(PART_COUNT, now_ms)
+            part = self.suspicions.sample_notices(PART_COUNT, now_ms)
             told_count = self._tell(part, 1, 1)
         return told_count * SUSPECT_BYTES / PACE_BYTES_PER_S
 
@@ -230,8 +230,8 @@
         match each:
             case notice.SuspectsNotice(sender_id=sender_id, suspects=suspects):
                 for suspect in suspects:
-                    self.suspicions.take_told(suspect, sender_id, now_ms)
+                    self.suspicions.merge_notice(suspect, sender_id, now_ms)
             case notice.SuspectsRequest(address=address):
-                suspects = self.suspicions.some(ANSWER_COUNT, now_ms)
+                suspects = self.suspicions.sample_notices(ANSWER_COUNT, now_ms)
                 if suspects:
                     self._send(address, self._notice(suspects))
--- a/hyssoptack/gateway/suspecting_test.py
+++ b/hyssoptack/gateway/suspecting_test.py
@@ -130,7 +130,7 @@
             statuses = [got.status for got in await asyncio.gather(*beside)]
             assert statuses.count(200) == len(statuses)
             for name in site.gateways:
-                assert _suspicions(site, name).blocked_count == 0
+                assert _suspicions(site, name).quarantined_count == 0
 
     asyncio.run(test())
 
@@ -159,7 +159,7 @@
                 await asyncio.sleep(0.5)
             assert statuses == [200] * len(statuses)
             for name in site.gateways:
-                assert _suspicions(site, name).blocked_count == 0
+                assert _suspicions(site, name).quarantined_count == 0
 
     asyncio.run(test())
 
@@ -177,7 +177,7 @@
             crashes = len(watch.crash_ms)
             # Its time is over at the instance that is asked.
             entry = next(iter(_suspicions(site, "n2")._blocked.values()))
-            entry.blocked_until_ms = entry.spread_ms = 0.0
+            entry.quarantined_until_ms = entry.probe_jitter_ms = 0.0
             got = await site.get("/all/bad", "ok-1", name="n2")
             assert got.status == 200
             await asyncio.sleep(0.5)
--- a/hyssoptack/policy/admission.py
+++ b/hyssoptack/policy/admission.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Gate:
+class Limiter:
     """What admission knows of one service on this instance.
 
     Attributes:
@@ -65,7 +65,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class TooShort:
+class DeadlineTooShort:
     """Refused: answers take `expected_ms` now, more than the deadline."""
 
     expected_ms: float
@@ -77,24 +77,24 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Everyone:
+class AdmitAll:
     """Admit everything: a baseline for measurements."""
 
 
-Policy = Adaptive | Everyone
-Decision = Admitted | Overloaded | TooShort
+Policy = Adaptive | AdmitAll
+Decision = Admitted | Overloaded | DeadlineTooShort
 
 
-def new_gate(ceiling_count: int, reserve_count: int) -> Gate:
+def new_limiter(ceiling_count: int, reserve_count: int) -> Limiter:
     """Returns the gate of a service that has not served yet."""
-    return Gate(
+    return Limiter(
         limit_count=min(START_COUNT, float(ceiling_count)),
         ceiling_count=ceiling_count,
         reserve_count=reserve_count,
     )
 
 
-def _room_count(gate: Gate, urgency: query.Urgency, now_ms: float) -> float:
+def _room_count(gate: Limiter, urgency: query.Urgency, now_ms: float) -> float:
     total = gate.urgent_count + gate.browsing_count
     match urgency:
         case query.Urgency.URGENT:
@@ -107,7 +107,7 @@
 
 
 def decide(
-    gate: Gate, asked: query.Query, jitter_ratio: float, now_ms: float = 0.0
+    gate: Limiter, asked: query.Query, jitter_ratio: float, now_ms: float = 0.0
 ) -> Decision:
     """Decides whether a query may run now.
 
@@ -122,7 +122,7 @@
         Admitted, or why not.
     """
     if gate.duration_ms > 2 * asked.deadline_ms:
-        return TooShort(expected_ms=gate.duration_ms)
+        return DeadlineTooShort(expected_ms=gate.duration_ms)
     room = _room_count(gate, asked.urgency, now_ms)
     if room >= 1.0:
         return Admitted()
@@ -136,7 +136,9 @@
     )
 
 
-def refused(gate: Gate, urgency: query.Urgency, now_ms: float) -> Gate:
+def record_refusal(
+    gate: Limiter, urgency: query.Urgency, now_ms: float
+) -> Limiter:
     """Returns the gate after a query was refused."""
     match urgency:
         case query.Urgency.URGENT:
@@ -145,12 +147,12 @@
             return gate
 
 
-def enter(gate: Gate, urgency: query.Urgency) -> Gate:
+def begin_query(gate: Limiter, urgency: query.Urgency) -> Limiter:
     """Returns the gate with one more query in flight."""
     return _moved(gate, urgency, 1)
 
 
-def _moved(gate: Gate, urgency: query.Urgency, step: int) -> Gate:
+def _moved(gate: Limiter, urgency: query.Urgency, step: int) -> Limiter:
     match urgency:
         case query.Urgency.URGENT:
             return dataclasses.replace(
@@ -162,14 +164,14 @@
             )
 
 
-def leave(
-    gate: Gate,
+def end_query(
+    gate: Limiter,
     urgency: query.Urgency,
     elapsed_ms: float,
     good: bool,
     deadline_ms: float,
     now_ms: float,
-) -> Gate:
+) -> Limiter:
     """Returns the gate after a query ended.
 
     Args:
--- a/hyssoptack/policy/admission_test.py
+++ b/hyssoptack/policy/admission_test.py
@@ -22,29 +22,31 @@
         decision = admission.decide(gate, _asked(urgency), 0.5)
         if not isinstance(decision, admission.Admitted):
             return gate, decision
-        gate = admission.enter(gate, urgency)
+        gate = admission.begin_query(gate, urgency)
 
 
 def _grown(gate):
     for _ in range(2_000):
-        gate = admission.enter(gate, _BROWSING)
-        gate = admission.leave(gate, _BROWSING, 5.0, True, DEADLINE_MS, 1.0)
+        gate = admission.begin_query(gate, _BROWSING)
+        gate = admission.end_query(gate, _BROWSING, 5.0, True, DEADLINE_MS, 1.0)
     return gate
 
 
 def test_browsing_leaves_room_for_urgent_lookups():
-    gate, _ = _fill(_grown(admission.new_gate(24, 8)), _BROWSING)
+    gate, _ = _fill(_grown(admission.new_limiter(24, 8)), _BROWSING)
     assert gate.browsing_count == 16
     urgent = admission.decide(gate, _asked(_URGENT), 0.5)
     assert isinstance(urgent, admission.Admitted)
 
 
 def test_browsing_stands_back_while_urgent_lookups_are_refused():
-    gate, _ = _fill(_grown(admission.new_gate(24, 8)), _URGENT)
-    gate = admission.refused(gate, _URGENT, 1_000.0)
-    gate = admission.leave(gate, _URGENT, 5.0, True, DEADLINE_MS, 1_001.0)
+    gate, _ = _fill(_grown(admission.new_limiter(24, 8)), _URGENT)
+    gate = admission.record_refusal(gate, _URGENT, 1_000.0)
+    gate = admission.end_query(gate, _URGENT, 5.0, True, DEADLINE_MS, 1_001.0)
     for _ in range(20):
-        gate = admission.leave(gate, _URGENT, 5.0, True, DEADLINE_MS, 1_001.0)
+        gate = admission.end_query(
+            gate, _URGENT, 5.0, True, DEADLINE_MS, 1_001.0
+        )
     browsing = admission.decide(gate, _asked(_BROWSING), 0.5, 1_100.0)
     assert isinstance(browsing, admission.Overloaded)
     urgent = admission.decide(gate, _asked(_URGENT), 0.5, 1_100.0)
@@ -54,17 +56,17 @@
 
 
 def test_a_refusal_says_when_to_come_back():
-    _, refused = _fill(admission.new_gate(24, 8), _BROWSING)
+    _, refused = _fill(admission.new_limiter(24, 8), _BROWSING)
     low, high = admission.RETRY_MIN_MS, admission.RETRY_MAX_MS
     assert low <= refused.retry_after_ms <= high
 
 
 def test_an_answer_that_would_come_too_late_is_refused():
-    gate = admission.Gate(
+    gate = admission.Limiter(
         limit_count=24.0, ceiling_count=24, reserve_count=8, duration_ms=900.0
     )
     decision = admission.decide(gate, _asked(_BROWSING), 0.5)
-    assert isinstance(decision, admission.TooShort)
+    assert isinstance(decision, admission.DeadlineTooShort)
 
 
 def _useful_ratio(slot_count: int, service_ms: float, factor: float) -> float:
@@ -76,7 +78,7 @@
     within its deadline.
     """
     rng = random.Random(9)
-    gate = admission.new_gate(64, 16)
+    gate = admission.new_limiter(64, 16)
     capacity = slot_count * 1000.0 / service_ms
     free_ms = [0.0] * slot_count
     ends: list[tuple[float, float]] = []
@@ -92,12 +94,12 @@
             elapsed_ms = ended_ms - started_ms
             good = elapsed_ms <= DEADLINE_MS
             useful += good
-            gate = admission.leave(
+            gate = admission.end_query(
                 gate, _BROWSING, elapsed_ms, good, DEADLINE_MS, ended_ms
             )
         decision = admission.decide(gate, _asked(_BROWSING), rng.random())
         if isinstance(decision, admission.Admitted):
-            gate = admission.enter(gate, _BROWSING)
+            gate = admission.begin_query(gate, _BROWSING)
             slot = free_ms.index(min(free_ms))
             begins_ms = max(now_ms, free_ms[slot])
             free_ms[slot] = begins_ms + rng.expovariate(1.0 / service_ms)
--- a/hyssoptack/policy/callchoice.py
+++ b/hyssoptack/policy/callchoice.py
@@ -20,7 +20,7 @@
         self,
         ask: callcommand.Ask,
         knowledge: knowing.Knowledge,
-        care: caution.Caution,
+        care: caution.ProbeGuard,
         allowed: attempts.Attempts,
     ):
         self._ask = ask
@@ -50,7 +50,7 @@
         self, part: callpart.Part, now_ms: float
     ) -> traffic.Upstream | None:
         """Returns the best upstream that a part was not sent to yet."""
-        cut = self._know.domains.cut
+        cut = self._know.domains.is_partitioned
         upstream = self._know.placing.choose(
             self._ask.route.name,
             part.service,
@@ -59,7 +59,7 @@
             near_only=cut,
             preferred_domain=self._preferred.get(part.service, ""),
             # What it may take along should be as little as can be.
-            idle=self._care.careful,
+            idle=self._care.is_probing,
             rank=self._ask.route.priority,
         )
         if cut and upstream is None:
--- a/hyssoptack/policy/callplan.py
+++ b/hyssoptack/policy/callplan.py
@@ -50,7 +50,7 @@
         self._may_have_run = ask.may_have_run
         self.finished = False
         self._started_ms = now_ms
-        self._tally = reach.Tally()
+        self._tally = reach.RemoteCallTally()
         self._ends_ms = max(now_ms, ask.ends_at_ms - END_MARGIN_MS)
         self._hedge_time = hedgetime.HedgeTime(
             knowledge.placing.typical(ask.route.name),
@@ -64,7 +64,7 @@
             self._may_hedge,
             knowledge.mechanisms.dry_hedges,
         )
-        self.caution = caution.Caution(knowledge.suspicions, ask.fingerprint)
+        self.caution = caution.ProbeGuard(knowledge.suspicions, ask.fingerprint)
         self.attempts = attempts.Attempts(ask)
         self._choice = callchoice.Choice(
             ask, knowledge, self.caution, self.attempts
@@ -77,7 +77,7 @@
         caller is then told that nothing ran. Nor is what crashes upstreams:
         earlier attempts have run.
         """
-        if not self.caution.begin(now_ms):
+        if not self.caution.admit(now_ms):
             return self._give_up(now_ms)
         chosen = [
             (part, self._choice.first(part, now_ms)) for part in self._parts.all
@@ -115,7 +115,7 @@
         """Returns what time alone brings: hedges, or the end."""
         if self.finished:
             return []
-        self._know.domains.note_waited(self._tally, now_ms - self._started_ms)
+        self._know.domains.record_wait(self._tally, now_ms - self._started_ms)
         commands: list[callcommand.Command] = []
         if self.attempts.granted:
             for call in self._hedges.take_due(now_ms):
@@ -170,12 +170,12 @@
             now_ms,
         )
         if call.far and outcome.reason != callresult.CUT_OFF:
-            self._know.domains.note_outcome(self._tally, outcome.alive)
+            self._know.domains.record_outcome(self._tally, outcome.alive)
         if self.finished:
             return []
         part = call.part
         part.last_reason = outcome.reason or outcome.kind.value
-        if self.caution.gives_up(call, outcome, now_ms):
+        if self.caution.record_outcome(call, outcome, now_ms):
             return self._give_up(now_ms)
         commands = self._take(part, call.upstream_id, outcome, now_ms)
         return commands + self._finish_if_due(now_ms)
@@ -223,14 +223,14 @@
             return []
         if self._parts.answered_count:
             # It was answered here: whoever found so lacks that.
-            self.caution.refute(now_ms)
+            self.caution.clear_suspicion(now_ms)
             return []
         return self._give_up(now_ms)
 
     def abandon(self, now_ms: float) -> list[callcommand.Command]:
         """Gives everything up: the caller has left."""
         self.finished = True
-        self.caution.note_failed()
+        self.caution.record_failure()
         return self._cancel_all(now_ms)
 
     # Outcomes of calls.
@@ -247,7 +247,7 @@
         match outcome.kind:
             case callcommand.Kind.ANSWERED:
                 self._parts.answer(part, outcome.reply)
-                self.caution.note_answer(now_ms)
+                self.caution.record_answer(now_ms)
                 self._hedge_time.note_answer(now_ms)
                 self._may_have_run = True
                 return self._cancel_part(part, now_ms)
@@ -311,15 +311,15 @@
         now_ms: float,
         extra: str,
     ) -> list[callcommand.Command]:
-        asked = caution.Held(part=part, upstream=upstream, extra=extra)
-        if self.caution.holds_back(asked, self.calls.all()):
+        asked = caution.QueuedCall(part=part, upstream=upstream, extra=extra)
+        if self.caution.queue_if_probing(asked, self.calls.all()):
             return []
         call = self.calls.open(
             part,
             upstream,
             now_ms,
             far=self._choice.is_far(upstream),
-            careful=self.caution.careful,
+            careful=self.caution.is_probing,
         )
         self._tally.sent_count += call.far
         self._hedges.add(call)
@@ -337,7 +337,7 @@
         """Sends what had to wait while the request was sent with care."""
         commands: list[callcommand.Command] = []
         while not self.finished:
-            held = self.caution.release(self.calls, now_ms)
+            held = self.caution.next_queued(self.calls, now_ms)
             if held is None:
                 break
             part, extra = held.part, held.extra
@@ -431,6 +431,6 @@
         self, result: callcommand.Result, now_ms: float
     ) -> list[callcommand.Command]:
         self.finished = True
-        self._know.domains.note_waited(self._tally, now_ms - self._started_ms)
-        self.caution.note_failed()
+        self._know.domains.record_wait(self._tally, now_ms - self._started_ms)
+        self.caution.record_failure()
         return [*self._cancel_all(now_ms), callcommand.Finish(result=result)]
--- a/hyssoptack/policy/callplan_crash_test.py
+++ b/hyssoptack/policy/callplan_crash_test.py
@@ -103,7 +103,7 @@
     assert not any(each.careful for each in sent.out.values())
     sent.end(ANSWERED, 40.0, SHARD_COUNT)
     assert len(sent.result.replies) == SHARD_COUNT
-    assert not know.suspicions.holds_any
+    assert not know.suspicions.has_entries
 
 
 def test_what_is_answered_in_part_is_not_held_up_by_an_end():
@@ -114,7 +114,7 @@
     sent.end(ENDED, 20.0)
     assert len(sent.out) == SHARD_COUNT - 1
     assert not any(each.careful for each in sent.out.values())
-    assert not know.suspicions.holds_any
+    assert not know.suspicions.has_entries
 
 
 def test_a_broken_connection_is_no_end():
@@ -122,7 +122,7 @@
     sent = _Sent(know).start()
     sent.end(BROKEN, 10.0, SHARD_COUNT)
     assert len(sent.out) == SHARD_COUNT
-    assert not know.suspicions.holds_any
+    assert not know.suspicions.has_entries
 
 
 def test_a_careful_call_goes_where_least_is_in_hand():
@@ -158,7 +158,7 @@
     for step in range(SHARD_COUNT):
         sent.end(beside, 40.0 + step)
     assert sent.result != CRASHES
-    assert not know.suspicions.is_blocked(NAME, 100.0)
+    assert not know.suspicions.is_quarantined(NAME, 100.0)
 
 
 def test_requests_that_lost_the_same_upstreams_go_different_ways():
@@ -188,7 +188,7 @@
             count += sent.count
         assert count == 3
         assert sent.result == CRASHES
-        assert know.suspicions.is_blocked(NAME, now_ms)
+        assert know.suspicions.is_quarantined(NAME, now_ms)
 
 
 def test_word_from_elsewhere_ends_what_is_out_unless_it_was_answered():
@@ -219,7 +219,9 @@
     sent = _Sent(know).start()
     sent.end(ENDED, 20.0, SHARD_COUNT)
     assert sent.result is not None
-    assert [each.fingerprint for each in know.suspicions.take_news(9, 20.0)]
+    assert [
+        each.fingerprint for each in know.suspicions.pop_new_notices(9, 20.0)
+    ]
 
 
 def test_a_careful_request_goes_to_no_upstream_more_than_its_route_allows():
--- a/hyssoptack/policy/caution.py
+++ b/hyssoptack/policy/caution.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Held:
+class QueuedCall:
     """A call that waits.
 
     Attributes:
@@ -34,10 +34,10 @@
     extra: str
 
 
-class Caution:
+class ProbeGuard:
     """The care that one request is sent with."""
 
-    def __init__(self, known: suspicion.Suspicions, fingerprint: str):
+    def __init__(self, known: suspicion.SuspectRegistry, fingerprint: str):
         """Makes a request that is sent without care.
 
         Args:
@@ -47,16 +47,16 @@
         self._known = known
         self._fingerprint = fingerprint
         self._answered = False
-        self._held: collections.deque[Held] = collections.deque()
+        self._held: collections.deque[QueuedCall] = collections.deque()
         self._released: callpart.Part | None = None
-        self.ending_count = 0
-        self.careful = False
+        self.crash_count = 0
+        self.is_probing = False
 
-    def begin(self, now_ms: float) -> bool:
+    def admit(self, now_ms: float) -> bool:
         """Looks what is held against it; tells whether it may be sent."""
         verdict = self._known.decide(self._fingerprint, now_ms)
-        self.careful = verdict is suspicion.Verdict.WITH_CARE
-        return verdict is not suspicion.Verdict.REFUSED
+        self.is_probing = verdict is suspicion.Verdict.PROBE
+        return verdict is not suspicion.Verdict.REFUSE
 
     def _place(self, now_ms: float, count: int) -> int:
         """Returns where to begin among as many parts.
@@ -66,18 +66,18 @@
         """
         return (int(self._fingerprint or "0", 16) + int(now_ms)) % count
 
-    def note_answer(self, now_ms: float) -> None:
+    def record_answer(self, now_ms: float) -> None:
         """Takes that an upstream has answered: it crashes none."""
         if not self._answered:
             self._answered = True
-            self.careful = False
-            self.refute(now_ms)
+            self.is_probing = False
+            self.clear_suspicion(now_ms)
 
-    def refute(self, now_ms: float) -> None:
+    def clear_suspicion(self, now_ms: float) -> None:
         """Clears an answered request of what is held against it."""
-        self._known.note_answer(self._fingerprint, now_ms)
+        self._known.record_answer(self._fingerprint, now_ms)
 
-    def gives_up(
+    def record_outcome(
         self, call: callpart.Call, outcome: callcommand.Outcome, now_ms: float
     ) -> bool:
         """Takes an outcome; tells whether its request crashes upstreams."""
@@ -85,26 +85,26 @@
             return not self._answered
         if not outcome.ended:
             return False
-        self.ending_count += 1
+        self.crash_count += 1
         if self._answered:
             return False
-        ending = suspect.Ending(
+        ending = suspect.UpstreamCrash(
             upstream_id=call.upstream_id,
             at_ms=now_ms,
             proven=call.careful and outcome.alone,
         )
-        self._known.note_ending(self._fingerprint, ending, now_ms)
-        self.careful = self._known.knows(self._fingerprint)
-        return self._known.is_blocked(self._fingerprint, now_ms)
+        self._known.record_crash(self._fingerprint, ending, now_ms)
+        self.is_probing = self._known.is_tracked(self._fingerprint)
+        return self._known.is_quarantined(self._fingerprint, now_ms)
 
-    def note_failed(self) -> None:
+    def record_failure(self) -> None:
         """Takes that it has ended: without an answer others should know."""
-        if self.ending_count and not self._answered:
+        if self.crash_count and not self._answered:
             self._known.share(self._fingerprint)
 
-    def holds_back(
+    def queue_if_probing(
         self,
-        asked: Held,
+        asked: QueuedCall,
         calls: collections.abc.Iterable[callpart.Call],
     ) -> bool:
         """Whether a call has to wait; if so, it is kept until it is released.
@@ -115,7 +115,7 @@
             asked: The call.
             calls: All calls of the request that are out.
         """
-        if not self.careful:
+        if not self.is_probing:
             return False
         if asked.extra == HEDGE:
             return any(e.careful and e.part is not asked.part for e in calls)
@@ -125,12 +125,12 @@
         self._held.append(asked)
         return True
 
-    def release(
+    def next_queued(
         self, calls: collections.abc.Sized, now_ms: float
-    ) -> Held | None:
+    ) -> QueuedCall | None:
         """Returns a call to be made now; None if there is none."""
-        while self._held and not (self.careful and calls):
-            if self.careful:
+        while self._held and not (self.is_probing and calls):
+            if self.is_probing:
                 self._held.rotate(-self._place(now_ms, len(self._held)))
             held = self._held.popleft()
             if held.part.is_open() and not held.part.calls:
--- a/hyssoptack/policy/claim.py
+++ b/hyssoptack/policy/claim.py
@@ -97,10 +97,10 @@
                 return Settled(outcome=_worn_out())
             return TakeOver(version=version)
         case _:
-            return Settled(outcome=recorded(found))
+            return Settled(outcome=recorded_outcome(found))
 
 
-def held(
+def held_claim(
     found: action.Claim | None,
     attempt_id: str,
     body_digest: str,
@@ -116,7 +116,7 @@
     )
 
 
-def released(
+def released_claim(
     found: action.Claim | None, request_id: str, body_digest: str, note: str
 ) -> action.Claim:
     """Returns the claim after which a request can never send any more."""
@@ -144,10 +144,10 @@
     )
 
 
-def recorded(found: action.Claim | None) -> action.Outcome:
+def recorded_outcome(found: action.Claim | None) -> action.Outcome:
     """Returns what can be said of a key when its outcome is looked up."""
     if found is None:
-        return not_run(
+        return not_run_outcome(
             refusal.Reason.NOT_FOUND,
             "no action with this key is on record",
             None,
@@ -159,16 +159,18 @@
             )
         case action.ClaimState.RELEASED:
             note = found.note or "the action was given up before it was sent"
-            return not_run(
+            return not_run_outcome(
                 refusal.Reason.UPSTREAM_UNAVAILABLE,
                 note,
                 RETRY_AFTER_PENDING_MS,
             )
         case action.ClaimState.HELD | action.ClaimState.UNKNOWN:
-            return unknown("the action was claimed and may have run", True)
+            return unknown_outcome(
+                "the action was claimed and may have run", True
+            )
 
 
-def not_run(
+def not_run_outcome(
     reason: refusal.Reason,
     detail: str,
     retry_after_ms: int | None = RETRY_AFTER_STORE_MS,
@@ -185,7 +187,7 @@
     )
 
 
-def unknown(detail: str, replayed: bool = False) -> action.Outcome:
+def unknown_outcome(detail: str, replayed: bool = False) -> action.Outcome:
     """Returns the outcome of an action that may have run."""
     return action.Outcome(
         ran=refusal.Ran.UNKNOWN,
@@ -200,7 +202,7 @@
 
 
 def _reused() -> action.Outcome:
-    return not_run(
+    return not_run_outcome(
         refusal.Reason.KEY_REUSED,
         "this key was used for another request; use a new key",
         None,
@@ -208,13 +210,13 @@
 
 
 def _given_up() -> action.Outcome:
-    return not_run(
+    return not_run_outcome(
         refusal.Reason.UPSTREAM_UNAVAILABLE, "the request was given up before"
     )
 
 
 def _worn_out() -> action.Outcome:
-    return not_run(
+    return not_run_outcome(
         refusal.Reason.KEY_REUSED,
         "this key was given up too many times; use a new key",
         None,
--- a/hyssoptack/policy/claim_test.py
+++ b/hyssoptack/policy/claim_test.py
@@ -38,18 +38,18 @@
 
 
 def test_a_released_claim_is_taken_over_but_not_by_a_barred_request():
-    given_up = claim.released(None, "r1", _DIGEST, "lost")
+    given_up = claim.released_claim(None, "r1", _DIGEST, "lost")
     assert _decide(given_up, "r2") == claim.TakeOver(version=7)
     late = _decide(given_up, "r1", "a1")
     assert late.outcome.ran is refusal.Ran.NO
 
 
 def test_bars_outlive_a_take_over():
-    given_up = claim.released(None, "r1", _DIGEST, "lost")
-    taken = claim.held(given_up, "a2", _DIGEST, "upstream")
+    given_up = claim.released_claim(None, "r1", _DIGEST, "lost")
+    taken = claim.held_claim(given_up, "a2", _DIGEST, "upstream")
     late = _decide(taken, "r1", "a1")
     assert late.outcome.ran is refusal.Ran.NO
-    again = claim.released(taken, "r2", _DIGEST, "lost")
+    again = claim.released_claim(taken, "r2", _DIGEST, "lost")
     assert set(again.barred) == {"r1", "r2"}
 
 
@@ -68,6 +68,6 @@
 def test_a_key_given_up_too_often_is_worn_out():
     found = None
     for number in range(claim.BARRED_LIMIT_COUNT):
-        found = claim.released(found, f"r{number}", _DIGEST, "lost")
+        found = claim.released_claim(found, f"r{number}", _DIGEST, "lost")
     assert not claim.may_release(found, _DIGEST)
     assert _decide(found, "new").outcome.ran is refusal.Ran.NO
--- a/hyssoptack/policy/comeback.py
+++ b/hyssoptack/policy/comeback.py
@@ -12,7 +12,7 @@
 from hyssoptack.policy import callresult
 from hyssoptack.policy import routetable
 
-TURNED_AWAY_MS = 2_200.0
+BALANCER_REMOVAL_MS = 2_200.0
 """From the start of a cut until the balancer sends callers elsewhere: it takes
 two failed checks, one a second, of every instance of the domain, and some 200
 ms for the neighbours to hear of the cut."""
@@ -21,7 +21,7 @@
 """Where a caller that comes back is sent elsewhere already, or an upstream is
 about to be free: a few times the way to the caller and back (6 ms)."""
 
-FULL_MS = 100.0
+OVERLOADED_RETRY_MS = 100.0
 """About as long as a full queue of an upstream takes to clear."""
 
 LISTED_MS = 1_000.0
@@ -35,51 +35,51 @@
 """Returns are spread over this part of the wait besides."""
 
 
-class Cause(enum.Enum):
+class RefusalCause(enum.Enum):
     """What keeps a request from being served, by how it ends."""
 
-    CUT_OFF = "cut_off"
+    PARTITIONED = "cut_off"
     STARTING = "starting"
-    NOT_LISTED = "not_listed"
-    FULL = "full"
+    NO_UPSTREAM = "not_listed"
+    OVERLOADED = "full"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Refusal:
+class RefusalContext:
     """A refusal, as far as its end is known.
 
     Attributes:
         cause: What it is for.
-        cut_for_ms: How long the domain has been cut off; 0 where it is not.
+        partitioned_for_ms: How long the domain has been cut off; 0 where it is not.
     """
 
-    cause: Cause
-    cut_for_ms: float = 0.0
+    cause: RefusalCause
+    partitioned_for_ms: float = 0.0
 
 
-def cause_of(reason: str) -> Cause:
+def cause_of(reason: str) -> RefusalCause:
     """Returns the cause behind a plan's or a route table's reason."""
     match reason:
         case callresult.CUT_OFF:
-            return Cause.CUT_OFF
-        case routetable.Miss.NOT_CONFIGURED.value:
-            return Cause.STARTING
+            return RefusalCause.PARTITIONED
+        case routetable.RouteMiss.NOT_CONFIGURED.value:
+            return RefusalCause.STARTING
         case "no_upstream":
-            return Cause.NOT_LISTED
+            return RefusalCause.NO_UPSTREAM
         case _:
-            return Cause.FULL
+            return RefusalCause.OVERLOADED
 
 
-def wait_ms(refusal: Refusal, source: random.Random) -> float:
+def retry_delay_ms(refusal: RefusalContext, source: random.Random) -> float:
     """Returns after what time a refused caller should come back."""
     match refusal.cause:
-        case Cause.CUT_OFF:
-            away_ms = TURNED_AWAY_MS - refusal.cut_for_ms
+        case RefusalCause.PARTITIONED:
+            away_ms = BALANCER_REMOVAL_MS - refusal.partitioned_for_ms
             least_ms = max(SOON_MS, away_ms)
-        case Cause.STARTING:
+        case RefusalCause.STARTING:
             least_ms = STARTING_MS
-        case Cause.NOT_LISTED:
+        case RefusalCause.NO_UPSTREAM:
             least_ms = LISTED_MS
-        case Cause.FULL:
-            least_ms = FULL_MS
+        case RefusalCause.OVERLOADED:
+            least_ms = OVERLOADED_RETRY_MS
     return least_ms * source.uniform(1.0, 1.0 + SPREAD_RATIO)
--- a/hyssoptack/policy/comeback_test.py
+++ b/hyssoptack/policy/comeback_test.py
@@ -9,17 +9,17 @@
 
 
 def waits(reason, cut_for_ms=0.0):
-    refusal = comeback.Refusal(
-        cause=comeback.cause_of(reason), cut_for_ms=cut_for_ms
+    refusal = comeback.RefusalContext(
+        cause=comeback.cause_of(reason), partitioned_for_ms=cut_for_ms
     )
     source = random.Random(7)
-    return [comeback.wait_ms(refusal, source) for _ in range(50)]
+    return [comeback.retry_delay_ms(refusal, source) for _ in range(50)]
 
 
 def test_callers_of_a_cut_domain_come_back_once_they_are_sent_elsewhere():
     # They were told 100 ms, came back to the same domain, and had no try left.
     for cut_for_ms in (0.0, 400.0, 2_000.0):
-        away_ms = comeback.TURNED_AWAY_MS - cut_for_ms
+        away_ms = comeback.BALANCER_REMOVAL_MS - cut_for_ms
         assert min(waits(callresult.CUT_OFF, cut_for_ms)) >= away_ms
     assert max(waits(callresult.CUT_OFF, 9_000.0)) < 100.0
 
@@ -27,10 +27,10 @@
 @pytest.mark.parametrize(
     ("reason", "cause"),
     [
-        ("no_configuration_yet", comeback.Cause.STARTING),
-        ("no_upstream", comeback.Cause.NOT_LISTED),
-        ("shed_503", comeback.Cause.FULL),
-        ("connect_timeout", comeback.Cause.FULL),
+        ("no_configuration_yet", comeback.RefusalCause.STARTING),
+        ("no_upstream", comeback.RefusalCause.NO_UPSTREAM),
+        ("shed_503", comeback.RefusalCause.OVERLOADED),
+        ("connect_timeout", comeback.RefusalCause.OVERLOADED),
     ],
 )
 def test_each_reason_has_its_own_end(reason, cause):
@@ -39,4 +39,4 @@
 
 def test_returns_are_spread():
     seen = waits("shed_503")
-    assert max(seen) - min(seen) > 0.15 * comeback.FULL_MS
+    assert max(seen) - min(seen) > 0.15 * comeback.OVERLOADED_RETRY_MS
--- a/hyssoptack/policy/connections.py
+++ b/hyssoptack/policy/connections.py
@@ -14,27 +14,27 @@
 """Part for all other instances, which come for hedges and when their own
 upstreams are slow. The rest covers instances that are not known yet."""
 
-MIN_COUNT = 2
+MIN_CONNECTION_COUNT = 2
 """The least that an instance needs: a call that stalls must not stop all
 others. Where very many instances share an upstream these add up to more than it
 accepts; they then count on connections being closed soon after their use."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Crowd:
+class InstanceCounts:
     """Instances that share the upstreams.
 
     Attributes:
-        own_count: Instances in this instance's failure domain, itself included.
-        other_count: All others.
+        same_domain_count: Instances in this instance's failure domain, itself included.
+        other_domain_count: All others.
     """
 
-    own_count: int = 4
-    other_count: int = 8
+    same_domain_count: int = 4
+    other_domain_count: int = 8
 
 
-def limit_count(
-    max_connections_count: int, same_domain: bool, crowd: Crowd
+def connection_limit_count(
+    max_connections_count: int, same_domain: bool, crowd: InstanceCounts
 ) -> int:
     """Returns how many connections an instance may hold to one upstream.
 
@@ -47,7 +47,11 @@
         The limit.
     """
     if same_domain:
-        share = OWN_RATIO * max_connections_count / max(1, crowd.own_count)
-        return max(MIN_COUNT, int(share))
-    share = OTHER_RATIO * max_connections_count / max(1, crowd.other_count)
-    return max(MIN_COUNT, int(share))
+        share = (
+            OWN_RATIO * max_connections_count / max(1, crowd.same_domain_count)
+        )
+        return max(MIN_CONNECTION_COUNT, int(share))
+    share = (
+        OTHER_RATIO * max_connections_count / max(1, crowd.other_domain_count)
+    )
+    return max(MIN_CONNECTION_COUNT, int(share))
--- a/hyssoptack/policy/connections_test.py
+++ b/hyssoptack/policy/connections_test.py
@@ -11,15 +11,21 @@
 )
 def test_all_instances_together_stay_within_the_limit(most, own, other):
     # An upstream of a domain with `own` instances is shared by all the others.
-    inside = connections.Crowd(own_count=own, other_count=other)
-    outside = connections.Crowd(own_count=other, other_count=own + other // 2)
-    total = own * connections.limit_count(most, True, inside)
-    total += other * connections.limit_count(most, False, outside)
+    inside = connections.InstanceCounts(
+        same_domain_count=own, other_domain_count=other
+    )
+    outside = connections.InstanceCounts(
+        same_domain_count=other, other_domain_count=own + other // 2
+    )
+    total = own * connections.connection_limit_count(most, True, inside)
+    total += other * connections.connection_limit_count(most, False, outside)
     assert total <= most
 
 
 def test_every_instance_may_call_whatever_the_crowd():
-    crowd = connections.Crowd(own_count=600, other_count=2_600)
-    least = connections.MIN_COUNT
-    assert connections.limit_count(30, True, crowd) == least
-    assert connections.limit_count(30, False, crowd) == least
+    crowd = connections.InstanceCounts(
+        same_domain_count=600, other_domain_count=2_600
+    )
+    least = connections.MIN_CONNECTION_COUNT
+    assert connections.connection_limit_count(30, True, crowd) == least
+    assert connections.connection_limit_count(30, False, crowd) == least
--- a/hyssoptack/policy/delegation.py
+++ b/hyssoptack/policy/delegation.py
@@ -27,12 +27,12 @@
 """Part of the time to the goal that handing over must save: the detour costs 1
 to 3 ms, of goals of 73 to 151 ms."""
 
-FLIGHT_LIMIT_COUNT = 32
+IN_FLIGHT_LIMIT_COUNT = 32
 """Queries that one instance leaves with one neighbour at a time. Each takes
 0.15 s at most, so that is far over what one instance gets; it bounds what a
 neighbour's loss costs."""
 
-BEGUN_WAIT_MS = 30.0
+ACCEPT_TIMEOUT_MS = 30.0
 """A neighbour says within 2 ms that it has begun, within some 20 while one of
 the links is busy. Silence for longer is a stopped process or a broken link, and
 leaves time to run the query here."""
@@ -44,7 +44,7 @@
 HOP_MS = 2.0
 """What handing over and back takes at least, kept back from the goal."""
 
-CHECK_PERIOD_MS = 250.0
+LIVENESS_CHECK_PERIOD_MS = 250.0
 """How often it is asked from then on, while the caller waits."""
 
 SIZE_DEFAULT_BYTES = 600.0
@@ -83,7 +83,7 @@
     to_goal_ms: float
 
 
-class Delegation:
+class DelegateSelector:
     """One instance's view of what its neighbours can gather."""
 
     def __init__(self, link_mbps: float, source: random.Random):
@@ -92,7 +92,7 @@
         self._peers: tuple[member.Peer, ...] = ()
         self._known: dict[str, _Neighbour] = {}
         self._reply_bytes: dict[str, float] = {}
-        self.hops = lateness.Lateness(HOP_MS)
+        self.hop_delays = lateness.Lateness(HOP_MS)
 
     def install(self, peers: tuple[member.Peer, ...]) -> None:
         """Replaces the list of neighbours."""
@@ -108,7 +108,7 @@
         """Returns the usual size of a reply to calls of a route."""
         return self._reply_bytes.get(route_name, SIZE_DEFAULT_BYTES)
 
-    def note_reply(self, route_name: str, size_bytes: float) -> None:
+    def record_reply_size(self, route_name: str, size_bytes: float) -> None:
         """Takes the size of an upstream's reply, seen here or elsewhere."""
         before = self._reply_bytes.get(route_name, size_bytes)
         step = SIZE_SMOOTHING_RATIO * (size_bytes - before)
@@ -135,30 +135,30 @@
 
     def _is_well(self, address: str, now_ms: float) -> bool:
         known = self._known.get(address, _Neighbour())
-        full = known.flight_count >= FLIGHT_LIMIT_COUNT
+        full = known.flight_count >= IN_FLIGHT_LIMIT_COUNT
         return not full and not known.left_alone.avoided(now_ms)
 
     def _load(self, peer: member.Peer) -> float:
         known = self._known.get(peer.address, _Neighbour())
         return (known.flight_count + 1) / peer.link_mbps
 
-    def handed(self, address: str) -> None:
+    def begin_delegation(self, address: str) -> None:
         """Notes a query that goes to a neighbour."""
         known = self._known.setdefault(address, _Neighbour())
         known.flight_count += 1
 
-    def ended(self, address: str) -> None:
+    def end_delegation(self, address: str) -> None:
         """Notes that a handed query is over here, however it went."""
         known = self._known.get(address)
         if known is not None and known.flight_count:
             known.flight_count -= 1
 
-    def answered(self, address: str) -> None:
+    def record_answer(self, address: str) -> None:
         """Takes that a neighbour answered."""
         known = self._known.setdefault(address, _Neighbour())
         known.left_alone.answered()
 
-    def failed(self, address: str, now_ms: float) -> None:
+    def record_failure(self, address: str, now_ms: float) -> None:
         """Takes that a neighbour did not begin, or did not answer."""
         known = self._known.setdefault(address, _Neighbour())
         known.left_alone.failed(now_ms)
--- a/hyssoptack/policy/delegation_test.py
+++ b/hyssoptack/policy/delegation_test.py
@@ -20,9 +20,9 @@
 
 
 def made(*peers, link_mbps=NARROW_MBPS, size_bytes=1_250):
-    known = delegation.Delegation(link_mbps, random.Random(3))
+    known = delegation.DelegateSelector(link_mbps, random.Random(3))
     known.install(peers)
-    known.note_reply("r", size_bytes)
+    known.record_reply_size("r", size_bytes)
     return known
 
 
@@ -42,18 +42,18 @@
 
 def test_before_a_reply_was_seen_a_usual_size_is_assumed():
     # After a start, the first seconds' queries filled the narrow links again.
-    known = delegation.Delegation(NARROW_MBPS, random.Random(3))
+    known = delegation.DelegateSelector(NARROW_MBPS, random.Random(3))
     known.install((peer("b"),))
     assert known.choose(QUERY, 0.0).instance_id == "b"
-    known.note_reply("r", 100)
+    known.record_reply_size("r", 100)
     assert known.choose(QUERY, 0.0) is None
 
 
 def test_queries_spread_by_what_is_in_flight():
     known = made(peer("a"), peer("b"))
     for _ in range(10):
-        known.handed(known.choose(QUERY, 0.0).address)
-    known.ended("a:1")
+        known.begin_delegation(known.choose(QUERY, 0.0).address)
+    known.end_delegation("a:1")
     assert known.choose(QUERY, 0.0).instance_id == "a"
 
 
@@ -61,26 +61,26 @@
     known = made(peer("b"))
     now_ms = 0.0
     for wait_ms in (1_000.0, 2_000.0, 4_000.0, 8_000.0, 8_000.0):
-        known.failed("b:1", now_ms)
-        known.failed("b:1", now_ms + 1.0)
+        known.record_failure("b:1", now_ms)
+        known.record_failure("b:1", now_ms + 1.0)
         assert known.choose(QUERY, now_ms + wait_ms - 1.0) is None
         now_ms += wait_ms
         assert known.choose(QUERY, now_ms) is not None
-    known.answered("b:1")
-    known.failed("b:1", now_ms)
+    known.record_answer("b:1")
+    known.record_failure("b:1", now_ms)
     assert known.choose(QUERY, now_ms + 1_000.0) is not None
 
 
 def test_what_is_in_flight_with_one_neighbour_is_bounded():
     known = made(peer("b"))
-    for _ in range(delegation.FLIGHT_LIMIT_COUNT):
-        known.handed("b:1")
+    for _ in range(delegation.IN_FLIGHT_LIMIT_COUNT):
+        known.begin_delegation("b:1")
     assert known.choose(QUERY, 0.0) is None
 
 
 def test_many_queries_at_once_cost_no_neighbour_more_than_its_part():
     known = made(peer("a"), peer("b", 2 * WIDE_MBPS))
     for _ in range(12):
-        known.handed(known.choose(QUERY, 0.0).address)
+        known.begin_delegation(known.choose(QUERY, 0.0).address)
     assert known._known["a:1"].flight_count == 4
     assert known._known["b:1"].flight_count == 8
--- a/hyssoptack/policy/evacuation.py
+++ b/hyssoptack/policy/evacuation.py
@@ -10,34 +10,34 @@
 
 from hyssoptack.core import position
 
-REWRITE_MS = 2_000.0
+REWRITE_GRACE_MS = 2_000.0
 """Time that operators need to write an evacuation again after such a return."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Change:
+class EvacuationChange:
     """One evacuation that was asked for, or ended.
 
     Attributes:
         failure_domain: The failure domain.
         ended: Whether its upstreams may be called again.
-        at: Where in the store's history.
+        store_position: Where in the store's history.
     """
 
     failure_domain: str
     ended: bool
-    at: position.Position
+    store_position: position.Position
 
 
 class Evacuations:
     """One instance's view of the evacuated failure domains."""
 
     def __init__(self) -> None:
-        self.at = position.START
+        self.store_position = position.START
         self._listed: frozenset[str] = frozenset()
         self._kept_until_ms: dict[str, float] = {}
 
-    def current(self, now_ms: float) -> frozenset[str]:
+    def evacuated_domains(self, now_ms: float) -> frozenset[str]:
         """Returns the failure domains whose upstreams must get nothing."""
         kept = (
             domain
@@ -46,7 +46,7 @@
         )
         return self._listed.union(kept)
 
-    def take_all(
+    def replace_all(
         self, domains: frozenset[str], at: position.Position, now_ms: float
     ) -> None:
         """Takes the whole list, unless what is known is newer.
@@ -56,18 +56,18 @@
             at: Where in the store's history it was read.
             now_ms: The time now.
         """
-        if at < self.at:
+        if at < self.store_position:
             return
-        if at.era > self.at.era:
-            until_ms = now_ms + REWRITE_MS
-            for domain in self.current(now_ms) - domains:
+        if at.era > self.store_position.era:
+            until_ms = now_ms + REWRITE_GRACE_MS
+            for domain in self.evacuated_domains(now_ms) - domains:
                 self._kept_until_ms[domain] = until_ms
         self._listed = domains
-        self.at = at
+        self.store_position = at
 
-    def take_changes(
+    def apply_changes(
         self,
-        changes: collections.abc.Iterable[Change],
+        changes: collections.abc.Iterable[EvacuationChange],
         at: position.Position,
     ) -> None:
         """Takes all changes up to a position, but those known already.
@@ -77,13 +77,13 @@
                 and so stand at one position.
             at: Up to where nothing else had changed.
         """
-        known_at = self.at
+        known_at = self.store_position
         for change in changes:
-            if change.at <= known_at:
+            if change.store_position <= known_at:
                 continue
             if change.ended:
                 self._listed -= {change.failure_domain}
                 self._kept_until_ms.pop(change.failure_domain, None)
             else:
                 self._listed |= {change.failure_domain}
-        self.at = max(self.at, at)
+        self.store_position = max(self.store_position, at)
--- a/hyssoptack/policy/example.py
+++ b/hyssoptack/policy/example.py
@@ -75,9 +75,9 @@
 def knowledge(
     current: catalog.Service,
     hedges: hedging.Hedging | None = None,
-) -> queryplan.Knowledge:
+) -> queryplan.QueryPlanContext:
     """Returns what a fresh instance of three domains knows of a service."""
-    upstream_health = health.Health()
+    upstream_health = health.HealthTracker()
     router = routing.Router(OWN_ID, upstream_health)
     members = {
         f"{domain}-{number}": member.Member(
@@ -91,13 +91,13 @@
         for number in (1, 2, 3)
     }
     router.install(
-        routing.View(
+        routing.RoutingView(
             catalog=catalog.Catalog(
                 revision=1,
                 profiles={"dawn": profile()},
                 services={current.name: current},
             ),
-            assumed={
+            recently_seen={
                 domain: tuple(f"{domain}-{number}" for number in (1, 2, 3))
                 for domain in DOMAINS
             },
@@ -107,11 +107,11 @@
         )
     )
     services = {current.name: current}
-    return queryplan.Knowledge(
+    return queryplan.QueryPlanContext(
         router=router,
         upstream_health=upstream_health,
-        budgets=budget.Book(),
-        hedges=hedges or hedging.HedgeAfterQuantile(),
+        retry_budgets=budget.Book(),
+        hedge_policy=hedges or hedging.HedgeAfterQuantile(),
         current_service=services.get,
     )
 
@@ -129,7 +129,7 @@
 
 
 def answer_to(
-    ask: querycommand.Ask,
+    ask: querycommand.Send,
     current: catalog.Service,
     version: int = 1,
     held: tuple[int, ...] = (1,),
@@ -139,12 +139,12 @@
     shard = next(
         each
         for each in current.shards
-        if ask.lane.upstream_id in each.upstream_ids
+        if ask.path.upstream_id in each.upstream_ids
     )
     hit = query.Hit(shard.key_range.low, 1.0, f"{shard.shard_id} [v{version}]")
     return message.UpstreamReply(
         call_id=ask.call_id,
-        upstream_id=ask.lane.upstream_id,
+        upstream_id=ask.path.upstream_id,
         status=message.CallStatus.ANSWERED,
         index_version=version,
         held_versions=held,
@@ -156,7 +156,7 @@
 
 
 def failure_of(
-    ask: querycommand.Ask,
+    ask: querycommand.Send,
     status: message.CallStatus,
     held: tuple[int, ...] = (),
     reached: bool = True,
@@ -164,7 +164,7 @@
     """Returns a reply without an answer."""
     return message.UpstreamReply(
         call_id=ask.call_id,
-        upstream_id=ask.lane.upstream_id,
+        upstream_id=ask.path.upstream_id,
         status=status,
         held_versions=held,
         reached_upstream=reached,
--- a/hyssoptack/policy/gatherers.py
+++ b/hyssoptack/policy/gatherers.py
@@ -21,7 +21,7 @@
 from hyssoptack.policy import rendezvous
 from hyssoptack.policy import typicals
 
-DOMAIN_COUNT = 3
+GATHERERS_PER_DOMAIN_COUNT = 3
 """Gatherers of one failure domain that another one uses: one may be lost and
 one be busy. The fewer, the warmer their connections."""
 
@@ -37,7 +37,7 @@
 """A gatherer tells what it has at this part of the time to the goal, be it
 nothing: before the query hedges calls that are late alone (half of it)."""
 
-OVERDUE_RATIO = 0.6
+FIRST_REPORT_TIMEOUT_RATIO = 0.6
 """One that has told nothing by then is taken for lost, if that is longer than
 nearly all take: there is still time for calls elsewhere."""
 
@@ -47,7 +47,7 @@
 everybody's queue."""
 
 
-def chosen(
+def select_gatherers(
     peers: collections.abc.Iterable[member.Peer], own_domain: str
 ) -> tuple[member.Peer, ...]:
     """Returns who gathers for a failure domain in each of the others.
@@ -62,7 +62,7 @@
     for each in peers:
         domains.setdefault(each.failure_domain, []).append(each)
     crowd_count = len(domains.pop(own_domain, ()))
-    most_count = DOMAIN_COUNT + crowd_count // CROWD_COUNT
+    most_count = GATHERERS_PER_DOMAIN_COUNT + crowd_count // CROWD_COUNT
     name = f"gatherer/{own_domain}"
 
     def order(peer: member.Peer) -> tuple[float, int]:
@@ -70,11 +70,11 @@
 
     found: list[member.Peer] = []
     for members in domains.values():
-        found.extend(sorted(widest(members), key=order)[:most_count])
+        found.extend(sorted(widest_link_peers(members), key=order)[:most_count])
     return tuple(found)
 
 
-def widest(
+def widest_link_peers(
     peers: collections.abc.Sequence[member.Peer],
 ) -> list[member.Peer]:
     """Returns those of some instances whose links are about the widest."""
@@ -94,7 +94,7 @@
     )
 
 
-class Gatherers:
+class GathererSelector:
     """One instance's view of the gatherers in other failure domains."""
 
     def __init__(self, source: random.Random):
@@ -140,35 +140,35 @@
     def _standing(self, address: str) -> _Standing:
         return self._standings.setdefault(address, _Standing())
 
-    def asked(self, peer: member.Peer) -> None:
+    def begin_query(self, peer: member.Peer) -> None:
         """Notes that calls go to a gatherer."""
         self._standing(peer.address).open_count += 1
 
-    def ended(self, peer: member.Peer) -> None:
+    def end_query(self, peer: member.Peer) -> None:
         """Notes that it has none of a query any more."""
         self._standing(peer.address).open_count -= 1
 
-    def overdue_after_ms(self, to_goal_ms: float) -> float:
+    def first_report_timeout_ms(self, to_goal_ms: float) -> float:
         """Returns how long a gatherer's first word is waited for."""
         usual_ms = self._first_words.quantile_ms(OVERDUE_QUANTILE_RATIO)
-        return max(OVERDUE_RATIO * to_goal_ms, usual_ms or 0.0)
+        return max(FIRST_REPORT_TIMEOUT_RATIO * to_goal_ms, usual_ms or 0.0)
 
-    def note_first_word(self, took_ms: float) -> None:
+    def record_first_report(self, took_ms: float) -> None:
         """Takes how long a gatherer took to say anything of its calls."""
         self._first_words.note(took_ms)
 
-    def alive(self, peer: member.Peer) -> None:
+    def record_report(self, peer: member.Peer) -> None:
         """Takes a gatherer's word."""
         self._standing(peer.address).left_alone.alive()
         domain = self._domains.get(peer.failure_domain)
         if domain is not None:
             domain.alive()
 
-    def declined(self, peer: member.Peer, now_ms: float) -> None:
+    def record_decline(self, peer: member.Peer, now_ms: float) -> None:
         """Takes that a gatherer makes no calls now."""
         self._standing(peer.address).left_alone.failed(now_ms)
 
-    def lost(self, peer: member.Peer, now_ms: float) -> None:
+    def record_loss(self, peer: member.Peer, now_ms: float) -> None:
         """Takes that a gatherer is gone or silent.
 
         When a second one of its domain is lost while the first is left alone,
--- a/hyssoptack/policy/gatherers_test.py
+++ b/hyssoptack/policy/gatherers_test.py
@@ -31,20 +31,22 @@
 
 
 def made(*peers):
-    known = gatherers.Gatherers(random.Random(5))
+    known = gatherers.GathererSelector(random.Random(5))
     known.install(tuple(peers))
     return known
 
 
 def test_the_wide_ones_of_all_other_domains_are_chosen():
-    found = gatherers.chosen(fleet(), "d0")
-    assert len(found) == 6 * gatherers.DOMAIN_COUNT
+    found = gatherers.select_gatherers(fleet(), "d0")
+    assert len(found) == 6 * gatherers.GATHERERS_PER_DOMAIN_COUNT
     assert all(each.link_mbps == WIDE_MBPS for each in found)
     assert all(each.failure_domain != "d0" for each in found)
 
 
 def test_narrow_ones_do_not_fill_up_the_number():
-    found = gatherers.chosen(fleet(domain_count=2, wide_count=1), "d0")
+    found = gatherers.select_gatherers(
+        fleet(domain_count=2, wide_count=1), "d0"
+    )
     assert [each.instance_id for each in found] == ["d1-w0"]
 
 
@@ -53,7 +55,7 @@
     first, second = (
         {
             each.instance_id
-            for each in gatherers.chosen(alike, own)
+            for each in gatherers.select_gatherers(alike, own)
             if each.failure_domain == "d2"
         }
         for own in ("d0", "d1")
@@ -64,7 +66,7 @@
 def test_calls_spread_by_what_is_open():
     known = made(peer("a"), peer("b"))
     first = known.choose("south", 0.0)
-    known.asked(first)
+    known.begin_query(first)
     assert known.choose("south", 0.0) != first
     assert known.choose("west", 0.0) is None
 
@@ -73,41 +75,44 @@
     known = made(peer("a"))
     now_ms = 0.0
     for wait_ms in (1_000.0, 2_000.0, 4_000.0, 8_000.0, 8_000.0):
-        known.lost(peer("a"), now_ms)
-        known.lost(peer("a"), now_ms + 1.0)
+        known.record_loss(peer("a"), now_ms)
+        known.record_loss(peer("a"), now_ms + 1.0)
         assert known.choose("south", now_ms + wait_ms - 1.0) is None
         now_ms += wait_ms
         assert known.choose("south", now_ms) is not None
-    known.alive(peer("a"))
-    known.lost(peer("a"), now_ms)
+    known.record_report(peer("a"))
+    known.record_loss(peer("a"), now_ms)
     assert known.choose("south", now_ms + 1_000.0) is not None
 
 
 def test_two_that_are_lost_show_that_their_domain_is():
     known = made(peer("a"), peer("b"), peer("c"))
-    known.lost(peer("a"), 0.0)
+    known.record_loss(peer("a"), 0.0)
     assert known.choose("south", 1.0) is not None
-    known.lost(peer("b"), 1.0)
+    known.record_loss(peer("b"), 1.0)
     assert known.choose("south", 2.0) is None
     # A word of any of them shows the contrary.
-    known.alive(peer("c"))
+    known.record_report(peer("c"))
     assert known.choose("south", 3.0).instance_id == "c"
 
 
 def test_one_that_declines_is_left_alone_by_itself():
     known = made(peer("a"), peer("b"))
-    known.declined(peer("a"), 0.0)
-    known.declined(peer("b"), 0.0)
+    known.record_decline(peer("a"), 0.0)
+    known.record_decline(peer("b"), 0.0)
     assert known.choose("south", 1.0) is None
     known = made(peer("a"), peer("b"), peer("c"))
-    known.declined(peer("a"), 0.0)
-    known.declined(peer("b"), 0.0)
+    known.record_decline(peer("a"), 0.0)
+    known.record_decline(peer("b"), 0.0)
     assert known.choose("south", 1.0).instance_id == "c"
 
 
 def test_a_first_word_is_waited_for_as_long_as_most_take():
     known = made(peer("a"))
-    assert known.overdue_after_ms(40.0) == gatherers.OVERDUE_RATIO * 40.0
+    assert (
+        known.first_report_timeout_ms(40.0)
+        == gatherers.FIRST_REPORT_TIMEOUT_RATIO * 40.0
+    )
     for _ in range(64):
-        known.note_first_word(70.0)
-    assert known.overdue_after_ms(40.0) == 70.0
+        known.record_first_report(70.0)
+    assert known.first_report_timeout_ms(40.0) == 70.0
--- a/hyssoptack/policy/health.py
+++ b/hyssoptack/policy/health.py
@@ -29,46 +29,46 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class UpstreamView:
+class UpstreamHealth:
     """What one observer knows of one upstream.
 
     Attributes:
         state: Its state in the upstream chart.
         service_ms: Smoothed time from a send to the upstream until its answer.
-        seen_ms: When it last answered or failed.
-        changed_ms: When its state last changed.
-        held_ms: When it said so.
+        last_outcome_ms: When it last answered or failed.
+        state_changed_ms: When its state last changed.
+        versions_reported_ms: When it said so.
         held_versions: The index versions it last said it holds; None before it
             said any.
     """
 
     state: str = _CHART.initial
     service_ms: float = PRIOR_MS
-    seen_ms: float = 0.0
-    changed_ms: float = 0.0
+    last_outcome_ms: float = 0.0
+    state_changed_ms: float = 0.0
     held_versions: tuple[int, ...] | None = None
-    held_ms: float = 0.0
+    versions_reported_ms: float = 0.0
 
-    def take(self, event: str, now_ms: float) -> bool:
+    def apply_event(self, event: str, now_ms: float) -> bool:
         """Steps the state chart; returns whether the state changed."""
         before = self.state
         self.state = _CHART.step(before, event)
         if self.state != before:
-            self.changed_ms = now_ms
+            self.state_changed_ms = now_ms
         return self.state != before
 
 
-class Health:
+class HealthTracker:
     """Views of upstreams, and the recent latencies of each service."""
 
     def __init__(self) -> None:
-        self.upstreams: dict[str, UpstreamView] = collections.defaultdict(
-            UpstreamView
+        self.upstreams: dict[str, UpstreamHealth] = collections.defaultdict(
+            UpstreamHealth
         )
         self._windows: dict[str, collections.deque[float]] = {}
         self._typical_ms: dict[str, float] = {}
 
-    def note(
+    def record_reply(
         self, service: str, reply: message.UpstreamReply, now_ms: float
     ) -> bool:
         """Takes what a call has shown.
@@ -84,7 +84,7 @@
         view = self.upstreams[reply.upstream_id]
         if reply.held_versions:
             view.held_versions = reply.held_versions
-            view.held_ms = now_ms
+            view.versions_reported_ms = now_ms
         match reply.status:
             case (
                 message.CallStatus.ANSWERED | message.CallStatus.VERSION_MISSING
@@ -92,45 +92,45 @@
                 view.service_ms += SMOOTHING_RATIO * (
                     reply.service_ms - view.service_ms
                 )
-                view.seen_ms = now_ms
+                view.last_outcome_ms = now_ms
                 self._sample(service, view, reply.service_ms)
                 if reply.draining:
-                    return view.take("drain_seen", now_ms)
-                return view.take("answered", now_ms)
+                    return view.apply_event("drain_seen", now_ms)
+                return view.apply_event("answered", now_ms)
             case message.CallStatus.TIMED_OUT if not reply.reached_upstream:
                 # It expired in a queue of ours; the upstream never saw it.
                 return False
             case message.CallStatus.FAILED | message.CallStatus.TIMED_OUT:
-                view.seen_ms = now_ms
+                view.last_outcome_ms = now_ms
                 slow_ms = max(reply.service_ms, 2 * view.service_ms)
                 view.service_ms += SMOOTHING_RATIO * (slow_ms - view.service_ms)
-                return view.take("failed", now_ms)
+                return view.apply_event("failed", now_ms)
             case message.CallStatus.CANCELLED:
                 # It was at least this slow, or nobody would have moved on.
                 if reply.service_ms > view.service_ms:
-                    view.seen_ms = now_ms
+                    view.last_outcome_ms = now_ms
                     step_ms = reply.service_ms - view.service_ms
                     view.service_ms += SMOOTHING_RATIO * step_ms
                 return False
             case message.CallStatus.SHED if reply.reached_upstream:
-                return view.take("failed", now_ms)
+                return view.apply_event("failed", now_ms)
             case message.CallStatus.DRAINING:
-                return view.take("drain_seen", now_ms)
+                return view.apply_event("drain_seen", now_ms)
             case _:
                 return False
 
-    def drain_seen(self, upstream_id: str, now_ms: float) -> bool:
+    def record_drain(self, upstream_id: str, now_ms: float) -> bool:
         """Takes a report that an upstream drains; tells whether it was news."""
-        return self.upstreams[upstream_id].take("drain_seen", now_ms)
+        return self.upstreams[upstream_id].apply_event("drain_seen", now_ms)
 
-    def refresh(self, upstream_id: str, now_ms: float) -> UpstreamView:
+    def refresh(self, upstream_id: str, now_ms: float) -> UpstreamHealth:
         """Returns an upstream's view after the steps that only time brings."""
         view = self.upstreams[upstream_id]
-        age_ms = now_ms - view.changed_ms
+        age_ms = now_ms - view.state_changed_ms
         if view.state == "ejected" and age_ms > EJECTION_MS:
-            view.take("probe_due", now_ms)
+            view.apply_event("probe_due", now_ms)
         if view.state == "draining" and age_ms > DRAIN_MEMORY_MS:
-            view.take("drain_lapsed", now_ms)
+            view.apply_event("drain_lapsed", now_ms)
         return view
 
     def held_versions(
@@ -138,7 +138,7 @@
     ) -> tuple[int, ...] | None:
         """Returns the versions that an upstream lately held, or None."""
         view = self.upstreams.get(upstream_id)
-        if view is None or now_ms - view.held_ms > HELD_FRESH_MS:
+        if view is None or now_ms - view.versions_reported_ms > HELD_FRESH_MS:
             return None
         return view.held_versions
 
@@ -148,9 +148,9 @@
         """Returns the expected time of a call to an upstream, faded by age."""
         view = self.upstreams[upstream_id]
         typical_ms = self._typical_ms.get(service, PRIOR_MS)
-        if not view.seen_ms:
+        if not view.last_outcome_ms:
             return typical_ms
-        weight = 0.5 ** ((now_ms - view.seen_ms) / FADE_HALF_LIFE_MS)
+        weight = 0.5 ** ((now_ms - view.last_outcome_ms) / FADE_HALF_LIFE_MS)
         return typical_ms + weight * (view.service_ms - typical_ms)
 
     def is_avoided(self, upstream_id: str, now_ms: float) -> bool:
@@ -173,7 +173,7 @@
         return ordered[min(len(ordered) - 1, int(ratio * len(ordered)))]
 
     def _sample(
-        self, service: str, view: UpstreamView, service_ms: float
+        self, service: str, view: UpstreamHealth, service_ms: float
     ) -> None:
         known_slow = view.service_ms > STRAGGLER_RATIO * self._typical_ms.get(
             service, service_ms
--- a/hyssoptack/policy/knowing.py
+++ b/hyssoptack/policy/knowing.py
@@ -24,8 +24,10 @@
 
     placing: placing.Placing
     extra_calls: extrawindow.Book
-    domains: reach.Reach = dataclasses.field(default_factory=reach.Reach)
+    domains: reach.PartitionDetector = dataclasses.field(
+        default_factory=reach.PartitionDetector
+    )
     mechanisms: mechanism.Mechanisms = mechanism.ALL_ENABLED
-    suspicions: suspicion.Suspicions = dataclasses.field(
-        default_factory=lambda: suspicion.Suspicions(random.Random())
+    suspicions: suspicion.SuspectRegistry = dataclasses.field(
+        default_factory=lambda: suspicion.SuspectRegistry(random.Random())
     )
--- a/hyssoptack/policy/listing.py
+++ b/hyssoptack/policy/listing.py
@@ -32,7 +32,7 @@
 EMPTY_DIGEST = digest_of({})
 
 
-def applied(
+def apply_change(
     change: notice.ListChange, own: Upstreams, own_digest: int
 ) -> Upstreams | None:
     """Returns the list after a change; None where it is against another list.
@@ -51,7 +51,7 @@
     return left | {each.upstream_id: each for each in change.changed}
 
 
-class History:
+class ListHistory:
     """The lists that an instance had in force of late, by digest."""
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
         self._current: Upstreams = {}
         self.digest = EMPTY_DIGEST
 
-    def put(self, upstreams: Upstreams) -> None:
+    def add(self, upstreams: Upstreams) -> None:
         """Takes the list in force; lists are replaced, never altered."""
         if upstreams is self._current:
             return
@@ -72,11 +72,11 @@
         if len(self._lists) > HISTORY_COUNT:
             self._lists.popitem(last=False)
 
-    def whole(self) -> notice.ListChange:
+    def full_change(self) -> notice.ListChange:
         """Returns the list in force, for one who has no part of it."""
         return self._change(EMPTY_DIGEST, {})
 
-    def since(self, digest: int | None) -> notice.ListChange:
+    def change_since(self, digest: int | None) -> notice.ListChange:
         """Returns what has changed since a list.
 
         Args:
--- a/hyssoptack/policy/listing_test.py
+++ b/hyssoptack/policy/listing_test.py
@@ -14,27 +14,33 @@
 
 
 def test_a_change_holds_only_what_differs():
-    history = listing.History()
-    history.put(named("a", "b", "c"))
+    history = listing.ListHistory()
+    history.add(named("a", "b", "c"))
     before = history.digest
-    history.put(named("b", "c", "d"))
-    change = history.since(before)
+    history.add(named("b", "c", "d"))
+    change = history.change_since(before)
     assert [each.upstream_id for each in change.changed] == ["d"]
     assert change.removed == ("a",)
-    taken = listing.applied(change, named("a", "b", "c"), before)
+    taken = listing.apply_change(change, named("a", "b", "c"), before)
     assert listing.digest_of(taken) == history.digest
 
 
 def test_a_change_against_another_list_is_not_taken():
-    history = listing.History()
-    history.put(named("a"))
+    history = listing.ListHistory()
+    history.add(named("a"))
     before = history.digest
-    history.put(named("a", "b"))
+    history.add(named("a", "b"))
     own = named("x")
     own_digest = listing.digest_of(own)
-    assert listing.applied(history.since(before), own, own_digest) is None
-    assert listing.applied(history.since(None), own, own_digest) is None
-    whole = listing.applied(history.whole(), own, own_digest)
+    assert (
+        listing.apply_change(history.change_since(before), own, own_digest)
+        is None
+    )
+    assert (
+        listing.apply_change(history.change_since(None), own, own_digest)
+        is None
+    )
+    whole = listing.apply_change(history.full_change(), own, own_digest)
     assert set(whole) == {"a", "b"}
 
 
@@ -48,16 +54,16 @@
     )
 )
 def test_whoever_asks_when_a_change_does_not_fit_has_the_readers_list(steps):
-    history = listing.History()
+    history = listing.ListHistory()
     own = {}
     told = None
     for names, lost in steps:
-        history.put(named(*names))
-        change = history.since(told)
+        history.add(named(*names))
+        change = history.change_since(told)
         told = history.digest
         if lost:
             continue
-        taken = listing.applied(change, own, listing.digest_of(own))
+        taken = listing.apply_change(change, own, listing.digest_of(own))
         own = taken if taken is not None else named(*names)
         assert own == named(*names)
 
@@ -65,17 +71,17 @@
 def test_a_second_of_a_readers_notices_fits_a_small_machines_link():
     """280 upstreams, of which 3 change in a second, told to 25 neighbours."""
     names = [f"i-{number:010x}" for number in range(280)]
-    history = listing.History()
-    history.put(named(*names))
+    history = listing.ListHistory()
+    history.add(named(*names))
     before = history.digest
-    history.put(named(*names[3:], "i-new1", "i-new2"))
+    history.add(named(*names[3:], "i-new1", "i-new2"))
     made = notice.ViewNotice(
         sender_id="g",
         sender_address="10.0.0.1:1",
         version=1,
         configuration=b"",
         revision=1,
-        change=history.since(before),
+        change=history.change_since(before),
     )
     frame = codec.encode_frame([codec.Codec(notice.KINDS).encode(made)])
     seven_mbit_bytes = 7_000_000 / 8
--- a/hyssoptack/policy/membership.py
+++ b/hyssoptack/policy/membership.py
@@ -21,17 +21,17 @@
         member: Its last known record.
         first_seen_ms: When this incarnation was first seen.
         listed_ms: When the platform's list last had it; 0 if never.
-        heard_ms: When a peer message from it last came; 0 if never.
+        last_message_ms: When a peer message from it last came; 0 if never.
     """
 
     member: member.Member
     first_seen_ms: float
     listed_ms: float = 0.0
-    heard_ms: float = 0.0
+    last_message_ms: float = 0.0
 
-    def last_ms(self) -> float:
+    def last_seen_ms(self) -> float:
         """Returns when anything last showed this incarnation."""
-        return max(self.listed_ms, self.heard_ms)
+        return max(self.listed_ms, self.last_message_ms)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -41,7 +41,7 @@
     sightings: dict[str, Sighting] = dataclasses.field(default_factory=dict)
 
 
-def listed(
+def merge_listed(
     roster: Roster, members: tuple[member.Member, ...], now_ms: float
 ) -> Roster:
     """Returns the roster after the platform's list was read."""
@@ -62,7 +62,9 @@
     return Roster(sightings=sightings)
 
 
-def heard(roster: Roster, sender: member.Member, now_ms: float) -> Roster:
+def record_message(
+    roster: Roster, sender: member.Member, now_ms: float
+) -> Roster:
     """Updates the roster after a message from an instance, and returns it.
 
     The address of an instance already listed stays as the list has it: it is
@@ -70,7 +72,9 @@
     """
     old = roster.sightings.get(sender.incarnation)
     if old is None:
-        new = Sighting(member=sender, first_seen_ms=now_ms, heard_ms=now_ms)
+        new = Sighting(
+            member=sender, first_seen_ms=now_ms, last_message_ms=now_ms
+        )
     else:
         known = dataclasses.replace(
             old.member, leaving=old.member.leaving or sender.leaving
@@ -86,12 +90,12 @@
     kept = {
         name: each
         for name, each in roster.sightings.items()
-        if now_ms - each.last_ms() < keep_ms
+        if now_ms - each.last_seen_ms() < keep_ms
     }
     return Roster(sightings=kept)
 
 
-def assumed(
+def recently_seen(
     roster: Roster, failure_domain: str, lag_ms: float, now_ms: float
 ) -> tuple[str, ...]:
     """Returns a domain's instances seen within the lag; sorted."""
@@ -99,30 +103,30 @@
         each.member.instance_id
         for each in roster.sightings.values()
         if each.member.failure_domain == failure_domain
-        and now_ms - each.last_ms() < lag_ms
+        and now_ms - each.last_seen_ms() < lag_ms
     }
     return tuple(sorted(names))
 
 
-class Awaited:
+class PendingAnswers:
     """Since when each instance owes an answer."""
 
     def __init__(self) -> None:
         self._since_ms: dict[str, float] = {}
 
-    def asked(self, instance_id: str, now_ms: float) -> None:
+    def record_request(self, instance_id: str, now_ms: float) -> None:
         """Notes that work was sent whose answer is awaited."""
         self._since_ms.setdefault(instance_id, now_ms)
 
-    def failed(self, instance_id: str) -> None:
+    def record_unreachable(self, instance_id: str) -> None:
         """Notes that the instance can't be reached at all."""
         self._since_ms[instance_id] = -math.inf
 
-    def heard(self, instance_id: str) -> None:
+    def record_response(self, instance_id: str) -> None:
         """Notes that the instance sent anything at all."""
         self._since_ms.pop(instance_id, None)
 
-    def is_suspect(
+    def is_overdue(
         self, instance_id: str, suspect_after_ms: float, now_ms: float
     ) -> bool:
         """Tells whether an answer is outstanding for too long."""
@@ -132,7 +136,7 @@
 
 def usable(
     roster: Roster,
-    awaited: Awaited,
+    awaited: PendingAnswers,
     suspect_after_ms: float,
     gone_after_ms: float,
     now_ms: float,
@@ -161,8 +165,8 @@
         name: each.member
         for name, each in newest.items()
         if not each.member.leaving
-        and not awaited.is_suspect(name, suspect_after_ms, now_ms)
-        and not (list_is_fresh and now_ms - each.last_ms() > gone_after_ms)
+        and not awaited.is_overdue(name, suspect_after_ms, now_ms)
+        and not (list_is_fresh and now_ms - each.last_seen_ms() > gone_after_ms)
     }
 
 
--- a/hyssoptack/policy/membership_test.py
+++ b/hyssoptack/policy/membership_test.py
@@ -21,7 +21,7 @@
 def _usable(roster, now_ms, awaited=None):
     found = membership.usable(
         roster,
-        awaited or membership.Awaited(),
+        awaited or membership.PendingAnswers(),
         SUSPECT_MS,
         2 * LAG_MS,
         now_ms,
@@ -31,14 +31,14 @@
 
 def _listed(*members, now_ms=0.0, roster=None):
     start = roster or membership.Roster()
-    return membership.listed(start, members, now_ms)
+    return membership.merge_listed(start, members, now_ms)
 
 
 def test_a_gone_instance_holds_its_share_for_the_lag():
     roster = _listed(_member("one"), _member("two"))
     roster = _listed(_member("one"), now_ms=1_000.0, roster=roster)
-    early = membership.assumed(roster, "plateau", LAG_MS, 1_500.0)
-    late = membership.assumed(roster, "plateau", LAG_MS, 2_500.0)
+    early = membership.recently_seen(roster, "plateau", LAG_MS, 1_500.0)
+    late = membership.recently_seen(roster, "plateau", LAG_MS, 2_500.0)
     assert early == ("one", "two")
     assert late == ("one",)
 
@@ -46,7 +46,7 @@
 def test_a_leaving_instance_gets_no_new_work_even_if_the_list_lags():
     roster = _listed(_member("one"))
     leaving = _member("one", leaving=True)
-    roster = membership.heard(roster, leaving, 10.0)
+    roster = membership.record_message(roster, leaving, 10.0)
     roster = _listed(_member("one"), now_ms=20.0, roster=roster)
     assert _usable(roster, 20.0) == set()
 
@@ -59,17 +59,17 @@
 
 def test_an_overdue_answer_makes_suspect_until_anything_is_heard():
     roster = _listed(_member("one"))
-    awaited = membership.Awaited()
-    awaited.asked("one", 0.0)
+    awaited = membership.PendingAnswers()
+    awaited.record_request("one", 0.0)
     assert _usable(roster, 2_000.0, awaited) == {"one"}
     assert _usable(roster, 3_500.0, awaited) == set()
-    awaited.heard("one")
+    awaited.record_response("one")
     assert _usable(roster, 3_500.0, awaited) == {"one"}
 
 
 def test_an_unreachable_instance_is_out_at_once():
-    awaited = membership.Awaited()
-    awaited.failed("one")
+    awaited = membership.PendingAnswers()
+    awaited.record_unreachable("one")
     assert _usable(_listed(_member("one")), 1.0, awaited) == set()
 
 
--- a/hyssoptack/policy/merge.py
+++ b/hyssoptack/policy/merge.py
@@ -13,7 +13,7 @@
 from hyssoptack.core import query
 
 
-class Merge:
+class AnswerMerger:
     """The answers of one query at one index version."""
 
     def __init__(self, index_version: int, limit_count: int):
@@ -61,11 +61,11 @@
         )
         return tuple(self._ranges[first:last])
 
-    def ranges(self) -> tuple[keyspace.KeyRange, ...]:
+    def covered_ranges(self) -> tuple[keyspace.KeyRange, ...]:
         """Returns the disjoint ranges answered so far, in order."""
         return tuple(self._ranges)
 
-    def missing(self) -> tuple[keyspace.KeyRange, ...]:
+    def missing_ranges(self) -> tuple[keyspace.KeyRange, ...]:
         """Returns the ranges of the key space that nothing has answered yet."""
         whole = keyspace.KeyRange(0, keyspace.KEYSPACE_SIZE_COUNT)
         return keyspace.subtract(whole, tuple(self._ranges))
@@ -74,7 +74,7 @@
         """Returns the share of the key space answered so far."""
         return self._covered_count / keyspace.KEYSPACE_SIZE_COUNT
 
-    def best(self) -> tuple[query.Hit, ...]:
+    def best_hits(self) -> tuple[query.Hit, ...]:
         """Returns the best hits in order of score, then key."""
         return tuple(
             heapq.nsmallest(
--- a/hyssoptack/policy/ownership.py
+++ b/hyssoptack/policy/ownership.py
@@ -101,7 +101,7 @@
     )
 
 
-def may_use(
+def may_use_shares(
     first_seen_by_others_ms: float, lag_ms: float, now_ms: float
 ) -> bool:
     """Tells whether an instance was visible long enough to use shares."""
--- a/hyssoptack/policy/ownership_test.py
+++ b/hyssoptack/policy/ownership_test.py
@@ -92,7 +92,7 @@
                 name
                 for name in names
                 if born[name] <= now_ms < dies[name]
-                and ownership.may_use(born[name], LAG_MS, now_ms)
+                and ownership.may_use_shares(born[name], LAG_MS, now_ms)
                 and name in ownership.owners(column, view(name, now_ms), 3)
             ]
             most = max(most, len(users))
--- a/hyssoptack/policy/querycommand.py
+++ b/hyssoptack/policy/querycommand.py
@@ -8,16 +8,16 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Ask:
+class Send:
     """Call an upstream through a relay."""
 
     call_id: int
-    lane: routing.Lane
+    path: routing.RelayPath
     index_version: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Drop:
+class Cancel:
     """Cancel a call whose answer is no longer wanted."""
 
     call_id: int
@@ -31,4 +31,4 @@
     result: query.Answer | refusal.Refusal
 
 
-Command = Ask | Drop | Finish
+Command = Send | Cancel | Finish
--- a/hyssoptack/policy/queryplan.py
+++ b/hyssoptack/policy/queryplan.py
@@ -33,21 +33,21 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Knowledge:
+class QueryPlanContext:
     """What a query's decisions draw on; shared by all queries of an instance.
 
     Attributes:
         router: Lanes and their scores.
         upstream_health: What calls have shown about upstreams.
-        budgets: Tokens for extra calls.
-        hedges: When to hedge.
+        retry_budgets: Tokens for extra calls.
+        hedge_policy: When to hedge.
         current_service: Finds a service in the configuration in force now.
     """
 
     router: routing.Router
-    upstream_health: health.Health
-    budgets: budget.Book
-    hedges: hedging.Hedging
+    upstream_health: health.HealthTracker
+    retry_budgets: budget.Book
+    hedge_policy: hedging.Hedging
     current_service: collections.abc.Callable[[str], catalog.Service | None]
 
 
@@ -59,16 +59,16 @@
         asked: query.Query,
         profile: catalog.Profile,
         service: catalog.Service,
-        knowledge: Knowledge,
+        knowledge: QueryPlanContext,
         now_ms: float,
     ):
         self.query = asked
-        self.shed_seen = False
+        self.was_shed = False
         self._profile = profile
         self._service = service
         self._know = knowledge
         self._started_ms = now_ms
-        self.ends_ms = now_ms + max(1.0, asked.deadline_ms - ANSWER_RESERVE_MS)
+        self.end_ms = now_ms + max(1.0, asked.deadline_ms - ANSWER_RESERVE_MS)
         self._states = [
             shardstate.ShardState(shard=shard) for shard in service.shards
         ]
@@ -83,7 +83,7 @@
         self._repin_count = 0
         self._replanned = False
         self._finished = False
-        self._merge = merge.Merge(self._pin(now_ms), asked.limit_count)
+        self._merge = merge.AnswerMerger(self._pin(now_ms), asked.limit_count)
         self._hedge_after_ms = self._hedge_delay()
 
     def start(self, now_ms: float) -> list[querycommand.Command]:
@@ -92,18 +92,18 @@
         for state in self._states:
             commands.extend(self._ask(state, now_ms))
         asked_count = sum(
-            isinstance(each, querycommand.Ask) for each in commands
+            isinstance(each, querycommand.Send) for each in commands
         )
         ceiling = self._profile.extra_load_ceiling_ratio
-        self._know.budgets.earn(self._service.name, ceiling, asked_count)
+        self._know.retry_budgets.earn(self._service.name, ceiling, asked_count)
         return commands + self._finish_if_done(now_ms)
 
-    def next_time_ms(self) -> float:
+    def next_deadline_ms(self) -> float:
         """Returns when `on_time` should be called next."""
         call = self._next_unhedged()
         if call is None:
-            return self.ends_ms
-        return min(self.ends_ms, call.sent_ms + self._hedge_after_ms)
+            return self.end_ms
+        return min(self.end_ms, call.sent_ms + self._hedge_after_ms)
 
     def _next_unhedged(self) -> shardstate.Call | None:
         """Returns the longest open call of a shard that has no hedge yet."""
@@ -115,11 +115,11 @@
             self._unhedged.popleft()
         return None
 
-    def on_time(self, now_ms: float) -> list[querycommand.Command]:
+    def on_timeout(self, now_ms: float) -> list[querycommand.Command]:
         """Returns what time alone brings: hedges, or the final answer."""
         if self._finished:
             return []
-        if now_ms >= self.ends_ms:
+        if now_ms >= self.end_ms:
             return self._finish(now_ms)
         commands: list[querycommand.Command] = []
         while (call := self._next_unhedged()) is not None:
@@ -140,7 +140,7 @@
         if self._finished or state is None:
             return []
         call = state.calls.pop(reply.call_id)
-        self._know.router.closed(call.lane)
+        self._know.router.end_call(call.path)
         if reply.reached_upstream:
             self.upstream_call_count += 1
         commands = self._take(state, call, reply, now_ms)
@@ -160,16 +160,16 @@
             case message.CallStatus.ANSWERED:
                 return self._take_answer(state, call, reply, now_ms)
             case message.CallStatus.VERSION_MISSING:
-                state.failed.add(reply.upstream_id)
+                state.failed_upstream_ids.add(reply.upstream_id)
                 return self._take_version_missing(state, now_ms)
             case message.CallStatus.NOT_OWNER | message.CallStatus.DRAINING:
                 return self._reroute(state, now_ms)
             case message.CallStatus.SHED:
-                self.shed_seen = True
+                self.was_shed = True
                 return self._again(state, reply, now_ms)
             case _:
                 # Whatever relay calls it, this upstream is no way out now.
-                state.failed.add(reply.upstream_id)
+                state.failed_upstream_ids.add(reply.upstream_id)
                 return self._again(state, reply, now_ms)
 
     def _again(
@@ -199,7 +199,9 @@
         if self._merge.index_version in reply.held_versions:
             # This upstream answered at another version than the pinned one, but
             # holds it as well.
-            state.tried.discard((call.lane.upstream_id, call.lane.instance_id))
+            state.tried_paths.discard(
+                (call.path.upstream_id, call.path.instance_id)
+            )
             return self._paid_ask(state, now_ms)
         return self._take_version_missing(state, now_ms)
 
@@ -215,13 +217,13 @@
     def _repin(self, version: int, now_ms: float) -> list[querycommand.Command]:
         """Starts over at a version that covers more; keeps nothing."""
         self._repin_count += 1
-        self._merge = merge.Merge(version, self.query.limit_count)
+        self._merge = merge.AnswerMerger(version, self.query.limit_count)
         commands: list[querycommand.Command] = []
         for state in self._states:
             commands.extend(self._drop_calls(state))
             self._reopen(state)
-            state.tried.clear()
-            state.failed.clear()
+            state.tried_paths.clear()
+            state.failed_upstream_ids.clear()
             commands.extend(self._paid_ask(state, now_ms))
         return commands
 
@@ -250,7 +252,7 @@
 
     def _lose(self, state: shardstate.ShardState) -> list[querycommand.Command]:
         """Gives a shard up."""
-        state.lost = True
+        state.abandoned = True
         self._close(state)
         return []
 
@@ -258,12 +260,12 @@
         if not state.is_open():
             self._open_count += 1
             self._open_key_count += state.key_count()
-        state.answered = state.lost = state.hedged = False
+        state.answered = state.abandoned = state.hedged = False
 
     def _paid_ask(
         self, state: shardstate.ShardState, now_ms: float
     ) -> list[querycommand.Command]:
-        if not self._know.budgets.spend(self._service.name):
+        if not self._know.retry_budgets.spend(self._service.name):
             return self._lose(state)
         self.extra_call_count += 1
         return self._ask(state, now_ms)
@@ -273,7 +275,7 @@
     ) -> list[querycommand.Command]:
         state.hedged = True
         lane = self._lane(
-            state, now_ms, other_upstream_than=call.lane.upstream_id
+            state, now_ms, other_upstream_than=call.path.upstream_id
         )
         if lane is None or not self._pays_hedge():
             return []
@@ -281,9 +283,9 @@
         return [self._send(state, lane, now_ms)]
 
     def _pays_hedge(self) -> bool:
-        match self._know.hedges:
+        match self._know.hedge_policy:
             case hedging.HedgeAfterQuantile():
-                return self._know.budgets.spend(
+                return self._know.retry_budgets.spend(
                     self._service.name, HEDGE_KEEP_COUNT
                 )
             case hedging.HedgeAfterDelay():
@@ -295,7 +297,7 @@
         quantile_ms = self._know.upstream_health.quantile_ms(
             self._service.name, self._profile.hedge_after_ratio
         )
-        return hedging.delay_ms(self._know.hedges, quantile_ms)
+        return hedging.delay_ms(self._know.hedge_policy, quantile_ms)
 
     def _ask(
         self, state: shardstate.ShardState, now_ms: float
@@ -310,22 +312,22 @@
         state: shardstate.ShardState,
         now_ms: float,
         other_upstream_than: str | None = None,
-    ) -> routing.Lane | None:
+    ) -> routing.RelayPath | None:
         version = self._merge.index_version
         left = tuple(
             upstream_id
             for upstream_id in state.shard.upstream_ids
-            if upstream_id not in state.failed
+            if upstream_id not in state.failed_upstream_ids
         )
         holders = tuple(
             each for each in left if self._may_hold(each, version, now_ms)
         )
         # What an upstream holds is known from its answers only: if all that are
         # left are thought to lack the version, asking is how to find out.
-        return self._know.router.best(
+        return self._know.router.best_path(
             self._service,
             holders or left,
-            frozenset(state.tried),
+            frozenset(state.tried_paths),
             now_ms,
             other_upstream_than,
         )
@@ -335,17 +337,20 @@
         return version == query.ANY_VERSION or held is None or version in held
 
     def _send(
-        self, state: shardstate.ShardState, lane: routing.Lane, now_ms: float
-    ) -> querycommand.Ask:
+        self,
+        state: shardstate.ShardState,
+        lane: routing.RelayPath,
+        now_ms: float,
+    ) -> querycommand.Send:
         call_id = self._next_call_id
         self._next_call_id += 1
-        state.calls[call_id] = shardstate.Call(lane=lane, sent_ms=now_ms)
-        state.tried.add((lane.upstream_id, lane.instance_id))
-        self._know.router.opened(lane)
+        state.calls[call_id] = shardstate.Call(path=lane, sent_ms=now_ms)
+        state.tried_paths.add((lane.upstream_id, lane.instance_id))
+        self._know.router.begin_call(lane)
         self._state_of[call_id] = state
         self._unhedged.append(call_id)
-        return querycommand.Ask(
-            call_id=call_id, lane=lane, index_version=self._merge.index_version
+        return querycommand.Send(
+            call_id=call_id, path=lane, index_version=self._merge.index_version
         )
 
     def _drop_calls(
@@ -354,11 +359,11 @@
         commands: list[querycommand.Command] = []
         for call_id, call in state.calls.items():
             self._state_of.pop(call_id, None)
-            self._know.router.closed(call.lane)
+            self._know.router.end_call(call.path)
             self.upstream_call_count += 1
             commands.append(
-                querycommand.Drop(
-                    call_id=call_id, instance_id=call.lane.instance_id
+                querycommand.Cancel(
+                    call_id=call_id, instance_id=call.path.instance_id
                 )
             )
         state.calls.clear()
@@ -373,7 +378,7 @@
                 )
                 if versions is not None:
                     held[upstream_id] = versions
-        return snapshot.choose(self._service.shards, held).index_version
+        return snapshot.choose_version(self._service.shards, held).index_version
 
     def _finish_if_done(self, now_ms: float) -> list[querycommand.Command]:
         """Finishes once nothing is open, or once the floor is out of reach."""
@@ -399,7 +404,7 @@
             return []
         self._replanned = True
         self._service = current
-        missing = self._merge.missing()
+        missing = self._merge.missing_ranges()
         commands: list[querycommand.Command] = []
         for shard in current.shards:
             overlaps = any(
@@ -417,13 +422,13 @@
 
     def _finish(self, now_ms: float) -> list[querycommand.Command]:
         self._finished = True
-        missing = shardstate.missing_text(self._states)
+        missing = shardstate.missing_shards_text(self._states)
         commands: list[querycommand.Command] = []
         for state in self._states:
             commands.extend(self._drop_calls(state))
         coverage = self._merge.coverage_ratio()
         floor = self._profile.coverage_floor_ratio
-        if coverage < floor or not self._merge.ranges():
+        if coverage < floor or not self._merge.covered_ranges():
             result: query.Answer | refusal.Refusal = refusal.Refusal(
                 reason=refusal.Reason.COVERAGE_BELOW_FLOOR,
                 ran=refusal.Ran.NO,
@@ -435,10 +440,10 @@
         else:
             result = query.Answer(
                 query_id=self.query.query_id,
-                hits=self._merge.best(),
+                hits=self._merge.best_hits(),
                 index_version=self._merge.index_version,
                 coverage_ratio=coverage,
-                ranges=self._merge.ranges(),
+                ranges=self._merge.covered_ranges(),
                 upstream_call_count=self.upstream_call_count,
                 extra_call_count=self.extra_call_count,
                 elapsed_ms=now_ms - self._started_ms,
--- a/hyssoptack/policy/queryplan_test.py
+++ b/hyssoptack/policy/queryplan_test.py
@@ -20,7 +20,7 @@
 
 
 def _asks(commands):
-    return [each for each in commands if isinstance(each, querycommand.Ask)]
+    return [each for each in commands if isinstance(each, querycommand.Send)]
 
 
 def _result(commands):
@@ -100,7 +100,7 @@
     plan, commands = _plan(current, example.knowledge(current))
     first = _asks(commands)[0]
     again = _asks(plan.on_reply(example.failure_of(first, _FAILED), 5.0))
-    assert again[0].lane.upstream_id != first.lane.upstream_id
+    assert again[0].path.upstream_id != first.path.upstream_id
 
 
 def test_a_relay_that_sheds_without_a_call_costs_no_budget():
@@ -109,7 +109,7 @@
     plan, commands = _plan(current, know)
     shed = example.failure_of(_asks(commands)[0], _SHED, reached=False)
     assert len(_asks(plan.on_reply(shed, 1.0))) == 1
-    assert know.budgets.of(current.name).extra_call_count == 0
+    assert know.retry_budgets.of(current.name).extra_call_count == 0
 
 
 def test_retries_stop_where_the_budget_ends():
@@ -135,7 +135,7 @@
         _asks(commands)[0], message.CallStatus.NOT_OWNER, reached=False
     )
     assert len(_asks(plan.on_reply(lost, 1.0))) == 1
-    assert know.budgets.of(current.name).extra_call_count == 0
+    assert know.retry_budgets.of(current.name).extra_call_count == 0
 
 
 def test_a_slow_call_is_hedged_once_and_the_loser_dropped():
@@ -148,16 +148,18 @@
             status=message.CallStatus.ANSWERED,
             service_ms=5.0,
         )
-        know.upstream_health.note(current.name, reply, 0.0)
+        know.upstream_health.record_reply(current.name, reply, 0.0)
     plan, commands = _plan(current, know)
     first = _asks(commands)[0]
-    assert plan.next_time_ms() == 5.0
-    hedge = _asks(plan.on_time(6.0))
+    assert plan.next_deadline_ms() == 5.0
+    hedge = _asks(plan.on_timeout(6.0))
     assert len(hedge) == 1
-    assert hedge[0].lane.upstream_id != first.lane.upstream_id
-    assert _asks(plan.on_time(20.0)) == []
+    assert hedge[0].path.upstream_id != first.path.upstream_id
+    assert _asks(plan.on_timeout(20.0)) == []
     commands = plan.on_reply(example.answer_to(hedge[0], current), 8.0)
-    dropped = [each for each in commands if isinstance(each, querycommand.Drop)]
+    dropped = [
+        each for each in commands if isinstance(each, querycommand.Cancel)
+    ]
     assert [each.call_id for each in dropped] == [first.call_id]
     assert _result(commands).extra_call_count == 1
 
@@ -179,7 +181,7 @@
     plan, commands = _plan(current, example.knowledge(current))
     for ask in _asks(commands)[:3]:
         plan.on_reply(example.answer_to(ask, current), 5.0)
-    answer = _result(plan.on_time(395.0))
+    answer = _result(plan.on_timeout(395.0))
     assert isinstance(answer, query.Answer)
     assert answer.coverage_ratio == 0.75
 
--- a/hyssoptack/policy/reach.py
+++ b/hyssoptack/policy/reach.py
@@ -24,7 +24,7 @@
 import dataclasses
 import enum
 
-FAR_MIN_COUNT = 4
+SILENT_CALL_MIN_COUNT = 4
 """Calls into other domains without a sign of life that raise a doubt: a crashed
 shard of three upstreams alone raises none."""
 
@@ -32,113 +32,116 @@
 """A query that waited for less has not waited for anybody: quick calls take 10
 ms, calls with a new connection 17."""
 
-LOOKS_COUNT = 2
+FAILED_CHECK_COUNT = 2
 """Looks without a sign of life that show a cut. With 17 upstreams in 100 down,
 the most on the users' days, one look of six finds only such ones 2 times in
 100,000; the second guards against a stall of this process during the first."""
 
 
-class View(enum.Enum):
+class PartitionState(enum.Enum):
     """What is believed of the way to other failure domains."""
 
-    WELL = "well"
-    DOUBTED = "doubted"
-    CUT = "cut"
+    CONNECTED = "well"
+    SUSPECTED = "doubted"
+    PARTITIONED = "cut"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Look:
+class CheckResult:
     """What a look found.
 
     Attributes:
-        far_alive: Whether anything in another failure domain lives.
+        others_alive: Whether anything in another failure domain lives.
         store_alive: Whether the platform's store answers.
-        covered: Whether the own domain has an upstream for every service.
+        covers_all_services: Whether the own domain has an upstream for every service.
     """
 
-    far_alive: bool
+    others_alive: bool
     store_alive: bool
-    covered: bool = False
+    covers_all_services: bool = False
 
 
 @dataclasses.dataclass(kw_only=True)
-class Tally:
+class RemoteCallTally:
     """One query's calls into other failure domains."""
 
     sent_count: int = 0
-    alive_count: int = 0
+    answered_count: int = 0
 
 
-class Reach:
+class PartitionDetector:
     """One instance's belief; changes are for the caller to log."""
 
     def __init__(self) -> None:
-        self.view = View.WELL
-        self.cut_since_ms = 0.0
+        self.state = PartitionState.CONNECTED
+        self.partitioned_since_ms = 0.0
         self._own_doubt = False
         self._lost_count = 0
         self._dark_look_count = 0
         self._stays = False
 
     @property
-    def found_here(self) -> bool:
+    def detected_locally(self) -> bool:
         """Whether own calls raised the doubt: neighbours are to be told."""
         return self._own_doubt
 
     @property
-    def cut(self) -> bool:
+    def is_partitioned(self) -> bool:
         """Whether calls into other domains are pointless."""
-        return self.view is View.CUT
+        return self.state is PartitionState.PARTITIONED
 
     @property
     def leaves_rotation(self) -> bool:
         """Whether callers are better served by other failure domains."""
-        return self.cut and not self._stays
+        return self.is_partitioned and not self._stays
 
-    def note_outcome(self, tally: Tally, alive: bool) -> None:
+    def record_outcome(self, tally: RemoteCallTally, alive: bool) -> None:
         """Takes whether a call into another domain found life there."""
         if alive:
-            tally.alive_count += 1
-            self.note_alive()
+            tally.answered_count += 1
+            self.record_sign_of_life()
         else:
-            self.note_lost()
+            self.record_connection_failure()
 
-    def note_alive(self) -> None:
+    def record_sign_of_life(self) -> None:
         """Takes a sign of life from another domain."""
         self._lost_count = 0
         self._dark_look_count = 0
-        self.view = View.WELL
+        self.state = PartitionState.CONNECTED
 
-    def note_lost(self) -> None:
+    def record_connection_failure(self) -> None:
         """Takes a call into another domain that was refused or reset."""
         self._lost_count += 1
-        if self._lost_count >= FAR_MIN_COUNT:
+        if self._lost_count >= SILENT_CALL_MIN_COUNT:
             self._doubt(own=True)
 
-    def note_waited(self, tally: Tally, waited_ms: float) -> None:
+    def record_wait(self, tally: RemoteCallTally, waited_ms: float) -> None:
         """Takes how long a query has waited for its calls."""
-        silent = not tally.alive_count and tally.sent_count >= FAR_MIN_COUNT
+        silent = (
+            not tally.answered_count
+            and tally.sent_count >= SILENT_CALL_MIN_COUNT
+        )
         if silent and waited_ms >= WAIT_MIN_MS:
             self._doubt(own=True)
 
-    def note_told(self) -> None:
+    def on_neighbour_suspicion(self) -> None:
         """Takes a neighbour's word for a doubt, and for no more than that."""
         self._doubt(own=False)
 
     def _doubt(self, own: bool) -> None:
-        if self.view is View.WELL:
-            self.view = View.DOUBTED
+        if self.state is PartitionState.CONNECTED:
+            self.state = PartitionState.SUSPECTED
             self._own_doubt = own
             self._dark_look_count = 0
 
-    def note_look(self, look: Look, now_ms: float) -> None:
+    def record_check(self, look: CheckResult, now_ms: float) -> None:
         """Takes what a look found, while there is a doubt or a cut."""
-        self._stays = look.store_alive or look.covered
-        if look.far_alive:
-            self.note_alive()
+        self._stays = look.store_alive or look.covers_all_services
+        if look.others_alive:
+            self.record_sign_of_life()
             return
         self._dark_look_count += 1
-        enough = self._dark_look_count >= LOOKS_COUNT
-        if self.view is View.DOUBTED and enough:
-            self.view = View.CUT
-            self.cut_since_ms = now_ms
+        enough = self._dark_look_count >= FAILED_CHECK_COUNT
+        if self.state is PartitionState.SUSPECTED and enough:
+            self.state = PartitionState.PARTITIONED
+            self.partitioned_since_ms = now_ms
--- a/hyssoptack/policy/readership.py
+++ b/hyssoptack/policy/readership.py
@@ -17,7 +17,7 @@
 """How often the list of upstreams is read, as a part of the time in which a
 change has to be heeded: one missed reading still keeps that."""
 
-EXACT_READ_COUNT = 2
+READS_PER_EXACT_READ_COUNT = 2
 """Of so many readings one is exact; the others may be some seconds old, and
 cost a tenth. An old one is told by its revision and changes nothing."""
 
@@ -54,12 +54,12 @@
 """Bounds on that time itself: a slower pace would save hardly any calls, and
 what is believed would grow old."""
 
-SILENCE_STEPS_COUNT = 3
+SILENCE_STEP_LIMIT_COUNT = 3
 """Ranks beyond this wait no longer, as a change must be known in time."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Pace:
+class ReadTimings:
     """How often the store is read and neighbours are told.
 
     Attributes:
@@ -82,7 +82,7 @@
     exact_step_ms: float
 
 
-def pace(bound_ms: float) -> Pace:
+def read_timings(bound_ms: float) -> ReadTimings:
     """Returns the pace by which changes are heeded in time.
 
     Args:
@@ -92,7 +92,7 @@
         The slowest pace that keeps it.
     """
     bound_ms = min(BOUND_MAX_MS, max(BOUND_MIN_MS, bound_ms))
-    return Pace(
+    return ReadTimings(
         list_period_ms=LIST_PERIOD_RATIO * bound_ms,
         watch_ms=bound_ms - WATCH_SLACK_MS,
         silence_ms=SILENCE_RATIO * bound_ms,
@@ -108,11 +108,13 @@
     return rendezvous.rank(f"reader/{failure_domain}", instance_id)
 
 
-class Readership:
+class ReaderElection:
     """One instance's view of who reads."""
 
-    def __init__(self, instance_id: str, failure_domain: str, own_pace: Pace):
-        self.pace = own_pace
+    def __init__(
+        self, instance_id: str, failure_domain: str, own_pace: ReadTimings
+    ):
+        self.read_timings = own_pace
         self._instance_id = instance_id
         self._failure_domain = failure_domain
         self.rank = rank(failure_domain, instance_id)
@@ -121,9 +123,9 @@
         self._exact_ms: float | None = None
         self._failing = False
         self._neighbours: tuple[member.Peer, ...] = ()
-        self.total_count = 0
-        self.most_count = 0
-        self.most_mbps = 0.0
+        self.instance_count = 0
+        self.peak_instance_count = 0
+        self.peak_neighbour_mbps = 0.0
 
     def install(
         self, neighbours: tuple[member.Peer, ...], total_count: int
@@ -137,19 +139,23 @@
         self._neighbours = tuple(
             each for each in neighbours if each.instance_id != self._instance_id
         )
-        self.total_count = total_count
+        self.instance_count = total_count
         # Entries may lapse while their instances live: shares of what all may
         # spend together go by the most that were ever seen.
-        self.most_count = max(self.most_count, total_count)
+        self.peak_instance_count = max(self.peak_instance_count, total_count)
         links_mbps = [each.link_mbps for each in self._neighbours]
         if all(links_mbps):
-            self.most_mbps = max(self.most_mbps, sum(links_mbps))
+            self.peak_neighbour_mbps = max(
+                self.peak_neighbour_mbps, sum(links_mbps)
+            )
 
     def neighbours(self) -> tuple[member.Peer, ...]:
         """Returns the other instances of the own failure domain."""
         return self._neighbours
 
-    def heard(self, sender_id: str, now_ms: float, exact_age_ms: float) -> None:
+    def record_other_reader(
+        self, sender_id: str, now_ms: float, exact_age_ms: float
+    ) -> None:
         """Notes that another instance reads.
 
         One of lower rank counts only while the own reading fails: it stops once
@@ -165,13 +171,13 @@
             self._heard_ms = now_ms
             self._note_exact(now_ms - exact_age_ms)
 
-    def read(self, now_ms: float, exact: bool) -> None:
+    def record_read(self, now_ms: float, exact: bool) -> None:
         """Notes that the list was read."""
         self._failing = False
         if exact:
             self._note_exact(now_ms)
 
-    def read_failed(self) -> None:
+    def record_read_failure(self) -> None:
         """Notes that the list could not be read."""
         self._failing = True
 
@@ -183,10 +189,10 @@
         """Returns how old the last exact reading is, by whomever."""
         return 0.0 if self._exact_ms is None else now_ms - self._exact_ms
 
-    def wait_ms(self, now_ms: float) -> float:
+    def read_delay_ms(self, now_ms: float) -> float:
         """Returns how long to wait before reading; 0 to read now."""
         steps = self._steps()
-        pace_now = self.pace
+        pace_now = self.read_timings
         silence_ms = pace_now.silence_ms + pace_now.silence_step_ms * steps
         due_ms = self._heard_ms + silence_ms
         if self._exact_ms is not None:
@@ -199,4 +205,4 @@
             rank(self._failure_domain, each.instance_id) > self.rank
             for each in self._neighbours
         )
-        return min(max(0, higher - 1), SILENCE_STEPS_COUNT)
+        return min(max(0, higher - 1), SILENCE_STEP_LIMIT_COUNT)
--- a/hyssoptack/policy/readership_test.py
+++ b/hyssoptack/policy/readership_test.py
@@ -7,7 +7,7 @@
 from hyssoptack.policy import readership
 
 NAMES = ("g1", "g2", "g3", "g4")
-PACE = readership.pace(3_000.0)
+PACE = readership.read_timings(3_000.0)
 
 READING_MS = 30.0
 """Six pages of the store's 4 ms, and the way to the neighbours."""
@@ -25,7 +25,7 @@
     )
     made = []
     for name in ranked:
-        each = readership.Readership(name, "north", PACE)
+        each = readership.ReaderElection(name, "north", PACE)
         each.install(peers, len(peers))
         made.append((name, each))
     return made
@@ -78,15 +78,19 @@
 def slowest_ms(found):
     """The longest from an exact reading to the next, its reader alive."""
     spread_ratio = 1.0 + readership.JITTER_RATIO
-    return readership.EXACT_READ_COUNT * spread_ratio * found.list_period_ms
+    return (
+        readership.READS_PER_EXACT_READ_COUNT
+        * spread_ratio
+        * found.list_period_ms
+    )
 
 
 @pytest.mark.parametrize("bound_ms", [3_000.0, 5_000.0, 6_000.0])
 def test_a_change_is_heeded_in_time_though_its_reader_dies(bound_ms):
-    found = readership.pace(bound_ms)
+    found = readership.read_timings(bound_ms)
     last_ms = (
         found.exact_silence_ms
-        + readership.SILENCE_STEPS_COUNT * found.exact_step_ms
+        + readership.SILENCE_STEP_LIMIT_COUNT * found.exact_step_ms
     )
     assert last_ms < 0.9 * bound_ms
     assert slowest_ms(found) < found.exact_silence_ms
@@ -97,12 +101,16 @@
 def test_a_change_is_heeded_in_time_though_an_answer_is_lost(bound_ms):
     # Found by a hunted day: three requests reached a leaving upstream 4 ms
     # past the bound of 5 s.
-    found = readership.pace(bound_ms)
+    found = readership.read_timings(bound_ms)
     again_ms = following.RETRY.wait_ms(1) * (1.0 + readership.JITTER_RATIO)
     heeded_ms = slowest_ms(found) + found.list_timeout_ms + again_ms
     assert heeded_ms + READING_MS < bound_ms
 
 
 def test_a_bound_out_of_the_usual_gives_a_usual_pace():
-    assert readership.pace(1.0) == readership.pace(readership.BOUND_MIN_MS)
-    assert readership.pace(1e9) == readership.pace(readership.BOUND_MAX_MS)
+    assert readership.read_timings(1.0) == readership.read_timings(
+        readership.BOUND_MIN_MS
+    )
+    assert readership.read_timings(1e9) == readership.read_timings(
+        readership.BOUND_MAX_MS
+    )
--- a/hyssoptack/policy/revision.py
+++ b/hyssoptack/policy/revision.py
@@ -20,21 +20,21 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class TryAgain:
+class NotWritten:
     """The head is unchanged, so the write did not happen."""
 
 
-Settlement = Applied | Overtaken | TryAgain
+WriteResult = Applied | Overtaken | NotWritten
 
 
-def is_later(in_force: int, offered: int) -> bool:
+def is_newer(in_force: int, offered: int) -> bool:
     """Tells whether a revision may replace the one in force: upwards only."""
     return offered > in_force
 
 
-def settle(
+def resolve_lost_write(
     head: catalog.Manifest | None, predecessor: int, change_id: str
-) -> Settlement:
+) -> WriteResult:
     """Finds out from a read what became of a write whose answer was lost.
 
     Args:
@@ -46,7 +46,7 @@
         Whether it was applied, overtaken, or did not happen.
     """
     if head is None or head.revision <= predecessor:
-        return TryAgain()
+        return NotWritten()
     if head.change_id == change_id:
         return Applied(revision=head.revision)
     return Overtaken(by=head)
--- a/hyssoptack/policy/routetable.py
+++ b/hyssoptack/policy/routetable.py
@@ -6,7 +6,7 @@
 from hyssoptack.core import traffic
 
 
-class Miss(enum.Enum):
+class RouteMiss(enum.Enum):
     """Why there is no route."""
 
     NOT_CONFIGURED = "no_configuration_yet"
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Found:
+class RouteMatch:
     """A route, and the services that this request goes to."""
 
     route: traffic.Route
@@ -36,7 +36,7 @@
         for route in sorted(routes, key=lambda each: -len(each.prefix)):
             self._by_host.setdefault(route.host, []).append(route)
 
-    def find(self, host: str, path: str) -> Found | Miss:
+    def find(self, host: str, path: str) -> RouteMatch | RouteMiss:
         """Returns where a request goes.
 
         Args:
@@ -47,11 +47,11 @@
             The route with the longest prefix that begins the path.
         """
         if self.configuration is None:
-            return Miss.NOT_CONFIGURED
+            return RouteMiss.NOT_CONFIGURED
         for route in self._by_host.get(host.lower(), ()):
             if path.startswith(route.prefix):
-                return Found(route=route, services=self._services(route))
-        return Miss.NO_ROUTE
+                return RouteMatch(route=route, services=self._services(route))
+        return RouteMiss.NO_ROUTE
 
     def _services(self, route: traffic.Route) -> tuple[str, ...]:
         match route.target:
--- a/hyssoptack/policy/routetable_test.py
+++ b/hyssoptack/policy/routetable_test.py
@@ -36,13 +36,13 @@
     found = table(route("r", "/a/", ONE), route("s", "/a/b/", TWO))
     assert found.find("A.example", "/a/b/c").services == ("two",)
     assert found.find("a.example", "/a/c").services == ("one",)
-    assert found.find("a.example", "/ab") is routetable.Miss.NO_ROUTE
-    assert found.find("b.example", "/a/c") is routetable.Miss.NO_ROUTE
+    assert found.find("a.example", "/ab") is routetable.RouteMiss.NO_ROUTE
+    assert found.find("b.example", "/a/c") is routetable.RouteMiss.NO_ROUTE
 
 
 def test_without_a_configuration_nothing_is_denied():
     found = routetable.RouteTable(None).find("a.example", "/")
-    assert found is routetable.Miss.NOT_CONFIGURED
+    assert found is routetable.RouteMiss.NOT_CONFIGURED
 
 
 def test_every_span_of_a_split_keeps_the_weights():
--- a/hyssoptack/policy/routing.py
+++ b/hyssoptack/policy/routing.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, eq=False)
-class Lane:
+class RelayPath:
     """One way to an upstream; compared by identity, which is cheap to hash.
 
     Attributes:
@@ -36,19 +36,19 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class View:
+class RoutingView:
     """What lanes are made from; a new view replaces the old one whole.
 
     Attributes:
         catalog: The configuration in force.
-        assumed: Instances by failure domain that may hold shares.
+        recently_seen: Instances by failure domain that may hold shares.
         usable: Instances that may get new work.
         owner_count: Most owners of a column.
         column_size_count: Upstreams in a column.
     """
 
     catalog: catalog.Catalog
-    assumed: dict[str, tuple[str, ...]]
+    recently_seen: dict[str, tuple[str, ...]]
     usable: dict[str, member.Member]
     owner_count: int
     column_size_count: int
@@ -57,25 +57,25 @@
 class Router:
     """Lanes of the view in force, and what calls have shown about relays."""
 
-    def __init__(self, instance_id: str, upstream_health: health.Health):
+    def __init__(self, instance_id: str, upstream_health: health.HealthTracker):
         self._instance_id = instance_id
         self._health = upstream_health
-        self._view: View | None = None
-        self._lanes: dict[str, tuple[Lane, ...]] = {}
+        self._view: RoutingView | None = None
+        self._lanes: dict[str, tuple[RelayPath, ...]] = {}
         self._overhead_ms: dict[str, float] = {}
-        self._lane_load: collections.Counter[Lane] = collections.Counter()
+        self._lane_load: collections.Counter[RelayPath] = collections.Counter()
         self._relay_load: collections.Counter[str] = collections.Counter()
 
-    def install(self, view: View) -> None:
+    def install(self, view: RoutingView) -> None:
         """Puts a new view in force."""
         if view == self._view:
             return
         self._view = view
         self._lanes = {}
 
-    def lanes(
+    def paths(
         self, service: catalog.Service, upstream_id: str
-    ) -> tuple[Lane, ...]:
+    ) -> tuple[RelayPath, ...]:
         """Returns every lane to an upstream whose relay is usable."""
         if upstream_id not in self._lanes:
             self._fill(service)
@@ -86,7 +86,7 @@
         if view is None:
             return
         for column in ownership.columns(service, view.column_size_count):
-            candidates = view.assumed.get(column.failure_domain, ())
+            candidates = view.recently_seen.get(column.failure_domain, ())
             first = service.upstreams[column.upstream_ids[0]]
             count = ownership.owner_count_of(first, view.owner_count)
             owning = ownership.owners(column.column_id, candidates, count)
@@ -95,7 +95,7 @@
                     service.upstreams[upstream_id], view.owner_count
                 )
                 self._lanes[upstream_id] = tuple(
-                    Lane(
+                    RelayPath(
                         upstream_id=upstream_id,
                         instance_id=each,
                         slot_count=share.slot_count,
@@ -104,14 +104,14 @@
                     if each in view.usable or each == self._instance_id
                 )
 
-    def best(
+    def best_path(
         self,
         service: catalog.Service,
         upstream_ids: tuple[str, ...],
         tried: frozenset[tuple[str, str]],
         now_ms: float,
         other_upstream_than: str | None = None,
-    ) -> Lane | None:
+    ) -> RelayPath | None:
         """Returns the lane with the lowest score.
 
         Args:
@@ -145,15 +145,15 @@
         upstream_ids: tuple[str, ...],
         tried: frozenset[tuple[str, str]],
         now_ms: float,
-    ) -> Lane | None:
+    ) -> RelayPath | None:
         """Returns the untried lane with the lowest score."""
-        best: Lane | None = None
+        best: RelayPath | None = None
         best_score = float("inf")
         for upstream_id in upstream_ids:
             service_ms = self._health.expected_ms(
                 service.name, upstream_id, now_ms
             )
-            for lane in self.lanes(service, upstream_id):
+            for lane in self.paths(service, upstream_id):
                 if (lane.upstream_id, lane.instance_id) in tried:
                     continue
                 score = self._score(lane, service_ms)
@@ -161,19 +161,19 @@
                     best, best_score = lane, score
         return best
 
-    def _score(self, lane: Lane, service_ms: float) -> float:
+    def _score(self, lane: RelayPath, service_ms: float) -> float:
         waiting = self._lane_load.get(lane, 0)
         fullness = (waiting + 1) / max(1, lane.slot_count)
         relay_ms = CALL_COST_MS * self._relay_load.get(lane.instance_id, 0)
         upstream_ms = service_ms * max(1.0, fullness)
         return upstream_ms + relay_ms + self.overhead_ms(lane.instance_id)
 
-    def opened(self, lane: Lane) -> None:
+    def begin_call(self, lane: RelayPath) -> None:
         """Notes a call sent on a lane."""
         self._lane_load[lane] += 1
         self._relay_load[lane.instance_id] += 1
 
-    def closed(self, lane: Lane) -> None:
+    def end_call(self, lane: RelayPath) -> None:
         """Notes that a call on a lane is over."""
         self._lane_load[lane] -= 1
         if not self._lane_load[lane]:
@@ -186,7 +186,7 @@
         prior = LOCAL_PRIOR_MS if local else REMOTE_PRIOR_MS
         return self._overhead_ms.get(instance_id, prior)
 
-    def note_overhead(self, instance_id: str, added_ms: float) -> None:
+    def record_overhead(self, instance_id: str, added_ms: float) -> None:
         """Takes what a relay added to one call."""
         old = self.overhead_ms(instance_id)
         self._overhead_ms[instance_id] = old + OVERHEAD_SMOOTHING_RATIO * (
--- a/hyssoptack/policy/routing_test.py
+++ b/hyssoptack/policy/routing_test.py
@@ -37,10 +37,10 @@
     current, know, upstream_ids = _setting()
     for _ in range(30):
         slow = _reply(upstream_ids[0], message.CallStatus.ANSWERED, 100.0)
-        know.upstream_health.note(current.name, slow, 1.0)
+        know.upstream_health.record_reply(current.name, slow, 1.0)
         for upstream_id in upstream_ids[1:]:
             well = _reply(upstream_id, message.CallStatus.ANSWERED, 5.0)
-            know.upstream_health.note(current.name, well, 1.0)
+            know.upstream_health.record_reply(current.name, well, 1.0)
     assert (
         _best(know, current, upstream_ids, 1.0).upstream_id != upstream_ids[0]
     )
@@ -54,7 +54,7 @@
 def test_an_upstream_that_fails_twice_is_avoided_and_probed_later():
     current, know, upstream_ids = _setting()
     for _ in range(2):
-        know.upstream_health.note(
+        know.upstream_health.record_reply(
             current.name, _reply(upstream_ids[0], _FAILED), 1.0
         )
     assert (
@@ -70,7 +70,7 @@
     current, know, upstream_ids = _setting()
     for upstream_id in upstream_ids:
         for _ in range(2):
-            know.upstream_health.note(
+            know.upstream_health.record_reply(
                 current.name, _reply(upstream_id, _FAILED), 1.0
             )
     assert _best(know, current, upstream_ids, 1.0) is not None
@@ -80,7 +80,7 @@
     current, know, upstream_ids = _setting()
     for _ in range(2):
         shed = _reply(upstream_ids[0], message.CallStatus.SHED, 1.0)
-        know.upstream_health.note(current.name, shed, 1.0)
+        know.upstream_health.record_reply(current.name, shed, 1.0)
     assert (
         _best(know, current, upstream_ids, 1.0).upstream_id != upstream_ids[0]
     )
@@ -89,7 +89,7 @@
 def test_a_draining_upstream_is_never_asked():
     current, know, upstream_ids = _setting()
     for upstream_id in upstream_ids:
-        know.upstream_health.drain_seen(upstream_id, 1.0)
+        know.upstream_health.record_drain(upstream_id, 1.0)
     assert _best(know, current, upstream_ids, 1.0) is None
 
 
@@ -97,7 +97,7 @@
     current, know, upstream_ids = _setting()
     late = _reply(upstream_ids[0], message.CallStatus.TIMED_OUT, reached=False)
     for _ in range(5):
-        know.upstream_health.note(current.name, late, 1.0)
+        know.upstream_health.record_reply(current.name, late, 1.0)
     assert know.upstream_health.upstreams[upstream_ids[0]].state == "cold"
 
 
@@ -110,5 +110,5 @@
             message.CallStatus.ANSWERED,
             50.0 if slow else 5.0,
         )
-        know.upstream_health.note(current.name, reply, float(number))
+        know.upstream_health.record_reply(current.name, reply, float(number))
     assert know.upstream_health.quantile_ms(current.name, 0.95) < 20.0
--- a/hyssoptack/policy/shardstate.py
+++ b/hyssoptack/policy/shardstate.py
@@ -13,7 +13,7 @@
 class Call:
     """One call in flight."""
 
-    lane: routing.Lane
+    path: routing.RelayPath
     sent_ms: float
 
 
@@ -23,29 +23,29 @@
 
     shard: catalog.Shard
     calls: dict[int, Call] = dataclasses.field(default_factory=dict)
-    tried: set[tuple[str, str]] = dataclasses.field(default_factory=set)
-    failed: set[str] = dataclasses.field(default_factory=set)
+    tried_paths: set[tuple[str, str]] = dataclasses.field(default_factory=set)
+    failed_upstream_ids: set[str] = dataclasses.field(default_factory=set)
     reroute_count: int = 0
     hedged: bool = False
     answered: bool = False
-    lost: bool = False
+    abandoned: bool = False
     last_status: str = "unreachable"
 
     def status_text(self) -> str:
         """Says how its last call ended, for refusals."""
-        waited = ",".join(call.lane.upstream_id for call in self.calls.values())
+        waited = ",".join(call.path.upstream_id for call in self.calls.values())
         return f"waits-for-{waited}" if waited else self.last_status
 
     def is_open(self) -> bool:
         """Tells whether the shard still waits for an answer."""
-        return not self.answered and not self.lost
+        return not self.answered and not self.abandoned
 
     def key_count(self) -> int:
         """Returns how many keys the shard has."""
         return self.shard.key_range.high - self.shard.key_range.low
 
 
-def missing_text(states: list[ShardState]) -> str:
+def missing_shards_text(states: list[ShardState]) -> str:
     """Names some shards without an answer, and what their calls met."""
     missing = [
         f"{state.shard.shard_id} {state.status_text()}"
--- a/hyssoptack/policy/snapshot.py
+++ b/hyssoptack/policy/snapshot.py
@@ -7,18 +7,18 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Choice:
+class VersionChoice:
     """A version, and how many keys may be answered at it."""
 
     index_version: int
-    reachable_count: int
+    reachable_key_count: int
 
 
-def choose(
+def choose_version(
     shards: tuple[catalog.Shard, ...],
     held: dict[str, tuple[int, ...]],
     lost: frozenset[str] = frozenset(),
-) -> Choice:
+) -> VersionChoice:
     """Chooses the version that covers most keys, the newest among equals.
 
     Args:
@@ -36,15 +36,19 @@
         if upstream_id not in lost
         for version in held.get(upstream_id, ())
     }
-    best = Choice(index_version=query.ANY_VERSION, reachable_count=-1)
+    best = VersionChoice(
+        index_version=query.ANY_VERSION, reachable_key_count=-1
+    )
     for version in sorted(versions, reverse=True):
         reachable = sum(
             shard.key_range.high - shard.key_range.low
             for shard in shards
             if _may_hold(shard, version, held, lost)
         )
-        if reachable > best.reachable_count:
-            best = Choice(index_version=version, reachable_count=reachable)
+        if reachable > best.reachable_key_count:
+            best = VersionChoice(
+                index_version=version, reachable_key_count=reachable
+            )
     return best
 
 
