--- a/hyssoptack/policy/suspicion.py
+++ b/hyssoptack/policy/suspicion.py
@@ -31,14 +31,14 @@
 from hyssoptack.core import notice
 from hyssoptack.policy import suspect
 
-SPREAD_RATIO = 0.5
+PROBE_JITTER_RATIO = 0.5
 """Instances try at different times, up to this part later, so that the first
 try's outcome is known to the others before theirs."""
 
 TRY_MS = 5_000.0
 """After a try that brought neither an answer nor an end, the next one."""
 
-LIMIT_COUNT = 4_096
+ENTRY_LIMIT_COUNT = 4_096
 """Most suspected requests, and most blocked ones, of one instance: 2.5 and 5 MB
 (`suspicion_test`, 50,000 and 20,000 requests), a sixteenth of what it may use.
 Beyond it the oldest are forgotten."""
@@ -47,46 +47,46 @@
 class Verdict(enum.Enum):
     """How a request is to be sent."""
 
-    FREE = "free"
-    WITH_CARE = "with_care"
-    REFUSED = "refused"
+    UNRESTRICTED = "free"
+    PROBE = "with_care"
+    REFUSE = "refused"
 
 
-class What(enum.Enum):
+class ChangeKind(enum.Enum):
     """What has changed in what is believed of a request."""
 
     SUSPECTED = "suspected"
-    BLOCKED = "blocked"
-    TRIED = "tried"
+    QUARANTINED = "blocked"
+    PROBED = "tried"
     CLEARED = "cleared"
-    FORGOTTEN = "forgotten"
+    EXPIRED = "forgotten"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Change:
+class SuspicionChange:
     """A change of belief, for the log and for who runs such requests.
 
     Attributes:
-        what: What has changed.
+        kind: What has changed.
         fingerprint: The request.
         upstream_ids: Upstreams that have ended under it, as far as kept.
-        blocked_count: How often in a row it was blocked.
-        for_ms: How long it stays blocked at least.
+        quarantine_count: How often in a row it was blocked.
+        quarantine_ms: How long it stays blocked at least.
         source: The instance that told so; empty where it was found here.
     """
 
-    what: What
+    kind: ChangeKind
     fingerprint: str
     upstream_ids: tuple[str, ...] = ()
-    blocked_count: int = 0
-    for_ms: float = 0.0
+    quarantine_count: int = 0
+    quarantine_ms: float = 0.0
     source: str = ""
 
 
-OnChange = collections.abc.Callable[[Change], None]
+OnChange = collections.abc.Callable[[SuspicionChange], None]
 
 
-class Suspicions:
+class SuspectRegistry:
     """One instance's beliefs about requests that crash upstreams."""
 
     def __init__(self, source: random.Random, enabled: bool = True):
@@ -98,17 +98,19 @@
         """
         self._random = source
         self._enabled = enabled
-        self._suspected: collections.OrderedDict[str, suspect.Entry] = (
+        self._suspected: collections.OrderedDict[str, suspect.SuspectRecord] = (
             collections.OrderedDict()
         )
-        self._blocked: collections.OrderedDict[str, suspect.Entry] = (
+        self._blocked: collections.OrderedDict[str, suspect.SuspectRecord] = (
             collections.OrderedDict()
         )
         self._answered: dict[str, float] = {}
         self._trusted: frozenset[str] = frozenset()
         self._news: dict[str, None] = {}
         self.on_change: OnChange = lambda _: None
-        self.on_news: collections.abc.Callable[[], None] = lambda: None
+        self.on_pending_notices: collections.abc.Callable[[], None] = lambda: (
+            None
+        )
 
     @property
     def suspected_count(self) -> int:
@@ -116,24 +118,24 @@
         return len(self._suspected)
 
     @property
-    def blocked_count(self) -> int:
+    def quarantined_count(self) -> int:
         """Requests that are refused."""
         return len(self._blocked)
 
     @property
-    def holds_any(self) -> bool:
+    def has_entries(self) -> bool:
         """Whether anything is held against any request."""
         return bool(self._suspected or self._blocked)
 
-    def knows(self, fingerprint: str) -> bool:
+    def is_tracked(self, fingerprint: str) -> bool:
         """Whether anything is held against a request."""
         return fingerprint in self._suspected or fingerprint in self._blocked
 
-    def is_blocked(self, fingerprint: str, now_ms: float) -> bool:
+    def is_quarantined(self, fingerprint: str, now_ms: float) -> bool:
         """Whether a request is refused, with no try due."""
         entry = self._blocked.get(fingerprint)
         return entry is not None and (
-            now_ms < entry.blocked_until_ms + entry.spread_ms
+            now_ms < entry.quarantined_until_ms + entry.probe_jitter_ms
         )
 
     # Requests.
@@ -142,33 +144,36 @@
         """Returns how a request that has come in is to be sent."""
         entry = self._blocked.get(fingerprint)
         if entry is not None:
-            if self.is_blocked(fingerprint, now_ms):
-                return Verdict.REFUSED
-            entry.trying = True
-            entry.blocked_until_ms = now_ms + TRY_MS
-            entry.over_ms = max(entry.over_ms, now_ms + 2 * TRY_MS)
-            entry.spread_ms = 0.0
-            self._say(What.TRIED, fingerprint, entry)
-            return Verdict.WITH_CARE
+            if self.is_quarantined(fingerprint, now_ms):
+                return Verdict.REFUSE
+            entry.is_probing = True
+            entry.quarantined_until_ms = now_ms + TRY_MS
+            entry.expires_ms = max(entry.expires_ms, now_ms + 2 * TRY_MS)
+            entry.probe_jitter_ms = 0.0
+            self._say(ChangeKind.PROBED, fingerprint, entry)
+            return Verdict.PROBE
         entry = self._suspected.get(fingerprint)
-        if entry is None or now_ms - entry.last_ms > suspect.SUSPECTED_MS:
-            return Verdict.FREE
-        return Verdict.WITH_CARE
-
-    def note_answer(self, fingerprint: str, now_ms: float) -> None:
+        if (
+            entry is None
+            or now_ms - entry.last_crash_ms > suspect.SUSPICION_TTL_MS
+        ):
+            return Verdict.UNRESTRICTED
+        return Verdict.PROBE
+
+    def record_answer(self, fingerprint: str, now_ms: float) -> None:
         """Takes that an upstream has answered a request: it crashes none."""
         self._keep_answered(fingerprint, now_ms)
-        if self.knows(fingerprint):
+        if self.is_tracked(fingerprint):
             self._clear(fingerprint, "")
 
     def _keep_answered(self, fingerprint: str, at_ms: float) -> None:
         self._answered.pop(fingerprint, None)
         self._answered[fingerprint] = at_ms
-        if len(self._answered) > LIMIT_COUNT:
+        if len(self._answered) > ENTRY_LIMIT_COUNT:
             del self._answered[next(iter(self._answered))]
 
-    def note_ending(
-        self, fingerprint: str, ending: suspect.Ending, now_ms: float
+    def record_crash(
+        self, fingerprint: str, ending: suspect.UpstreamCrash, now_ms: float
     ) -> None:
         """Takes that an upstream has ended with a request in hand.
 
@@ -179,9 +184,9 @@
         entry = self._blocked.get(fingerprint)
         if entry is not None:
             # Calls that were out when it was blocked show nothing new.
-            if entry.trying:
-                entry.last_ms = now_ms
-                blocking = suspect.blocking(entry.blocked_count + 1)
+            if entry.is_probing:
+                entry.last_crash_ms = now_ms
+                blocking = suspect.quarantine_term(entry.quarantine_count + 1)
                 self._block(fingerprint, entry, blocking, now_ms)
             return
         self._add(fingerprint, (ending,), now_ms, "")
@@ -189,55 +194,62 @@
     def share(self, fingerprint: str) -> None:
         """Lets others know of a request that has ended without an answer."""
         entry = self._suspected.get(fingerprint)
-        if entry is not None and not entry.shared:
-            entry.shared = True
+        if entry is not None and not entry.is_shared:
+            entry.is_shared = True
             self._announce(fingerprint)
 
-    def trust(
+    def set_trusted(
         self, fingerprints: collections.abc.Iterable[str], now_ms: float
     ) -> None:
         """Takes which requests operators know to be harmless."""
         self._trusted = frozenset(fingerprints)
         for each in self._trusted:
-            if self.knows(each):
-                self.note_answer(each, now_ms)
+            if self.is_tracked(each):
+                self.record_answer(each, now_ms)
 
     # Beliefs.
 
     def _add(
         self,
         fingerprint: str,
-        endings: collections.abc.Iterable[suspect.Ending],
+        endings: collections.abc.Iterable[suspect.UpstreamCrash],
         now_ms: float,
         source: str,
     ) -> None:
         entry = self._suspected.get(fingerprint)
         is_new = entry is None
         if entry is None:
-            entry = self._suspected[fingerprint] = suspect.Entry()
+            entry = self._suspected[fingerprint] = suspect.SuspectRecord()
             _limit(self._suspected)
-        known = {each.upstream_id for each in entry.endings}
+        known = {each.upstream_id for each in entry.crashes}
         fresh = [each for each in endings if each.upstream_id not in known]
         for each in fresh:
             # Many ends of one moment tell no more than one.
-            same = each.at_ms - entry.last_ms < suspect.MOMENT_MS
-            if each.proven or not same or len(entry.endings) < 2:
-                entry.endings.append(each)
-            entry.last_ms = max(entry.last_ms, each.at_ms)
+            same = (
+                each.at_ms - entry.last_crash_ms < suspect.CRASH_EVENT_WINDOW_MS
+            )
+            if each.proven or not same or len(entry.crashes) < 2:
+                entry.crashes.append(each)
+            entry.last_crash_ms = max(entry.last_crash_ms, each.at_ms)
         if source and fresh:
-            entry.shared = True
+            entry.is_shared = True
             self._announce(fingerprint)
-        if suspect.moment_count(entry.endings) >= suspect.MOMENT_COUNT:
-            self._block(fingerprint, entry, suspect.blocking(1), now_ms, source)
+        if (
+            suspect.crash_event_count(entry.crashes)
+            >= suspect.QUARANTINE_EVENT_COUNT
+        ):
+            self._block(
+                fingerprint, entry, suspect.quarantine_term(1), now_ms, source
+            )
         elif is_new:
-            self.on_news()
-            self._say(What.SUSPECTED, fingerprint, entry, source=source)
+            self.on_pending_notices()
+            self._say(ChangeKind.SUSPECTED, fingerprint, entry, source=source)
 
     def _block(
         self,
         fingerprint: str,
-        entry: suspect.Entry,
-        blocking: suspect.Blocking,
+        entry: suspect.SuspectRecord,
+        blocking: suspect.QuarantineTerm,
         now_ms: float,
         source: str = "",
     ) -> None:
@@ -245,49 +257,55 @@
         self._blocked[fingerprint] = entry
         self._blocked.move_to_end(fingerprint)
         _limit(self._blocked)
-        entry.blocked_count = blocking.count
-        entry.blocked_until_ms = now_ms + blocking.for_ms
-        entry.over_ms = now_ms + blocking.kept_for_ms
-        most_ms = SPREAD_RATIO * suspect.blocked_ms(blocking.count)
-        entry.spread_ms = self._random.uniform(0.0, most_ms)
-        entry.trying = False
-        entry.shared = True
+        entry.quarantine_count = blocking.count
+        entry.quarantined_until_ms = now_ms + blocking.duration_ms
+        entry.expires_ms = now_ms + blocking.retention_ms
+        most_ms = PROBE_JITTER_RATIO * suspect.quarantine_ms(blocking.count)
+        entry.probe_jitter_ms = self._random.uniform(0.0, most_ms)
+        entry.is_probing = False
+        entry.is_shared = True
         self._announce(fingerprint)
-        self._say(What.BLOCKED, fingerprint, entry, blocking.for_ms, source)
+        self._say(
+            ChangeKind.QUARANTINED,
+            fingerprint,
+            entry,
+            blocking.duration_ms,
+            source,
+        )
 
     def _clear(self, fingerprint: str, source: str) -> None:
         entry = self._suspected.pop(fingerprint, None)
         entry = self._blocked.pop(fingerprint, entry)
-        if entry.shared:
+        if entry.is_shared:
             self._announce(fingerprint)
-        self._say(What.CLEARED, fingerprint, entry, source=source)
+        self._say(ChangeKind.CLEARED, fingerprint, entry, source=source)
 
-    def forget_old(self, now_ms: float) -> None:
+    def expire(self, now_ms: float) -> None:
         """Forgets what is too old to mean anything."""
         for fingerprint, entry in tuple(self._suspected.items()):
-            if now_ms - entry.last_ms > suspect.SUSPECTED_MS:
+            if now_ms - entry.last_crash_ms > suspect.SUSPICION_TTL_MS:
                 del self._suspected[fingerprint]
-                self._say(What.FORGOTTEN, fingerprint, entry)
+                self._say(ChangeKind.EXPIRED, fingerprint, entry)
         for fingerprint, entry in tuple(self._blocked.items()):
             # Nobody has asked for it in all the time in which it may be tried.
-            if now_ms > entry.over_ms:
+            if now_ms > entry.expires_ms:
                 del self._blocked[fingerprint]
-                self._say(What.FORGOTTEN, fingerprint, entry)
+                self._say(ChangeKind.EXPIRED, fingerprint, entry)
 
     def _say(
         self,
-        what: What,
+        what: ChangeKind,
         fingerprint: str,
-        entry: suspect.Entry,
+        entry: suspect.SuspectRecord,
         for_ms: float = 0.0,
         source: str = "",
     ) -> None:
-        change = Change(
-            what=what,
+        change = SuspicionChange(
+            kind=what,
             fingerprint=fingerprint,
-            upstream_ids=tuple(each.upstream_id for each in entry.endings),
-            blocked_count=entry.blocked_count,
-            for_ms=for_ms,
+            upstream_ids=tuple(each.upstream_id for each in entry.crashes),
+            quarantine_count=entry.quarantine_count,
+            quarantine_ms=for_ms,
             source=source,
         )
         self.on_change(change)
@@ -297,11 +315,11 @@
     def _announce(self, fingerprint: str) -> None:
         self._news.pop(fingerprint, None)
         self._news[fingerprint] = None
-        if len(self._news) > LIMIT_COUNT:
+        if len(self._news) > ENTRY_LIMIT_COUNT:
             del self._news[next(iter(self._news))]
-        self.on_news()
+        self.on_pending_notices()
 
-    def take_news(
+    def pop_new_notices(
         self, most_count: int, now_ms: float
     ) -> tuple[notice.Suspect, ...]:
         """Takes out what others should know at once: the newest, blocked first.
@@ -314,15 +332,17 @@
         told = (self._told(each, now_ms) for each in names[:most_count])
         return tuple(each for each in told if each is not None)
 
-    def some(
+    def sample_notices(
         self, most_count: int, now_ms: float
     ) -> tuple[notice.Suspect, ...]:
         """Returns what others may have missed; what is blocked first."""
         names = self._sample(self._blocked, most_count)
-        shared = [name for name, e in self._suspected.items() if e.shared]
+        shared = [name for name, e in self._suspected.items() if e.is_shared]
         names += self._sample(shared, most_count - len(names))
         told = (self._told(each, now_ms) for each in names)
-        return tuple(each for each in told if each and suspect.lasts(each))
+        return tuple(
+            each for each in told if each and suspect.is_worth_sharing(each)
+        )
 
     def _sample(
         self, names: collections.abc.Collection[str], most_count: int
@@ -341,30 +361,32 @@
                 age_ms=now_ms - answered_ms,
                 cleared=True,
             )
-        return suspect.told(fingerprint, entry, now_ms)
+        return suspect.to_notice(fingerprint, entry, now_ms)
 
     # What is kept elsewhere.
 
-    def newest_blocked(
+    def newest_quarantined(
         self, most_count: int, now_ms: float
-    ) -> list[tuple[str, suspect.Entry]]:
+    ) -> list[tuple[str, suspect.SuspectRecord]]:
         """Returns the requests that were blocked last, with what is held."""
         newest = itertools.islice(reversed(self._blocked.items()), most_count)
         return [
             each
             for each in newest
-            if each[1].over_ms > now_ms + suspect.LAST_WORD_MS
+            if each[1].expires_ms > now_ms + suspect.SHARING_CUTOFF_MS
         ]
 
     def was_cleared(self, fingerprint: str) -> bool:
         """Whether a request is known to have been answered, last."""
-        return fingerprint in self._answered and not self.knows(fingerprint)
+        return fingerprint in self._answered and not self.is_tracked(
+            fingerprint
+        )
 
-    def take_told(
+    def merge_notice(
         self, each: notice.Suspect, source: str, now_ms: float
     ) -> None:
         """Takes another instance's word."""
-        if not self._enabled or not suspect.lasts(each):
+        if not self._enabled or not suspect.is_worth_sharing(each):
             return
         if each.fingerprint in self._trusted and not each.cleared:
             self._keep_answered(each.fingerprint, now_ms)
@@ -377,7 +399,7 @@
         elif each.blocked_count:
             self._take_blocked(each, at_ms, source, now_ms)
         elif each.fingerprint not in self._blocked:
-            endings = suspect.endings(each, now_ms)
+            endings = suspect.crashes_from_notice(each, now_ms)
             self._add(each.fingerprint, endings, now_ms, source)
 
     def _take_cleared(
@@ -387,7 +409,7 @@
             self._keep_answered(fingerprint, at_ms)
         entry = self._blocked.get(fingerprint)
         entry = entry or self._suspected.get(fingerprint)
-        if entry is not None and entry.last_ms <= at_ms:
+        if entry is not None and entry.last_crash_ms <= at_ms:
             self._clear(fingerprint, source)
 
     def _take_blocked(
@@ -398,22 +420,23 @@
         now_ms: float,
     ) -> None:
         entry = self._blocked.get(each.fingerprint)
-        if entry is not None and entry.blocked_count >= each.blocked_count:
+        if entry is not None and entry.quarantine_count >= each.blocked_count:
             return
         entry = entry or self._suspected.get(each.fingerprint)
-        entry = entry or suspect.Entry()
-        entry.last_ms = max(entry.last_ms, at_ms)
+        entry = entry or suspect.SuspectRecord()
+        entry.last_crash_ms = max(entry.last_crash_ms, at_ms)
         self._block(
             each.fingerprint,
             entry,
-            suspect.Blocking(
+            suspect.QuarantineTerm(
                 count=each.blocked_count,
-                for_ms=min(
-                    each.blocked_for_ms, suspect.blocked_ms(each.blocked_count)
+                duration_ms=min(
+                    each.blocked_for_ms,
+                    suspect.quarantine_ms(each.blocked_count),
                 ),
-                kept_for_ms=min(
+                retention_ms=min(
                     each.kept_for_ms,
-                    2 * suspect.blocked_ms(each.blocked_count),
+                    2 * suspect.quarantine_ms(each.blocked_count),
                 ),
             ),
             now_ms,
@@ -421,7 +444,9 @@
         )
 
 
-def _limit(entries: collections.OrderedDict[str, suspect.Entry]) -> None:
+def _limit(
+    entries: collections.OrderedDict[str, suspect.SuspectRecord],
+) -> None:
     """Drops the oldest of too many."""
-    while len(entries) > LIMIT_COUNT:
+    while len(entries) > ENTRY_LIMIT_COUNT:
         entries.popitem(last=False)
--- a/hyssoptack/policy/suspicion_test.py
+++ b/hyssoptack/policy/suspicion_test.py
@@ -10,25 +10,25 @@
 
 BAD = "00c0ffee"
 FREE, CARE, REFUSED = (
-    suspicion.Verdict.FREE,
-    suspicion.Verdict.WITH_CARE,
-    suspicion.Verdict.REFUSED,
+    suspicion.Verdict.UNRESTRICTED,
+    suspicion.Verdict.PROBE,
+    suspicion.Verdict.REFUSE,
 )
 
 
 def known(seed=1, **given):
-    return suspicion.Suspicions(random.Random(seed), **given)
+    return suspicion.SuspectRegistry(random.Random(seed), **given)
 
 
 def end(each, now_ms, name="", proven=True, fingerprint=BAD):
-    ending = suspect.Ending(
+    ending = suspect.UpstreamCrash(
         upstream_id=name or f"u-{now_ms}", at_ms=now_ms, proven=proven
     )
     each.note_ending(fingerprint, ending, now_ms)
 
 
 def block(each, now_ms=0.0, fingerprint=BAD):
-    for step in range(suspect.MOMENT_COUNT):
+    for step in range(suspect.QUARANTINE_EVENT_COUNT):
         end(each, now_ms + step, fingerprint=fingerprint)
 
 
@@ -74,7 +74,7 @@
     each = known()
     end(each, 0.0)
     end(each, 30.0)
-    each.note_answer(BAD, 40.0)
+    each.record_answer(BAD, 40.0)
     assert each.decide(BAD, 50.0) is FREE
     end(each, 60.0)
     assert each.decide(BAD, 70.0) is CARE
@@ -83,10 +83,10 @@
 def test_a_suspicion_without_a_further_end_is_forgotten():
     each = known()
     end(each, 0.0)
-    late_ms = suspect.SUSPECTED_MS + 1.0
+    late_ms = suspect.SUSPICION_TTL_MS + 1.0
     assert each.decide(BAD, late_ms) is FREE
-    each.forget_old(late_ms)
-    assert not each.holds_any
+    each.expire(late_ms)
+    assert not each.has_entries
 
 
 def test_a_blocked_request_is_tried_once_and_refused_for_longer_each_time():
@@ -94,27 +94,27 @@
     block(each)
     now_ms = 2.0
     for count in range(1, 7):
-        spread = 1.0 + suspicion.SPREAD_RATIO
-        assert each.decide(BAD, now_ms + 0.99 * suspect.blocked_ms(count)) is (
-            REFUSED
-        )
-        now_ms += spread * suspect.blocked_ms(count)
+        spread = 1.0 + suspicion.PROBE_JITTER_RATIO
+        assert each.decide(
+            BAD, now_ms + 0.99 * suspect.quarantine_ms(count)
+        ) is (REFUSED)
+        now_ms += spread * suspect.quarantine_ms(count)
         assert each.decide(BAD, now_ms) is CARE
         # While it is tried others are refused.
         assert each.decide(BAD, now_ms + 10.0) is REFUSED
         now_ms += 20.0
         end(each, now_ms)
         assert each.decide(BAD, now_ms) is REFUSED
-    assert suspect.blocked_ms(9) == suspect.BLOCKED_MOST_MS
+    assert suspect.quarantine_ms(9) == suspect.QUARANTINE_MAX_MS
 
 
 def test_a_request_that_has_become_harmless_is_served_again_after_one_try():
     one, other = known(1), known(2)
     block(one)
     tell(one, other, 5.0)
-    now_ms = 2.0 * suspect.BLOCKED_FIRST_MS
+    now_ms = 2.0 * suspect.QUARANTINE_MIN_MS
     assert one.decide(BAD, now_ms) is CARE
-    one.note_answer(BAD, now_ms + 30.0)
+    one.record_answer(BAD, now_ms + 30.0)
     tell(one, other, now_ms + 40.0)
     assert one.decide(BAD, now_ms + 50.0) is FREE
     assert other.decide(BAD, now_ms + 50.0) is FREE
@@ -125,7 +125,7 @@
     for seed in range(20):
         each = known(seed)
         block(each)
-        due_ms.add(round(each._blocked[BAD].spread_ms / 1_000.0))
+        due_ms.add(round(each._blocked[BAD].probe_jitter_ms / 1_000.0))
     assert len(due_ms) > 10
 
 
@@ -136,7 +136,7 @@
     tell(other, third, 20.0)
     assert third.decide(BAD, 30.0) is REFUSED
     tell(third, one, 40.0)
-    assert not one.take_news(9, 50.0)
+    assert not one.pop_new_notices(9, 50.0)
 
 
 def test_what_two_instances_have_each_seen_adds_up():
@@ -153,14 +153,14 @@
 def test_what_was_not_shared_is_not_told():
     each = known()
     end(each, 0.0)
-    assert not each.take_news(9, 1.0)
-    assert not each.some(9, 1.0)
+    assert not each.pop_new_notices(9, 1.0)
+    assert not each.sample_notices(9, 1.0)
 
 
 def test_old_word_does_not_bar_what_was_answered_since():
     one, other = known(1), known(2)
     block(one)
-    other.note_answer(BAD, 100.0)
+    other.record_answer(BAD, 100.0)
     tell(one, other, 200.0)
     assert other.decide(BAD, 210.0) is FREE
     # Who told so hears better.
@@ -172,7 +172,7 @@
     one, other = known(1), known(2)
     block(one)
     tell(one, other, 5.0)
-    one.trust([BAD], 10.0)
+    one.set_trusted([BAD], 10.0)
     tell(one, other, 15.0)
     assert one.decide(BAD, 20.0) is FREE
     assert other.decide(BAD, 20.0) is FREE
@@ -194,23 +194,23 @@
     each = known()
     for index in range(50_000):
         end(each, 0.1 * index, f"u{index}", fingerprint=f"{index:016x}")
-    assert each.suspected_count == suspicion.LIMIT_COUNT
+    assert each.suspected_count == suspicion.ENTRY_LIMIT_COUNT
     for index in range(20_000):
         block(each, 10_000.0 + index, f"{index + 10**6:016x}")
     held_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    assert each.blocked_count == suspicion.LIMIT_COUNT
+    assert each.quarantined_count == suspicion.ENTRY_LIMIT_COUNT
     # Under a tenth of what an instance may use (128 MB).
     assert held_bytes < 12_800_000
     # The newest is known, and the news are as many as are held at most.
     assert each.decide(f"{10**6 + 19_999:016x}", 40_000.0) is REFUSED
-    assert len(each._news) <= suspicion.LIMIT_COUNT
+    assert len(each._news) <= suspicion.ENTRY_LIMIT_COUNT
 
 
 def test_what_is_told_of_one_is_small():
     each = known()
     block(each)
-    (told,) = each.take_news(1, 10.0)
+    (told,) = each.pop_new_notices(1, 10.0)
     assert len(msgspec.msgpack.encode(told)) < 150
 
 
@@ -220,8 +220,8 @@
         end(each, 1.0, f"u{index}", fingerprint=f"{index:016x}")
         each.share(f"{index:016x}")
     block(each, 10.0)
-    assert each.take_news(1, 20.0)[0].fingerprint == BAD
-    assert each.some(1, 20.0)[0].fingerprint == BAD
+    assert each.pop_new_notices(1, 20.0)[0].fingerprint == BAD
+    assert each.sample_notices(1, 20.0)[0].fingerprint == BAD
 
 
 def _gossip(instances, now_ms):
@@ -242,22 +242,22 @@
     instances[0].share(BAD)
     block(instances[1], 0.0, fingerprint="0ddba11")
     now_ms = 0.0
-    while now_ms < 4 * suspect.BLOCKED_FIRST_MS:
+    while now_ms < 4 * suspect.QUARANTINE_MIN_MS:
         _gossip(instances, now_ms)
         now_ms += 1_000.0
-        if 5_000.0 < now_ms < suspect.SUSPECTED_MS:
-            assert all(each.knows(BAD) for each in instances)
-        if 5_000.0 < now_ms < 1.9 * suspect.BLOCKED_FIRST_MS:
-            assert all(each.knows("0ddba11") for each in instances)
-    assert not any(each.holds_any for each in instances)
+        if 5_000.0 < now_ms < suspect.SUSPICION_TTL_MS:
+            assert all(each.is_tracked(BAD) for each in instances)
+        if 5_000.0 < now_ms < 1.9 * suspect.QUARANTINE_MIN_MS:
+            assert all(each.is_tracked("0ddba11") for each in instances)
+    assert not any(each.has_entries for each in instances)
 
 
 def test_a_try_at_the_last_moment_is_seen_to_its_end():
     each = known()
     block(each)
-    now_ms = each._blocked[BAD].over_ms - 10.0
+    now_ms = each._blocked[BAD].expires_ms - 10.0
     assert each.decide(BAD, now_ms) is CARE
-    each.forget_old(now_ms + 50.0)
+    each.expire(now_ms + 50.0)
     end(each, now_ms + 60.0)
     assert each.decide(BAD, now_ms + 70.0) is REFUSED
 
@@ -265,15 +265,15 @@
 def test_an_instance_that_hears_late_of_a_blocked_request_tries_it_with_care():
     one, other = known(1), known(2)
     block(one)
-    late_ms = 1.6 * suspect.BLOCKED_FIRST_MS
-    for told in one.some(9, late_ms):
-        other.take_told(told, "g-1", late_ms)
-    assert other.decide(BAD, 1.9 * suspect.BLOCKED_FIRST_MS) is not FREE
+    late_ms = 1.6 * suspect.QUARANTINE_MIN_MS
+    for told in one.sample_notices(9, late_ms):
+        other.merge_notice(told, "g-1", late_ms)
+    assert other.decide(BAD, 1.9 * suspect.QUARANTINE_MIN_MS) is not FREE
 
 
 def test_who_trusts_a_request_corrects_those_who_block_it():
     one, other = known(1), known(2)
-    one.trust([BAD], 0.0)
+    one.set_trusted([BAD], 0.0)
     block(other, 10.0)
     tell(other, one, 20.0)
     tell(one, other, 30.0)
--- a/hyssoptack/policy/warmup.py
+++ b/hyssoptack/policy/warmup.py
@@ -57,7 +57,7 @@
     total_count = max(1, int(SHARED_RATIO * limit_count))
     name = f"warmup/{own.failure_domain}"
     ranked = sorted(
-        gatherers.widest((own, *others)),
+        gatherers.widest_link_peers((own, *others)),
         key=lambda each: rendezvous.rank(name, each.instance_id),
     )
     sharing = ranked[:total_count]
--- a/hyssoptack/relay/relay.py
+++ b/hyssoptack/relay/relay.py
@@ -39,7 +39,7 @@
         self,
         settings: instance.RelaySettings,
         upstream_client: client.UpstreamClient,
-        upstream_health: health.Health,
+        upstream_health: health.HealthTracker,
         on_drain: DrainSink,
     ):
         self._settings = settings
@@ -201,7 +201,7 @@
     def _learn(
         self, service: str, reply: message.UpstreamReply, now_ms: float
     ) -> None:
-        changed = self._health.note(service, reply, now_ms)
+        changed = self._health.record_reply(service, reply, now_ms)
         if changed and self._health.is_draining(reply.upstream_id, now_ms):
             self._on_drain(reply.upstream_id)
 
@@ -279,7 +279,7 @@
             self._action_count -= 1
         match result:
             case client.DidNotRun(draining=True):
-                if self._health.drain_seen(
+                if self._health.record_drain(
                     upstream.upstream_id, clock.now_ms()
                 ):
                     self._on_drain(upstream.upstream_id)
--- a/hyssoptack/revisions/change.py
+++ b/hyssoptack/revisions/change.py
@@ -204,7 +204,7 @@
                 now = _read_again(client)
         if now is None:
             break
-        match revision.settle(
+        match revision.resolve_lost_write(
             now.manifest, head.revision(), manifest.change_id
         ):
             case revision.Applied(revision=number):
@@ -212,7 +212,7 @@
             case revision.Overtaken(by=by):
                 differs = changed(by.parts, manifest.parts)
                 return Overtaken(by=by, changed_parts=differs)
-            case revision.TryAgain():
+            case revision.NotWritten():
                 continue
     return Unsettled(change_id=manifest.change_id, detail=detail)
 
--- a/hyssoptack/revisions/configuration.py
+++ b/hyssoptack/revisions/configuration.py
@@ -100,7 +100,7 @@
         manifest = read_manifest(text)
         if manifest is None:
             return Ignored(reason="the head is no manifest")
-        if not revision.is_later(self.revision(), manifest.revision):
+        if not revision.is_newer(self.revision(), manifest.revision):
             if manifest.revision < self.revision():
                 log.write(
                     log.Event.CONFIG_OLDER,
--- a/hyssoptack/revisions/follower.py
+++ b/hyssoptack/revisions/follower.py
@@ -72,7 +72,7 @@
         for upstream_id in listing.leaving_upstream_ids:
             # The list may only make us more careful, never less.
             view = self._state.upstream_health.upstreams[upstream_id]
-            view.take("listed_leaving", now_ms)
+            view.apply_event("listed_leaving", now_ms)
 
     async def follow_config(self) -> None:
         """Keeps the configuration up to date while the instance runs."""
@@ -94,7 +94,7 @@
         """Tells whether this instance watches the store for its domain."""
         settings = self._state.settings
         now_ms = clock.now_ms()
-        names = membership.assumed(
+        names = membership.recently_seen(
             self._state.roster,
             settings.failure_domain,
             settings.platform.instance_list_lag_ms,
