--- a/bench/baseline_entry.py
+++ b/bench/baseline_entry.py
@@ -13,7 +13,7 @@
 application = cyclopts.App(name="baseline-entry")
 
 
-def _hedging(text: str) -> hedging.Hedging:
+def _hedging(text: str) -> hedging.HedgePolicy:
     if text == "none":
         return hedging.NoHedge()
     if text.startswith("fixed:"):
--- a/bench/slopes/memory.py
+++ b/bench/slopes/memory.py
@@ -43,7 +43,11 @@
     plans = []
     for number in range(count):
         plan = queryplan.QueryPlan(
-            example.asked(number=number), example.profile(), service, know, 0.0
+            example.browsing_query(number=number),
+            example.profile(),
+            service,
+            know,
+            0.0,
         )
         plans.append((plan, plan.start(0.0)))
     return plans
--- a/bench/slopes/plan.py
+++ b/bench/slopes/plan.py
@@ -16,11 +16,15 @@
     """Runs one query; returns the processor ms of its decisions alone."""
     with fit.Stopwatch() as first:
         plan = queryplan.QueryPlan(
-            example.asked(number=number), example.profile(), current, know, 0.0
+            example.browsing_query(number=number),
+            example.profile(),
+            current,
+            know,
+            0.0,
         )
         commands = plan.start(0.0)
     asks = [each for each in commands if isinstance(each, querycommand.Send)]
-    replies = [example.answer_to(ask, current) for ask in asks]
+    replies = [example.answer_reply(ask, current) for ask in asks]
     with fit.Stopwatch() as second:
         for reply in replies:
             know.upstream_health.note(current.name, reply, 1.0)
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -59,7 +59,7 @@
 class Replay:
     """One run of the decisions over a trace, in virtual time."""
 
-    def __init__(self, trace: Trace, hedges: hedging.Hedging):
+    def __init__(self, trace: Trace, hedges: hedging.HedgePolicy):
         self._service = example.service(len(trace.upstream_ms) // 3, 3)
         self._know = example.knowledge(self._service, hedges)
         self._times = {
@@ -89,7 +89,7 @@
     def _step(self, now_ms: float, kind: str, number: int, body) -> None:
         if kind == "start":
             plan = queryplan.QueryPlan(
-                example.asked(number=number),
+                example.browsing_query(number=number),
                 example.profile(),
                 self._service,
                 self._know,
@@ -117,7 +117,7 @@
             match command:
                 case querycommand.Send():
                     took_ms = next(self._times[command.path.upstream_id])
-                    reply = example.answer_to(
+                    reply = example.answer_reply(
                         command, self._service, service_ms=took_ms
                     )
                     at_ms = now_ms + took_ms + HOP_MS
--- a/bench/workscale.py
+++ b/bench/workscale.py
@@ -65,11 +65,11 @@
 def play(work_ms: float, seed: int) -> Tally:
     """Plays a minute of calls."""
     source = random.Random(seed)
-    known = placing.Placing(
-        placing.PlacingSettings(failure_domain=OWN, crossing_ratio=1.5)
+    known = placing.LoadBalancer(
+        placing.LoadBalancerSettings(failure_domain=OWN, crossing_ratio=1.5)
     )
     names = (OWN, *FAR)
-    known.install({name: _upstream(name) for name in names}, 0.0)
+    known.set_upstreams({name: _upstream(name) for name in names}, 0.0)
     tally = Tally()
     running: list[tuple[float, float, str]] = []
     now_ms = 0.0
@@ -77,10 +77,10 @@
         now_ms += source.expovariate(CALLS_PER_S / 1_000.0)
         while running and running[0][0] <= now_ms:
             end_ms, sent_ms, name = heapq.heappop(running)
-            known.ended(name)
-            known.answered("r", name, end_ms - sent_ms, end_ms)
+            known.end_call(name)
+            known.record_answer("r", name, end_ms - sent_ms, end_ms)
         name = known.choose("r", "s", frozenset(), now_ms).upstream_id
-        known.sent(name, now_ms)
+        known.begin_call(name, now_ms)
         took_ms = _took_ms(name, work_ms, now_ms, source)
         heapq.heappush(running, (now_ms + took_ms, now_ms, name))
         if SLOW_FROM_MS + 1_000.0 <= now_ms < SLOW_TO_MS:
--- a/hyssoptack/entry/daemon.py
+++ b/hyssoptack/entry/daemon.py
@@ -49,7 +49,7 @@
     def __init__(
         self,
         settings: instance.InstanceSettings,
-        hedges: hedging.Hedging,
+        hedges: hedging.HedgePolicy,
         admits: admission.Policy,
     ):
         self._settings = settings
@@ -326,7 +326,7 @@
 
 async def _main(
     settings: instance.InstanceSettings,
-    hedges: hedging.Hedging,
+    hedges: hedging.HedgePolicy,
     admits: admission.Policy,
 ) -> None:
     asyncio.get_running_loop().set_exception_handler(_on_loop_error)
@@ -338,7 +338,7 @@
 
 def run(
     settings: instance.InstanceSettings,
-    hedges: hedging.Hedging | None = None,
+    hedges: hedging.HedgePolicy | None = None,
     admits: admission.Policy | None = None,
 ) -> None:
     """Runs an entry instance until it is told to stop.
--- a/hyssoptack/entry/operations.py
+++ b/hyssoptack/entry/operations.py
@@ -204,7 +204,9 @@
             peer_traffic=parts.links.counters,
             admission_limits=limits,
             extra_call_tokens={
-                name: round(parts.state.budgets.of(name).token_count, 2)
+                name: round(
+                    parts.state.budgets.for_service(name).token_count, 2
+                )
                 for name in parts.state.catalog.services
             },
             upstream_p95_ms={
--- a/hyssoptack/entry/state.py
+++ b/hyssoptack/entry/state.py
@@ -38,7 +38,7 @@
     def __init__(
         self,
         settings: instance.InstanceSettings,
-        hedges: hedging.Hedging,
+        hedges: hedging.HedgePolicy,
     ):
         self.settings = settings
         self.chart_state = _CHART.initial
@@ -52,7 +52,7 @@
             maxlen=LATELY_COUNT
         )
         self.upstream_health = health.HealthTracker()
-        self.budgets = budget.Book()
+        self.budgets = budget.ServiceBudgets()
         self.router = routing.Router(settings.instance_id, self.upstream_health)
         self.knowledge = queryplan.QueryPlanContext(
             router=self.router,
--- a/hyssoptack/gateway/beliefs.py
+++ b/hyssoptack/gateway/beliefs.py
@@ -38,7 +38,7 @@
             kept a while.
     """
 
-    load_balancer: placing.Placing
+    load_balancer: placing.LoadBalancer
     pools: pool.Pools
     on_configuration: collections.abc.Callable[[traffic.Configuration], None]
     route_table: routetable.RouteTable = dataclasses.field(
@@ -137,7 +137,7 @@
             for upstream_id, upstream in self.upstreams.items()
             if upstream.failure_domain not in self._evacuated
         }
-        self.load_balancer.install(usable, now_ms, returning)
+        self.load_balancer.set_upstreams(usable, now_ms, returning)
         self.pools.keep_only(
             {
                 upstream_id
--- a/hyssoptack/gateway/budgetshare.py
+++ b/hyssoptack/gateway/budgetshare.py
@@ -23,7 +23,7 @@
 
 def even_share(
     shared: gateway.BudgetSettings, known_count: int
-) -> extrawindow.Share:
+) -> extrawindow.BudgetShare:
     """Returns an instance's part where each has as much.
 
     Args:
@@ -40,7 +40,7 @@
     known_count: int,
     domain_count: int,
     link_ratio: float,
-) -> extrawindow.Share:
+) -> extrawindow.BudgetShare:
     """Returns an instance's part for calls of queries.
 
     Queries are handed to those with wide links, and so is half of the slack,
@@ -63,7 +63,7 @@
 
 
 def update_shares(
-    book: extrawindow.Book,
+    book: extrawindow.WindowBudget,
     settings: gateway.GatewaySettings,
     readers: readership.ReaderElection,
 ) -> None:
@@ -82,9 +82,9 @@
 
 def _share(
     shared: gateway.BudgetSettings, slack_ratio: float
-) -> extrawindow.Share:
+) -> extrawindow.BudgetShare:
     slack_count = USED_SLACK_RATIO * shared.slack_count * slack_ratio
-    return extrawindow.Share(
+    return extrawindow.BudgetShare(
         ratio=USED_EXTRA_RATIO * shared.ratio,
         slack_count=slack_count,
         window_ms=shared.window_ms,
--- a/hyssoptack/gateway/daemon.py
+++ b/hyssoptack/gateway/daemon.py
@@ -89,12 +89,12 @@
         self._settings = settings
         self._path = path
         self._pools = pool.Pools(headers.REQUEST_ID)
-        self._warmups = warmup.Warmups(
+        self._warmups = warmup.WarmupLimiter(
             parts.own_peer(settings),
             settings.warmup,
             clock.now_ms(),
         )
-        self._placing = placing.Placing(
+        self._placing = placing.LoadBalancer(
             parts.load_balancer_settings(settings), self._warmups
         )
         self.view = beliefs.ReplicatedView(
@@ -108,7 +108,7 @@
             settings.failure_domain,
             readership.read_timings(settings.propagation_bound_ms),
         )
-        self._extra_calls = extrawindow.Book(
+        self._extra_calls = extrawindow.WindowBudget(
             budgetshare.even_share(settings.budget, 0), clock.now_ms()
         )
         self._reach = reach.PartitionDetector()
@@ -193,11 +193,11 @@
         self._stop = asyncio.Event()
         self._ports = ports.Listeners()
 
-    def _knowledge(self) -> knowing.Knowledge:
-        return knowing.Knowledge(
-            placing=self._placing,
-            extra_calls=self._extra_calls,
-            domains=self._reach,
+    def _knowledge(self) -> knowing.PlanContext:
+        return knowing.PlanContext(
+            load_balancer=self._placing,
+            extra_call_budget=self._extra_calls,
+            partition_detector=self._reach,
             mechanisms=self._settings.mechanisms,
             suspicions=self._suspicions,
         )
@@ -231,8 +231,8 @@
 
     def _on_configuration(self, offered: traffic.Configuration) -> None:
         self._callers.limits = offered.limits
-        self._warmups.install_services(offered.services)
-        self._extra_calls.gathered = offered.shard_services
+        self._warmups.set_services(offered.services)
+        self._extra_calls.gathered_services = offered.shard_services
 
     def _on_reach(self) -> None:
         """Lets callers find another instance while this one is cut off."""
@@ -400,7 +400,7 @@
         """Takes a new list of instances: shares go by their number."""
         self._delegating.selector.install(self.reader_election.neighbours())
         self._relaying.selector.install(far_gatherers)
-        self._warmups.install_instances(
+        self._warmups.update_instances(
             self.reader_election.neighbours(), clock.now_ms()
         )
         own_count = len(self.reader_election.neighbours()) + 1
--- a/hyssoptack/gateway/delegating.py
+++ b/hyssoptack/gateway/delegating.py
@@ -278,7 +278,7 @@
         self._peer = peer
         self._ask_id = ask_id
         self._state = _State.SENT
-        self._hop_ms = owner.selector.hop_delays.usual_ms
+        self._hop_ms = owner.selector.hop_delays.estimate_ms
         self._goal_at_ms = query.goal_at_ms(clock.now_ms())
         self._timer: asyncio.TimerHandle | None = None
 
@@ -400,7 +400,7 @@
         if headers.has_missing_parts(reply):
             # Given at the goal: the rest is what the way back took.
             late_ms = clock.now_ms() - self._goal_at_ms
-            self._owner.selector.hop_delays.note(self._hop_ms + late_ms)
+            self._owner.selector.hop_delays.record(self._hop_ms + late_ms)
         log.write(
             log.Event.QUERY_HANDED,
             request_id=self._query.request_id,
--- a/hyssoptack/gateway/evacuation_test.py
+++ b/hyssoptack/gateway/evacuation_test.py
@@ -140,7 +140,9 @@
                 gateway.view.load_balancer.settings, failure_domain="south"
             )
             gateway._serving.connection_limit_count = lambda _: 1
-            gateway.view.load_balancer.standings["n3"].ejected_until_ms = 1e15
+            gateway.view.load_balancer.upstream_states[
+                "n3"
+            ].ejected_until_ms = 1e15
             site.services["s3"].manners.delay_ms = 700.0
             calls = [
                 asyncio.create_task(
--- a/hyssoptack/gateway/following_test.py
+++ b/hyssoptack/gateway/following_test.py
@@ -25,8 +25,8 @@
 def follower(list_age_ms):
     """A follower that had lost the store, with a list of some age."""
     settings = types.SimpleNamespace(lease_ms=1_000.0, lease_min_ms=1_000.0)
-    placed = placing.Placing(
-        placing.PlacingSettings(failure_domain="north", crossing_ratio=1.5)
+    placed = placing.LoadBalancer(
+        placing.LoadBalancerSettings(failure_domain="north", crossing_ratio=1.5)
     )
     believed = beliefs.ReplicatedView(
         load_balancer=placed,
@@ -178,15 +178,15 @@
     _, believed = follower(list_age_ms=0.0)
     now_ms = clock.now_ms()
     placed = believed.load_balancer
-    placed.sent("a", 0.0)
-    placed.unreachable("a", now_ms)
+    placed.begin_call("a", 0.0)
+    placed.record_connect_failure("a", now_ms)
     again = dataclasses.replace(
         callplan_test.upstream("a"), upstream_id="a#2", listed_id="a"
     )
     believed.apply_list({"a#2": again}, 2, now_ms)
-    placed.ended("a")
-    placed.answered("r", "a", 900.0, now_ms)
-    standing = placed.standings["a#2"]
+    placed.end_call("a")
+    placed.record_answer("r", "a", 900.0, now_ms)
+    standing = placed.upstream_states["a#2"]
     assert standing.in_flight_count == 0
     assert standing.ejected_until_ms <= now_ms
     assert standing.slowness_ratio == 1.0
--- a/hyssoptack/gateway/gathering.py
+++ b/hyssoptack/gateway/gathering.py
@@ -106,8 +106,8 @@
         self._timer: asyncio.TimerHandle | None = None
         self._end_timer: asyncio.TimerHandle | None = None
         self._to_goal_ms = max(0.0, ask.to_goal_ms)
-        self._times = hedgetime.HedgeTime(
-            owner.view.load_balancer.typical(ask.route_name),
+        self._times = hedgetime.HedgeTiming(
+            owner.view.load_balancer.latency_of(ask.route_name),
             self._to_goal_ms,
             self._started_ms + self._to_goal_ms,
             self._started_ms,
@@ -123,11 +123,11 @@
     def start(self) -> None:
         """Makes the calls."""
         for each in self._ask.calls:
-            upstream = self._owner.view.load_balancer.usable(
+            upstream = self._owner.view.load_balancer.usable_upstream(
                 each.upstream_id, RELAYED_RANK, self._started_ms
             )
             if upstream is None:
-                reason = callresult.NOT_LISTED_THERE
+                reason = callresult.NOT_LISTED_AT_GATHERER
                 self._ready.append(_spared(each.call_id, reason))
             else:
                 self._call(each.call_id, upstream)
@@ -141,7 +141,7 @@
 
     def _call(self, call_id: int, upstream: traffic.Upstream) -> None:
         self._open[call_id] = upstream.upstream_id
-        self._owner.view.load_balancer.sent(
+        self._owner.view.load_balancer.begin_call(
             upstream.upstream_id, self._started_ms
         )
         job = pool.Job(
@@ -168,9 +168,9 @@
         upstream_id = self._open.pop(call_id)
         read = headers.call_outcome(outcome, is_part=True)
         known = self._owner.view.load_balancer
-        known.ended(upstream_id)
+        known.end_call(upstream_id)
         # The asking instance learns from the call as well.
-        calllearning.learn(
+        calllearning.record_outcome(
             known,
             self._ask.route_name,
             upstream_id,
@@ -178,9 +178,9 @@
             read,
             now_ms,
         )
-        answered = read.kind is callcommand.Kind.ANSWERED
+        answered = read.kind is callcommand.OutcomeKind.ANSWERED
         if answered:
-            self._times.note_answer(now_ms)
+            self._times.record_answer(now_ms)
         self._ready.append(self._told_outcome(call_id, read))
         # What failed may be sent again, and what is late is waited for.
         if not self._open or not answered or self._told:
@@ -193,7 +193,8 @@
     ) -> notice.RelayedOutcome:
         match read:
             case callcommand.Outcome(
-                kind=callcommand.Kind.ANSWERED, reply=message.Reply() as reply
+                kind=callcommand.OutcomeKind.ANSWERED,
+                reply=message.Reply() as reply,
             ):
                 top = records.greatest((reply.body,), self._ask.top_count)
                 signed = headers.signature(reply)
@@ -206,7 +207,7 @@
             reached=read.reached,
             signature=signed,
             records=top,
-            ended=read.ended,
+            ended=read.upstream_exited,
         )
 
     # Telling.
@@ -216,7 +217,7 @@
             return
         if self._timer is not None:
             self._timer.cancel()
-        dry_ms = self._times.dry_at_ms()
+        dry_ms = self._times.stall_at_ms()
         due_ms = self._started_ms + gatherers.REPORT_RATIO * self._to_goal_ms
         if dry_ms is not None:
             due_ms = min(due_ms, dry_ms)
@@ -261,7 +262,7 @@
         for call in self._calls.values():
             call.cancel()
         for upstream_id in self._open.values():
-            self._owner.view.load_balancer.ended(upstream_id)
+            self._owner.view.load_balancer.end_call(upstream_id)
         self._calls.clear()
         self._open.clear()
         key = self._ask.sender_address, self._ask.ask_id
@@ -272,7 +273,7 @@
     """Returns the outcome of a call that was not made."""
     return notice.RelayedOutcome(
         call_id=call_id,
-        kind=callcommand.Kind.NOT_RUN.value,
+        kind=callcommand.OutcomeKind.NOT_RUN.value,
         reason=reason,
         reached=False,
     )
--- a/hyssoptack/gateway/parts.py
+++ b/hyssoptack/gateway/parts.py
@@ -7,9 +7,9 @@
 
 def load_balancer_settings(
     settings: gateway.GatewaySettings,
-) -> placing.PlacingSettings:
+) -> placing.LoadBalancerSettings:
     """Returns how upstreams are weighed."""
-    return placing.PlacingSettings(
+    return placing.LoadBalancerSettings(
         failure_domain=settings.failure_domain,
         crossing_ratio=settings.crossing_ratio,
         mechanisms=settings.mechanisms,
--- a/hyssoptack/gateway/peering.py
+++ b/hyssoptack/gateway/peering.py
@@ -192,7 +192,7 @@
         """Tells neighbours of calls that matter, for as long as it runs."""
         while True:
             await asyncio.sleep(CALLS_PERIOD_S)
-            calls = self._beliefs.load_balancer.seen_calls(clock.now_ms())
+            calls = self._beliefs.load_balancer.calls_to_share(clock.now_ms())
             if not calls or self._links is None:
                 continue
             made = notice.LatencyNotice(
@@ -223,7 +223,9 @@
                 case notice.ViewRequest():
                     self._answer_wanted(each)
                 case notice.LatencyNotice(seen_calls=seen_calls):
-                    self._beliefs.load_balancer.told(seen_calls, clock.now_ms())
+                    self._beliefs.load_balancer.merge_neighbour_calls(
+                        seen_calls, clock.now_ms()
+                    )
                 case _:
                     self.on_message(each)
         if received.decoded.dropped_count:
--- a/hyssoptack/gateway/reaching.py
+++ b/hyssoptack/gateway/reaching.py
@@ -88,7 +88,7 @@
         return reach.CheckResult(
             others_alive=any(far_alive) or not far,
             store_alive=store_alive,
-            covers_all_services=self._beliefs.load_balancer.covers_near(
+            covers_all_services=self._beliefs.load_balancer.own_domain_covers(
                 self._services()
             ),
         )
--- a/hyssoptack/gateway/relaying.py
+++ b/hyssoptack/gateway/relaying.py
@@ -20,7 +20,7 @@
 
 Send = collections.abc.Callable[[str, notice.Message], None]
 
-KINDS_BY_NAME = {each.value: each for each in callcommand.Kind}
+KINDS_BY_NAME = {each.value: each for each in callcommand.OutcomeKind}
 """What a call's outcome may be, by its name in messages."""
 
 OnOutcomes = collections.abc.Callable[
@@ -202,7 +202,9 @@
         self._log("link_lost" if sent else "unreachable")
         self._end()
         outcome = callcommand.Outcome(
-            kind=callcommand.Kind.FAILED if sent else callcommand.Kind.NOT_RUN,
+            kind=callcommand.OutcomeKind.FAILED
+            if sent
+            else callcommand.OutcomeKind.NOT_RUN,
             reason=callresult.GATHERER_LOST,
             reached=sent,
         )
@@ -234,14 +236,14 @@
 
 
 def _outcome(told: notice.RelayedOutcome) -> callcommand.Outcome:
-    kind = KINDS_BY_NAME.get(told.kind, callcommand.Kind.FAILED)
+    kind = KINDS_BY_NAME.get(told.kind, callcommand.OutcomeKind.FAILED)
     reply = None
-    if kind is callcommand.Kind.ANSWERED:
+    if kind is callcommand.OutcomeKind.ANSWERED:
         reply = headers.relayed_part(told.signature, told.records)
     return callcommand.Outcome(
         kind=kind,
         reply=reply,
         reason=told.reason,
         reached=told.reached,
-        ended=told.ended,
+        upstream_exited=told.ended,
     )
--- a/hyssoptack/gateway/relaying_test.py
+++ b/hyssoptack/gateway/relaying_test.py
@@ -118,7 +118,9 @@
             await _across(site, both=True)
             south = site.gateways["south"]
             for index in range(SHARD_COUNT):
-                standing = south.view.load_balancer.standings[f"i-{index}"]
+                standing = south.view.load_balancer.upstream_states[
+                    f"i-{index}"
+                ]
                 object.__setattr__(standing.upstream, "draining", True)
             got = await site.get("/all/x", "r1", name="north")
             assert got.status == 200
--- a/hyssoptack/gateway/running.py
+++ b/hyssoptack/gateway/running.py
@@ -67,11 +67,11 @@
             if facts.deadline_ms is not None
             else found.route.timeout_ms
         )
-        self._ask = callcommand.Ask(
+        self._ask = callcommand.PlanRequest(
             route=found.route,
             services=found.services,
             goal_at_ms=query.goal_at_ms(self._now_ms),
-            ends_at_ms=received_ms + self._wait_ms,
+            deadline_at_ms=received_ms + self._wait_ms,
             may_have_run=may_have_run,
             awaits_grant=awaits_grant,
             fingerprint=query.fingerprint,
@@ -125,9 +125,9 @@
                 upstream_id=each.upstream.upstream_id,
                 service=each.upstream.service,
                 sent_ms=self._now_ms,
-                extra=each.extra,
+                extra=each.extra_reason,
             )
-            if each.extra:
+            if each.extra_reason:
                 self._log_extra(each)
             domain = each.upstream.failure_domain
             if self._is_for_others(each):
@@ -151,8 +151,8 @@
         """
         return (
             self._may_relay
-            and each.must_cross
-            and not each.careful
+            and each.cross_domain_only
+            and not each.is_probe
             and self._owner.can_relay_to(each.upstream.failure_domain)
         )
 
@@ -177,7 +177,7 @@
         relayed = self._owner.call_relay.relay(peer, query, calls)
         self._relayed.append(relayed)
         call_ids = [each.call_id for each in calls]
-        self._plan.note_relayed(call_ids, relayed.overdue_at_ms)
+        self._plan.record_relayed(call_ids, relayed.overdue_at_ms)
 
     def _send(self, command: callcommand.Send) -> None:
         upstream = command.upstream
@@ -187,8 +187,8 @@
             build_request=lambda: self._data(call_id, upstream),
             request_id=self._facts.request_id,
             is_head=self._exchange.request.method == b"HEAD",
-            needs_new_connection=command.careful or not self._route.idempotent,
-            needs_recent_connection=bool(command.extra),
+            needs_new_connection=command.is_probe or not self._route.idempotent,
+            needs_recent_connection=bool(command.extra_reason),
             on_outcome=lambda outcome: self._on_outcome(call_id, outcome),
             fingerprint=self.fingerprint,
         )
@@ -196,10 +196,10 @@
         call = self._owner.view.pools.call(job, limit_count)
         self._calls[call_id] = call
         if call.connection is None:
-            self._plan.calls.note_waiting(call_id)
+            self._plan.calls.mark_unsent(call_id)
 
     def _data(self, call_id: int, upstream: traffic.Upstream) -> bytes:
-        self._plan.calls.note_sent(call_id)
+        self._plan.calls.mark_sent(call_id)
         remaining_ms = self._deadline_at_ms - clock.now_ms()
         return headers.upstream_request(self._common, upstream, remaining_ms)
 
@@ -214,7 +214,7 @@
         trace = self._traces[call_id]
         trace.outcome = outcome
         trace.took_ms = clock.now_ms() - trace.sent_ms
-        answered = outcome == callcommand.Kind.ANSWERED.value
+        answered = outcome == callcommand.OutcomeKind.ANSWERED.value
         self._owner.metrics.record_call(
             trace.service, outcome, trace.took_ms if answered else None
         )
@@ -250,13 +250,13 @@
             if self._traces[call_id].outcome == calltrace.OPEN:
                 self._note_outcome(call_id, read)
             commands.extend(self._plan.on_outcome(call_id, read, self._now_ms))
-        commands.extend(self._plan.on_dried_up(waiting, self._now_ms))
+        commands.extend(self._plan.on_stalled(waiting, self._now_ms))
         self._carry(commands)
 
     def _arm(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._due_ms = max(self._now_ms, self._plan.next_time_ms())
+        self._due_ms = max(self._now_ms, self._plan.next_deadline_ms())
         self._wake_after(self._due_ms - self._now_ms)
 
     def _wake_after(self, wait_ms: float) -> None:
@@ -272,27 +272,27 @@
             return
         for each in self._relayed:
             each.check_overdue(self._now_ms)
-        self._carry(self._plan.on_time(self._now_ms))
+        self._carry(self._plan.on_timeout(self._now_ms))
 
     def on_attempts_granted(self) -> None:
         """Takes that the sender will not take the request back."""
         self._now_ms = clock.now_ms()
-        self._carry(self._plan.on_granted(self._now_ms))
+        self._carry(self._plan.on_attempts_granted(self._now_ms))
 
     def on_partition(self) -> None:
         """Gives up on other failure domains."""
         self._now_ms = clock.now_ms()
-        self._carry(self._plan.on_cut(self._now_ms))
+        self._carry(self._plan.on_partition(self._now_ms))
 
     def on_quarantined(self) -> None:
         """Gives up a request that was found to crash upstreams."""
         self._now_ms = clock.now_ms()
-        self._carry(self._plan.on_blocked(self._now_ms))
+        self._carry(self._plan.on_quarantined(self._now_ms))
 
     def _left(self) -> None:
         """Cancels everything: nobody waits for the answer."""
         self._now_ms = clock.now_ms()
-        self._carry(self._plan.abandon(self._now_ms))
+        self._carry(self._plan.on_caller_left(self._now_ms))
         self._end(0, "caller_left")
 
     def _finish(self, result: callcommand.Result) -> None:
@@ -371,7 +371,7 @@
             version_age_ms=round(now_ms - self._owner.view.config_applied_ms),
             list_age_ms=round(now_ms - self._owner.view.list_read_ms),
             attempts_count=self._plan.attempts.limit_count,
-            widest_count=self._plan.widest_count,
+            widest_count=self._plan.max_reached_count,
             calls=[each.describe(started_ms) for each in self._traces.values()],
             **self._named(),
         )
@@ -389,19 +389,19 @@
         labels = {"route": self._route.name}
         counted.requests.inc({**labels, "status": str(status)})
         counted.request_ms.observe(labels, took_ms)
-        if self._plan.widest_count >= self._plan.attempts.limit_count:
+        if self._plan.max_reached_count >= self._plan.attempts.limit_count:
             counted.requests_at_attempt_limit.inc(labels)
 
     def _log_extra(self, command: callcommand.Send) -> None:
         self._owner.metrics.extra_calls.inc(
-            {"service": command.upstream.service, "why": command.extra}
+            {"service": command.upstream.service, "why": command.extra_reason}
         )
         log.write(
             log.Event.CALL_EXTRA,
             request_id=self._facts.request_id.decode("latin-1"),
             upstream=command.upstream.upstream_id,
             service=command.upstream.service,
-            why=command.extra,
+            why=command.extra_reason,
             after_ms=round(self._now_ms - self._exchange.request.received_ms),
         )
 
--- a/hyssoptack/gateway/serving.py
+++ b/hyssoptack/gateway/serving.py
@@ -36,7 +36,7 @@
     def __init__(
         self,
         believed: beliefs.ReplicatedView,
-        knowledge: knowing.Knowledge,
+        knowledge: knowing.PlanContext,
         failure_domain: str,
         counted: metrics.Metrics,
     ):
@@ -47,7 +47,7 @@
         self.instance_counts = connections.InstanceCounts()
         self.active_runs: set[running.RequestRun] = set()
         self._random = random.Random()
-        self._caller_time = callertime.CallerTime()
+        self._caller_time = callertime.CallerLatency()
         self.delegator: delegating.Delegator | None = None
         self.call_relay: relaying.CallRelay | None = None
 
@@ -103,7 +103,7 @@
             query, transit_margin_ms=self._caller_time.margin_ms
         )
         if self._knowledge.mechanisms.caller_time:
-            spent_ms = self._caller_time.spent_ms(
+            spent_ms = self._caller_time.observe_elapsed_ms(
                 query.route_match.route.name,
                 query.metadata.deadline_ms,
                 query.exchange.request.is_first,
@@ -134,10 +134,10 @@
         services = query.route_match.services
         now_ms = clock.now_ms()
         paid_count = sum(
-            self._knowledge.extra_calls.can_spend(each, now_ms)
+            self._knowledge.extra_call_budget.can_spend(each, now_ms)
             for each in services
         )
-        floor_count = callcommand.floor_count(
+        floor_count = callcommand.coverage_floor_count(
             query.route_match.route, len(services)
         )
         return paid_count >= floor_count
@@ -165,7 +165,7 @@
 
     def record_lateness(self, late_ms: float) -> None:
         """Takes how long after the goal's time an answer was written."""
-        self._caller_time.answers.note(late_ms)
+        self._caller_time.answer_delay.record(late_ms)
 
     def record_reply(self, route_name: str, reply: message.Reply) -> None:
         """Takes an upstream's reply: its size decides who gathers."""
@@ -177,7 +177,7 @@
         """Returns when a caller that is refused should come back."""
         if not self._knowledge.mechanisms.comeback_by_cause:
             return comeback.OVERLOADED_RETRY_MS
-        domains = self._knowledge.domains
+        domains = self._knowledge.partition_detector
         cut_for_ms = clock.now_ms() - domains.partitioned_since_ms
         refusal = comeback.RefusalContext(
             cause=comeback.cause_of(reason),
@@ -208,7 +208,7 @@
         return self._beliefs
 
     @property
-    def plan_context(self) -> knowing.Knowledge:
+    def plan_context(self) -> knowing.PlanContext:
         """What plans draw on."""
         return self._knowledge
 
--- a/hyssoptack/platform/headers.py
+++ b/hyssoptack/platform/headers.py
@@ -123,14 +123,16 @@
     match seen:
         case upstreamside.BrokenCall(reason=reason, sent=False):
             return callcommand.Outcome(
-                kind=callcommand.Kind.NOT_RUN, reason=reason, reached=False
+                kind=callcommand.OutcomeKind.NOT_RUN,
+                reason=reason,
+                reached=False,
             )
         case upstreamside.BrokenCall():
             return callcommand.Outcome(
-                kind=callcommand.Kind.FAILED,
+                kind=callcommand.OutcomeKind.FAILED,
                 reason=seen.reason,
-                ended=seen.upstream_exited,
-                alone=seen.was_only_call,
+                upstream_exited=seen.upstream_exited,
+                was_only_call=seen.was_only_call,
             )
         case message.Reply() if is_part:
             return part_outcome(seen)
@@ -150,11 +152,13 @@
     """
     if reply.status == STATUS_MISDIRECTED:
         return callcommand.Outcome(
-            kind=callcommand.Kind.NOT_RUN, reply=reply, reason="other_upstream"
+            kind=callcommand.OutcomeKind.NOT_RUN,
+            reply=reply,
+            reason="other_upstream",
         )
     if reply.value(_NOT_RUN):
         return callcommand.Outcome(
-            kind=callcommand.Kind.SHED,
+            kind=callcommand.OutcomeKind.SHED,
             reply=reply,
             reason=f"shed_{reply.status}",
         )
@@ -166,9 +170,11 @@
         return _failed("unsigned_success")
     passable = signed and reply.status not in NOT_RUN_STATUSES
     if success or (passable and 400 <= reply.status < 500):
-        return callcommand.Outcome(kind=callcommand.Kind.ANSWERED, reply=reply)
+        return callcommand.Outcome(
+            kind=callcommand.OutcomeKind.ANSWERED, reply=reply
+        )
     return callcommand.Outcome(
-        kind=callcommand.Kind.FAILED,
+        kind=callcommand.OutcomeKind.FAILED,
         reply=reply if passable else None,
         reason=f"status_{reply.status}",
     )
@@ -180,7 +186,7 @@
     A failure is no part, even where it would do as an answer of its own.
     """
     read = reply_outcome(reply)
-    if read.kind is callcommand.Kind.ANSWERED and reply.status != 200:
+    if read.kind is callcommand.OutcomeKind.ANSWERED and reply.status != 200:
         return _failed(f"status_{reply.status}")
     return read
 
@@ -206,7 +212,9 @@
 
 
 def _failed(reason: str) -> callcommand.Outcome:
-    return callcommand.Outcome(kind=callcommand.Kind.FAILED, reason=reason)
+    return callcommand.Outcome(
+        kind=callcommand.OutcomeKind.FAILED, reason=reason
+    )
 
 
 def single_reply(reply: message.Reply) -> message.Reply:
--- a/hyssoptack/platform/headers_test.py
+++ b/hyssoptack/platform/headers_test.py
@@ -19,19 +19,19 @@
 @pytest.mark.parametrize(
     ("given", "kind"),
     [
-        (reply(200, SIGNED), callcommand.Kind.ANSWERED),
-        (reply(200), callcommand.Kind.FAILED),
+        (reply(200, SIGNED), callcommand.OutcomeKind.ANSWERED),
+        (reply(200), callcommand.OutcomeKind.FAILED),
         (
             reply(200, SIGNED, (b"Content-Encoding", b"gzip")),
-            callcommand.Kind.FAILED,
+            callcommand.OutcomeKind.FAILED,
         ),
-        (reply(404, SIGNED), callcommand.Kind.ANSWERED),
-        (reply(404), callcommand.Kind.FAILED),
-        (reply(500, SIGNED), callcommand.Kind.FAILED),
-        (reply(503, NOT_RUN), callcommand.Kind.SHED),
-        (reply(429, NOT_RUN), callcommand.Kind.SHED),
-        (reply(503, SIGNED), callcommand.Kind.FAILED),
-        (reply(421), callcommand.Kind.NOT_RUN),
+        (reply(404, SIGNED), callcommand.OutcomeKind.ANSWERED),
+        (reply(404), callcommand.OutcomeKind.FAILED),
+        (reply(500, SIGNED), callcommand.OutcomeKind.FAILED),
+        (reply(503, NOT_RUN), callcommand.OutcomeKind.SHED),
+        (reply(429, NOT_RUN), callcommand.OutcomeKind.SHED),
+        (reply(503, SIGNED), callcommand.OutcomeKind.FAILED),
+        (reply(421), callcommand.OutcomeKind.NOT_RUN),
     ],
 )
 def test_only_an_explicit_word_says_that_nothing_ran(given, kind):
@@ -40,7 +40,7 @@
 
 def test_a_failure_is_no_part_of_a_merged_answer():
     given = reply(404, SIGNED)
-    assert headers.part_outcome(given).kind is callcommand.Kind.FAILED
+    assert headers.part_outcome(given).kind is callcommand.OutcomeKind.FAILED
 
 
 @pytest.mark.parametrize("status", [429, 503])
--- a/hyssoptack/policy/admission_test.py
+++ b/hyssoptack/policy/admission_test.py
@@ -13,7 +13,7 @@
 
 
 def _asked(urgency):
-    return dataclasses.replace(example.asked(), urgency=urgency)
+    return dataclasses.replace(example.browsing_query(), urgency=urgency)
 
 
 def _fill(gate, urgency):
--- a/hyssoptack/policy/attempts.py
+++ b/hyssoptack/policy/attempts.py
@@ -17,7 +17,7 @@
 class Attempts:
     """The attempts of one request, and what waits for more of them."""
 
-    def __init__(self, ask: callcommand.Ask):
+    def __init__(self, ask: callcommand.PlanRequest):
         self._ask = ask
         self.granted = not ask.awaits_grant
         self._retries: list[Retry] = []
@@ -26,13 +26,13 @@
     @property
     def limit_count(self) -> int:
         """Upstreams of each service that it may be sent to now."""
-        return self._ask.attempts_count if self.granted else 1
+        return self._ask.max_attempts_count if self.granted else 1
 
-    def hold_retry(self, part: callpart.Part, why: str) -> None:
+    def defer_retry(self, part: callpart.Part, reason: str) -> None:
         """Keeps a part that is to be sent once more until attempts come."""
-        self._retries.append((part, why))
+        self._retries.append((part, reason))
 
-    def hold_dried_up(self, call_ids: tuple[int, ...]) -> None:
+    def defer_stalled(self, call_ids: tuple[int, ...]) -> None:
         """Keeps calls that are to be hedged until attempts come."""
         self._dried_up.extend(call_ids)
 
--- a/hyssoptack/policy/attempts_test.py
+++ b/hyssoptack/policy/attempts_test.py
@@ -21,17 +21,17 @@
 
 def _plan(attempts_count=2, **changes):
     """Returns a query over two shards; the second has one upstream."""
-    know = plans.knowledge(*_upstreams(), plans.upstream("v0", "s1"))
+    know = plans.plan_context(*_upstreams(), plans.upstream("v0", "s1"))
     target = plans.shards(2, 0.5)
-    whole = plans.plan(know, target, attempts=attempts_count).ask
+    whole = plans.plan(know, target, attempts=attempts_count).request
     fields = {
         "route": whole.route,
         "services": whole.services,
         "goal_at_ms": whole.goal_at_ms,
-        "ends_at_ms": whole.ends_at_ms,
+        "ends_at_ms": whole.deadline_at_ms,
         **changes,
     }
-    return callplan.CallPlan(callcommand.Ask(**fields), know, 0.0)
+    return callplan.CallPlan(callcommand.PlanRequest(**fields), know, 0.0)
 
 
 def test_a_hedge_waits_until_the_other_attempts_are_granted():
@@ -39,10 +39,10 @@
     calls = plans.sends(running.start(0.0))
     assert len(calls) == 2
     running.on_outcome(calls[1].call_id, plans.answered(), 5.0)
-    assert running.next_time_ms() >= GOAL_MS
-    assert not plans.sends(running.on_time(GOAL_MS - 1.0))
-    (hedge,) = plans.sends(running.on_granted(GOAL_MS - 1.0))
-    assert hedge.extra == "hedge"
+    assert running.next_deadline_ms() >= GOAL_MS
+    assert not plans.sends(running.on_timeout(GOAL_MS - 1.0))
+    (hedge,) = plans.sends(running.on_attempts_granted(GOAL_MS - 1.0))
+    assert hedge.extra_reason == "hedge"
     assert hedge.upstream.upstream_id != calls[0].upstream.upstream_id
 
 
@@ -50,8 +50,8 @@
     running = _plan(awaits_grant=True)
     first = plans.sends(running.start(0.0))[0]
     assert not running.on_outcome(first.call_id, plans.FAILED, 5.0)
-    (again,) = plans.sends(running.on_granted(6.0))
-    assert again.extra == "retry"
+    (again,) = plans.sends(running.on_attempts_granted(6.0))
+    assert again.extra_reason == "retry"
     assert again.upstream.upstream_id != first.upstream.upstream_id
 
 
@@ -68,9 +68,9 @@
     running = _plan(awaits_grant=True)
     first = plans.sends(running.start(0.0))[0]
     running.on_outcome(first.call_id, plans.FAILED, 5.0)
-    end_ms = running.next_time_ms()
-    assert running.finished or plans.result(running.on_time(end_ms))
-    assert not running.on_granted(end_ms + 1.0)
+    end_ms = running.next_deadline_ms()
+    assert running.finished or plans.result(running.on_timeout(end_ms))
+    assert not running.on_attempts_granted(end_ms + 1.0)
 
 
 class _Instance:
--- a/hyssoptack/policy/budget.py
+++ b/hyssoptack/policy/budget.py
@@ -38,17 +38,19 @@
     )
 
 
-def spend(budget: Budget, keep_count: float = 0.0) -> tuple[Budget, bool]:
+def try_spend(
+    budget: Budget, reserve_count: float = 0.0
+) -> tuple[Budget, bool]:
     """Tries to pay for one extra call.
 
     Args:
         budget: The budget before.
-        keep_count: Tokens that must be left; hedges leave some for retries.
+        reserve_count: Tokens that must be left; hedges leave some for retries.
 
     Returns:
         The budget afterwards, and whether the call may go.
     """
-    if budget.token_count < 1.0 + keep_count:
+    if budget.token_count < 1.0 + reserve_count:
         return budget, False
     after = dataclasses.replace(
         budget,
@@ -58,7 +60,7 @@
     return after, True
 
 
-class Book:
+class ServiceBudgets:
     """The budgets of all services on one instance."""
 
     def __init__(
@@ -70,17 +72,22 @@
         self._initial = Budget(token_count=initial_count)
         self._budgets: dict[str, Budget] = {}
 
-    def of(self, service: str) -> Budget:
+    def for_service(self, service: str) -> Budget:
         """Returns a service's budget."""
         return self._budgets.get(service, self._initial)
 
     def earn(self, service: str, ceiling_ratio: float, call_count: int) -> None:
         """Books first calls."""
         self._budgets[service] = earn(
-            self.of(service), ceiling_ratio, call_count, self.burst_count
+            self.for_service(service),
+            ceiling_ratio,
+            call_count,
+            self.burst_count,
         )
 
-    def spend(self, service: str, keep_count: float = 0.0) -> bool:
+    def try_spend(self, service: str, reserve_count: float = 0.0) -> bool:
         """Books one extra call if it can be paid for; tells whether so."""
-        self._budgets[service], allowed = spend(self.of(service), keep_count)
+        self._budgets[service], allowed = try_spend(
+            self.for_service(service), reserve_count
+        )
         return allowed
--- a/hyssoptack/policy/callcommand.py
+++ b/hyssoptack/policy/callcommand.py
@@ -10,14 +10,14 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Ask:
+class PlanRequest:
     """One request, as the plan needs it.
 
     Attributes:
         route: Its route.
         services: One service for each part.
         goal_at_ms: When an answer loses most of its use.
-        ends_at_ms: When the caller stops waiting, or the route's timeout ends.
+        deadline_at_ms: When the caller stops waiting, or the route's timeout ends.
         may_have_run: Whether it was begun elsewhere: its first calls then are
             extra ones, and it has an attempt less.
         awaits_grant: Whether it has one attempt only until its sender grants
@@ -28,18 +28,18 @@
     route: traffic.Route
     services: tuple[str, ...]
     goal_at_ms: float
-    ends_at_ms: float
+    deadline_at_ms: float
     may_have_run: bool = False
     awaits_grant: bool = False
     fingerprint: str = ""
 
     @property
-    def attempts_count(self) -> int:
+    def max_attempts_count(self) -> int:
         """Upstreams of each service that it may be sent to from here."""
         return self.route.max_attempts_count - self.may_have_run
 
 
-def floor_count(route: traffic.Route, part_count: int) -> float:
+def coverage_floor_count(route: traffic.Route, part_count: int) -> float:
     """Returns the parts without which a request has no answer."""
     match route.target:
         case traffic.AllShards(floor_ratio=floor_ratio):
@@ -48,7 +48,7 @@
             return 1.0
 
 
-class Kind(enum.Enum):
+class OutcomeKind(enum.Enum):
     """What a call's outcome says about the request."""
 
     ANSWERED = "answered"
@@ -66,22 +66,22 @@
         reply: The upstream's reply, if a whole one came.
         reason: What was seen, for logs.
         reached: Whether the upstream may have seen the request.
-        ended: Whether the upstream has ended with the call in hand.
-        alone: Whether it then had no other call of the same instance.
+        upstream_exited: Whether the upstream has ended with the call in hand.
+        was_only_call: Whether it then had no other call of the same instance.
     """
 
-    kind: Kind
+    kind: OutcomeKind
     reply: object = None
     reason: str = ""
     reached: bool = True
-    ended: bool = False
-    alone: bool = False
+    upstream_exited: bool = False
+    was_only_call: bool = False
 
     @property
-    def alive(self) -> bool:
+    def proves_alive(self) -> bool:
         """Whether the upstream gave a sign of life."""
         return self.reply is not None or (
-            self.reached and self.kind is not Kind.FAILED
+            self.reached and self.kind is not OutcomeKind.FAILED
         )
 
 
@@ -92,17 +92,17 @@
     Attributes:
         call_id: The call's number.
         upstream: Whom to call.
-        extra: Why it is not the part's first call.
-        careful: Whether it goes from here and over a new connection, which
+        extra_reason: Why it is not the part's first call.
+        is_probe: Whether it goes from here and over a new connection, which
             shows that the upstream lives.
-        must_cross: Whether the own failure domain has no upstream for it.
+        cross_domain_only: Whether the own failure domain has no upstream for it.
     """
 
     call_id: int
     upstream: traffic.Upstream
-    extra: str = ""
-    careful: bool = False
-    must_cross: bool = False
+    extra_reason: str = ""
+    is_probe: bool = False
+    cross_domain_only: bool = False
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/hyssoptack/policy/callertime.py
+++ b/hyssoptack/policy/callertime.py
@@ -13,20 +13,20 @@
 
 from hyssoptack.policy import lateness
 
-TIMER_MS = 2.0
+TIMER_MARGIN_MS = 2.0
 """Kept back at least for timers that fire late and for writing the answer."""
 
-WAY_DEFAULT_MS = 6.0
+DEFAULT_ROUND_TRIP_MS = 6.0
 """Way to the caller and back before any was seen: of the users' sites, 2 to 6
 ms."""
 
-WAY_MAX_MS = 40.0
+MAX_ROUND_TRIP_MS = 40.0
 """What was spent beyond this was an earlier try, or a lost packet, rather than
 the way of a new connection."""
 
-WAY_SAMPLES_COUNT = 32
+ROUND_TRIP_SAMPLES_COUNT = 32
 
-LONGEST_COUNT = 256
+WAIT_SAMPLES_COUNT = 256
 """Requests of a route among which the longest wait is looked for: at least some
 of so many come on a connection that was open."""
 
@@ -39,47 +39,47 @@
     longest_ms: float = 0.0
 
 
-class CallerTime:
+class CallerLatency:
     """What one instance has seen of its callers' ways.
 
     Attributes:
-        way_ms: The way to a caller and back.
-        answers: How late answers leave that are given at the goal.
+        round_trip_ms: The way to a caller and back.
+        answer_delay: How late answers leave that are given at the goal.
     """
 
     def __init__(self) -> None:
         self._routes: dict[str, _Route] = {}
         self._ways_ms: collections.deque[float] = collections.deque(
-            maxlen=WAY_SAMPLES_COUNT
+            maxlen=ROUND_TRIP_SAMPLES_COUNT
         )
-        self.way_ms = WAY_DEFAULT_MS
-        self.answers = lateness.Lateness(TIMER_MS)
+        self.round_trip_ms = DEFAULT_ROUND_TRIP_MS
+        self.answer_delay = lateness.DelayEstimate(TIMER_MARGIN_MS)
 
-    def spent_ms(
-        self, route_name: str, wait_ms: float | None, first: bool
+    def observe_elapsed_ms(
+        self, route_name: str, wait_ms: float | None, first_on_connection: bool
     ) -> float:
         """Returns what a caller had spent when it sent a request.
 
         Args:
             route_name: The request's route.
             wait_ms: How long the caller still waits; None where it is silent.
-            first: Whether the request is the first of its connection.
+            first_on_connection: Whether the request is the first of its connection.
         """
         if wait_ms is None:
             return 0.0
         route = self._routes.get(route_name)
         if route is None:
             route = self._routes[route_name] = _Route(
-                waits_ms=collections.deque(maxlen=LONGEST_COUNT)
+                waits_ms=collections.deque(maxlen=WAIT_SAMPLES_COUNT)
             )
         self._note_wait(route, wait_ms)
         spent_ms = route.longest_ms - wait_ms
-        if first and 0.0 < spent_ms <= WAY_MAX_MS:
+        if first_on_connection and 0.0 < spent_ms <= MAX_ROUND_TRIP_MS:
             self._note_way(spent_ms)
         return spent_ms
 
     def _note_wait(self, route: _Route, wait_ms: float) -> None:
-        full = len(route.waits_ms) == LONGEST_COUNT
+        full = len(route.waits_ms) == WAIT_SAMPLES_COUNT
         gone_ms = route.waits_ms[0] if full else 0.0
         route.waits_ms.append(wait_ms)
         if wait_ms >= route.longest_ms:
@@ -90,9 +90,9 @@
     def _note_way(self, spent_ms: float) -> None:
         self._ways_ms.append(spent_ms)
         ordered = sorted(self._ways_ms)
-        self.way_ms = ordered[len(ordered) // 2]
+        self.round_trip_ms = ordered[len(ordered) // 2]
 
     @property
     def margin_ms(self) -> float:
         """What to keep back from a goal, counted from a request's sending."""
-        return self.way_ms + self.answers.usual_ms
+        return self.round_trip_ms + self.answer_delay.estimate_ms
--- a/hyssoptack/policy/calllearning.py
+++ b/hyssoptack/policy/calllearning.py
@@ -4,16 +4,16 @@
 from hyssoptack.policy import callresult
 from hyssoptack.policy import placing
 
-NO_FAULT_REASONS = callresult.GATHERERS_FAULTS | {
+NO_FAULT_REASONS = callresult.GATHERER_FAULTS | {
     callresult.CRASHES_UPSTREAMS,
-    callresult.CUT_OFF,
-    callresult.NOT_LISTED_THERE,
+    callresult.PARTITIONED,
+    callresult.NOT_LISTED_AT_GATHERER,
 }
 """Seen where the upstream itself was not: nothing is learned of it."""
 
 
-def learn(
-    known: placing.Placing,
+def record_outcome(
+    load_balancer: placing.LoadBalancer,
     route_name: str,
     upstream_id: str,
     sent_ms: float,
@@ -23,7 +23,7 @@
     """Takes the outcome of a call.
 
     Args:
-        known: What is known of the upstreams.
+        load_balancer: What is known of the upstreams.
         route_name: The request's route.
         upstream_id: Whom it went to.
         sent_ms: When it was decided on.
@@ -33,12 +33,14 @@
     if outcome.reason in NO_FAULT_REASONS:
         return
     match outcome.kind:
-        case callcommand.Kind.ANSWERED:
+        case callcommand.OutcomeKind.ANSWERED:
             elapsed_ms = now_ms - sent_ms
-            known.answered(route_name, upstream_id, elapsed_ms, now_ms)
-        case callcommand.Kind.SHED:
-            known.shed(upstream_id, now_ms)
-        case callcommand.Kind.NOT_RUN if not outcome.reached:
-            known.unreachable(upstream_id, now_ms)
-        case callcommand.Kind.NOT_RUN | callcommand.Kind.FAILED:
-            known.failed(upstream_id, now_ms)
+            load_balancer.record_answer(
+                route_name, upstream_id, elapsed_ms, now_ms
+            )
+        case callcommand.OutcomeKind.SHED:
+            load_balancer.record_shed(upstream_id, now_ms)
+        case callcommand.OutcomeKind.NOT_RUN if not outcome.reached:
+            load_balancer.record_connect_failure(upstream_id, now_ms)
+        case callcommand.OutcomeKind.NOT_RUN | callcommand.OutcomeKind.FAILED:
+            load_balancer.record_failure(upstream_id, now_ms)
--- a/hyssoptack/policy/callplan.py
+++ b/hyssoptack/policy/callplan.py
@@ -25,13 +25,13 @@
 from hyssoptack.policy import opencalls
 from hyssoptack.policy import reach
 
-HEDGE_KEEP_COUNT = 1.0
+HEDGE_RESERVE_COUNT = 1.0
 """Tokens that a hedge leaves where the answer can do without it: for retries
 after failures, and for queries that would miss their floor. One that can't do
 without takes the last token: an answer that is late by one part loses nine
 tenths of its use, one that leaves the part out a twentieth."""
 
-END_MARGIN_MS = 10.0
+DEADLINE_MARGIN_MS = 10.0
 """Kept back from the caller's deadline to write the answer and carry it."""
 
 
@@ -39,21 +39,27 @@
     """One request's decisions."""
 
     def __init__(
-        self, ask: callcommand.Ask, knowledge: knowing.Knowledge, now_ms: float
+        self,
+        ask: callcommand.PlanRequest,
+        knowledge: knowing.PlanContext,
+        now_ms: float,
     ):
-        self.ask = ask
+        self.request = ask
         self._know = knowledge
         self._parts = callpart.Parts(
-            ask.services, callcommand.floor_count(ask.route, len(ask.services))
+            ask.services,
+            callcommand.coverage_floor_count(ask.route, len(ask.services)),
+        )
+        self.calls = opencalls.OpenCalls(
+            knowledge.load_balancer, ask.route.name
         )
-        self.calls = opencalls.OpenCalls(knowledge.placing, ask.route.name)
         self._may_have_run = ask.may_have_run
         self.finished = False
         self._started_ms = now_ms
         self._tally = reach.RemoteCallTally()
-        self._ends_ms = max(now_ms, ask.ends_at_ms - END_MARGIN_MS)
-        self._hedge_time = hedgetime.HedgeTime(
-            knowledge.placing.typical(ask.route.name),
+        self._ends_ms = max(now_ms, ask.deadline_at_ms - DEADLINE_MARGIN_MS)
+        self._hedge_time = hedgetime.HedgeTiming(
+            knowledge.load_balancer.latency_of(ask.route.name),
             ask.route.latency_goal_ms,
             ask.goal_at_ms,
             now_ms,
@@ -66,7 +72,7 @@
         )
         self.caution = caution.ProbeGuard(knowledge.suspicions, ask.fingerprint)
         self.attempts = attempts.Attempts(ask)
-        self._choice = callchoice.Choice(
+        self._choice = callchoice.UpstreamChoice(
             ask, knowledge, self.caution, self.attempts
         )
 
@@ -80,12 +86,13 @@
         if not self.caution.admit(now_ms):
             return self._give_up(now_ms)
         chosen = [
-            (part, self._choice.first(part, now_ms)) for part in self._parts.all
+            (part, self._choice.first_upstream(part, now_ms))
+            for part in self._parts.all
         ]
         for part, upstream in chosen:
             if upstream is None:
-                self._parts.lose(part)
-        if not self._parts.floor_reachable():
+                self._parts.abandon(part)
+        if not self._parts.can_reach_floor():
             return self._finish(now_ms, timed_out=False)
         commands: list[callcommand.Command] = []
         for part, upstream in chosen:
@@ -97,32 +104,34 @@
     def _send_first(
         self, part: callpart.Part, upstream: traffic.Upstream, now_ms: float
     ) -> list[callcommand.Command]:
-        if self.ask.may_have_run:
+        if self.request.may_have_run:
             return self._send_to(part, upstream, now_ms, "taken_back")
-        self._know.extra_calls.note_request(part.service, now_ms)
+        self._know.extra_call_budget.record_request(part.service, now_ms)
         return self._send_to(part, upstream, now_ms, "")
 
-    def next_time_ms(self) -> float:
+    def next_deadline_ms(self) -> float:
         """Returns when `on_time` should be called next."""
         next_ms = self._ends_ms
         if self.attempts.granted:
-            next_ms = min(next_ms, self._hedges.next_ms())
+            next_ms = min(next_ms, self._hedges.next_due_ms())
         if self._answers_at_goal():
-            next_ms = min(next_ms, self.ask.goal_at_ms)
+            next_ms = min(next_ms, self.request.goal_at_ms)
         return next_ms
 
-    def on_time(self, now_ms: float) -> list[callcommand.Command]:
+    def on_timeout(self, now_ms: float) -> list[callcommand.Command]:
         """Returns what time alone brings: hedges, or the end."""
         if self.finished:
             return []
-        self._know.domains.record_wait(self._tally, now_ms - self._started_ms)
+        self._know.partition_detector.record_wait(
+            self._tally, now_ms - self._started_ms
+        )
         commands: list[callcommand.Command] = []
         if self.attempts.granted:
-            for call in self._hedges.take_due(now_ms):
+            for call in self._hedges.pop_due(now_ms):
                 commands.extend(self._hedge(call, now_ms))
         return commands + self._finish_if_due(now_ms)
 
-    def on_granted(self, now_ms: float) -> list[callcommand.Command]:
+    def on_attempts_granted(self, now_ms: float) -> list[callcommand.Command]:
         """Takes that the route's other attempts may be made from here."""
         if self.finished or self.attempts.granted:
             return []
@@ -131,20 +140,22 @@
         for part, why in retries:
             if part.is_open():
                 commands.extend(self._again(part, why, now_ms))
-        commands.extend(self.on_dried_up(dried_up, now_ms))
+        commands.extend(self.on_stalled(dried_up, now_ms))
         commands.extend(self._release(now_ms))
-        return commands + self.on_time(now_ms)
+        return commands + self.on_timeout(now_ms)
 
-    def note_relayed(
-        self, call_ids: collections.abc.Iterable[int], overdue_ms: float
+    def record_relayed(
+        self, call_ids: collections.abc.Iterable[int], overdue_at_ms: float
     ) -> None:
         """Notes calls that another instance makes.
 
         Args:
             call_ids: The calls.
-            overdue_ms: When word of them is overdue.
+            overdue_at_ms: When word of them is overdue.
         """
-        self._hedges.note_relayed(self.calls.some(call_ids), overdue_ms)
+        self._hedges.record_relayed(
+            self.calls.still_open(call_ids), overdue_at_ms
+        )
 
     def on_outcome(
         self, call_id: int, outcome: callcommand.Outcome, now_ms: float
@@ -161,16 +172,18 @@
         outcome: callcommand.Outcome,
         now_ms: float,
     ) -> list[callcommand.Command]:
-        calllearning.learn(
-            self._know.placing,
-            self.ask.route.name,
+        calllearning.record_outcome(
+            self._know.load_balancer,
+            self.request.route.name,
             call.upstream_id,
-            call.sent_ms,
+            call.created_ms,
             outcome,
             now_ms,
         )
-        if call.far and outcome.reason != callresult.CUT_OFF:
-            self._know.domains.record_outcome(self._tally, outcome.alive)
+        if call.cross_domain and outcome.reason != callresult.PARTITIONED:
+            self._know.partition_detector.record_outcome(
+                self._tally, outcome.proves_alive
+            )
         if self.finished:
             return []
         part = call.part
@@ -180,7 +193,7 @@
         commands = self._take(part, call.upstream_id, outcome, now_ms)
         return commands + self._finish_if_due(now_ms)
 
-    def on_dried_up(
+    def on_stalled(
         self, call_ids: collections.abc.Iterable[int], now_ms: float
     ) -> list[callcommand.Command]:
         """Hedges calls that wait for their upstreams.
@@ -190,15 +203,15 @@
             now_ms: The time now.
         """
         if not self.attempts.granted:
-            self.attempts.hold_dried_up(tuple(call_ids))
+            self.attempts.defer_stalled(tuple(call_ids))
             return []
         commands: list[callcommand.Command] = []
-        for call in self.calls.some(call_ids):
+        for call in self.calls.still_open(call_ids):
             if self._may_hedge(call.part):
                 commands.extend(self._hedge(call, now_ms))
         return commands
 
-    def on_cut(self, now_ms: float) -> list[callcommand.Command]:
+    def on_partition(self, now_ms: float) -> list[callcommand.Command]:
         """Gives up on calls into other failure domains: nothing comes back.
 
         What the own domain can't cover ends at once, rather than when the
@@ -208,16 +221,16 @@
             return []
         commands: list[callcommand.Command] = []
         for call in self.calls.all():
-            if call.far and not self.finished:
+            if call.cross_domain and not self.finished:
                 commands.append(callcommand.Cancel(call_id=call.call_id))
                 commands.extend(
                     self.on_outcome(
-                        call.call_id, callresult.lost_by_cut(call), now_ms
+                        call.call_id, callresult.partition_outcome(call), now_ms
                     )
                 )
         return commands
 
-    def on_blocked(self, now_ms: float) -> list[callcommand.Command]:
+    def on_quarantined(self, now_ms: float) -> list[callcommand.Command]:
         """Gives up on a request that was found to crash upstreams."""
         if self.finished:
             return []
@@ -227,7 +240,7 @@
             return []
         return self._give_up(now_ms)
 
-    def abandon(self, now_ms: float) -> list[callcommand.Command]:
+    def on_caller_left(self, now_ms: float) -> list[callcommand.Command]:
         """Gives everything up: the caller has left."""
         self.finished = True
         self.caution.record_failure()
@@ -245,30 +258,30 @@
         if not part.is_open():
             return []
         match outcome.kind:
-            case callcommand.Kind.ANSWERED:
-                self._parts.answer(part, outcome.reply)
+            case callcommand.OutcomeKind.ANSWERED:
+                self._parts.record_answer(part, outcome.reply)
                 self.caution.record_answer(now_ms)
-                self._hedge_time.note_answer(now_ms)
+                self._hedge_time.record_answer(now_ms)
                 self._may_have_run = True
                 return self._cancel_part(part, now_ms)
-            case callcommand.Kind.FAILED:
+            case callcommand.OutcomeKind.FAILED:
                 self._may_have_run = True
                 part.failure = outcome.reply or part.failure
-                if outcome.reason in callresult.GATHERERS_FAULTS:
-                    part.tried.discard(upstream_id)
-                if not self.ask.route.idempotent:
-                    self._parts.lose(part)
+                if outcome.reason in callresult.GATHERER_FAULTS:
+                    part.tried_upstream_ids.discard(upstream_id)
+                if not self.request.route.idempotent:
+                    self._parts.abandon(part)
                     return []
                 return self._again(part, "retry", now_ms)
-            case callcommand.Kind.NOT_RUN if not outcome.reached:
+            case callcommand.OutcomeKind.NOT_RUN if not outcome.reached:
                 # Nothing was sent: it is no attempt, and costs no budget.
-                part.unreached(upstream_id)
-                if outcome.reason in callresult.GATHERERS_FAULTS:
-                    part.tried.discard(upstream_id)
+                part.record_unreached(upstream_id)
+                if outcome.reason in callresult.GATHERER_FAULTS:
+                    part.tried_upstream_ids.discard(upstream_id)
                 return self._send(part, now_ms, "reroute")
-            case callcommand.Kind.SHED | callcommand.Kind.NOT_RUN:
-                if outcome.kind is callcommand.Kind.SHED:
-                    part.shed_by.append(upstream_id)
+            case callcommand.OutcomeKind.SHED | callcommand.OutcomeKind.NOT_RUN:
+                if outcome.kind is callcommand.OutcomeKind.SHED:
+                    part.shed_upstream_ids.append(upstream_id)
                 return self._again(part, outcome.kind.value, now_ms)
 
     def _again(
@@ -278,18 +291,18 @@
 
         While its other call is out it is, too, where the floor depends on it.
         """
-        if part.calls and not self._parts.floor_at_risk():
+        if part.calls and not self._parts.is_below_floor():
             return []
         if not self.attempts.granted:
-            self.attempts.hold_retry(part, why)
+            self.attempts.defer_retry(part, why)
             return []
-        upstream = self._choice.next(part, now_ms)
+        upstream = self._choice.retry_upstream(part, now_ms)
         if upstream is not None:
-            if self._know.extra_calls.spend(part.service, now_ms):
+            if self._know.extra_call_budget.try_spend(part.service, now_ms):
                 return self._send_to(part, upstream, now_ms, why)
             part.last_reason = "no_retry_budget"
         if not part.calls:
-            self._parts.lose(part)
+            self._parts.abandon(part)
         return []
 
     # Calls.
@@ -297,10 +310,10 @@
     def _send(
         self, part: callpart.Part, now_ms: float, extra: str = ""
     ) -> list[callcommand.Command]:
-        upstream = self._choice.other(part, now_ms)
+        upstream = self._choice.untried_upstream(part, now_ms)
         if upstream is None:
             if not part.calls:
-                self._parts.lose(part)
+                self._parts.abandon(part)
             return []
         return self._send_to(part, upstream, now_ms, extra)
 
@@ -314,22 +327,22 @@
         asked = caution.QueuedCall(part=part, upstream=upstream, extra=extra)
         if self.caution.queue_if_probing(asked, self.calls.all()):
             return []
-        call = self.calls.open(
+        call = self.calls.add(
             part,
             upstream,
             now_ms,
-            far=self._choice.is_far(upstream),
-            careful=self.caution.is_probing,
+            cross_domain=self._choice.is_cross_domain(upstream),
+            is_probe=self.caution.is_probing,
         )
-        self._tally.sent_count += call.far
+        self._tally.sent_count += call.cross_domain
         self._hedges.add(call)
         return [
             callcommand.Send(
                 call_id=call.call_id,
                 upstream=upstream,
-                extra=extra,
-                careful=call.careful,
-                must_cross=self._choice.must_cross(part),
+                extra_reason=extra,
+                is_probe=call.is_probe,
+                cross_domain_only=self._choice.is_cross_domain_only(part),
             )
         ]
 
@@ -341,7 +354,7 @@
             if held is None:
                 break
             part, extra = held.part, held.extra
-            if len(part.sent_to) < self.attempts.limit_count:
+            if len(part.reached_upstream_ids) < self.attempts.limit_count:
                 sends = self._send(part, now_ms, extra)
             else:
                 # One that refused before: the route allows no other.
@@ -351,12 +364,12 @@
 
     def _may_hedge(self, part: callpart.Part) -> bool:
         return (
-            self.ask.route.idempotent
+            self.request.route.idempotent
             and self._know.mechanisms.hedges
             and part.is_open()
             and not part.hedged
             and len(part.calls) == 1
-            and len(part.sent_to) < self.attempts.limit_count
+            and len(part.reached_upstream_ids) < self.attempts.limit_count
         )
 
     def _hedge(
@@ -364,13 +377,17 @@
     ) -> list[callcommand.Command]:
         part = call.part
         part.hedged = True
-        keep_count = 0.0 if self._parts.floor_at_risk() else HEDGE_KEEP_COUNT
-        if not self._know.extra_calls.spend(part.service, now_ms, keep_count):
+        keep_count = (
+            0.0 if self._parts.is_below_floor() else HEDGE_RESERVE_COUNT
+        )
+        if not self._know.extra_call_budget.try_spend(
+            part.service, now_ms, keep_count
+        ):
             return []
-        relayed = call.overdue_ms is not None
-        if relayed and self._choice.other(part, now_ms) is None:
+        relayed = call.overdue_at_ms is not None
+        if relayed and self._choice.untried_upstream(part, now_ms) is None:
             # Its upstream may be well, and the instance that calls it gone.
-            part.tried.discard(call.upstream_id)
+            part.tried_upstream_ids.discard(call.upstream_id)
         return self._send(part, now_ms, caution.HEDGE)
 
     def _cancel_part(
@@ -390,22 +407,22 @@
     # The end.
 
     @property
-    def widest_count(self) -> int:
+    def max_reached_count(self) -> int:
         """The most upstreams that may have seen any one part."""
-        return self._parts.widest_count()
+        return self._parts.max_reached_count()
 
     def _answers_at_goal(self) -> bool:
         """Whether the goal ends the wait for parts."""
         return (
-            self._know.mechanisms.answer_at_goal and self._parts.covers_floor()
+            self._know.mechanisms.answer_at_goal and self._parts.meets_floor()
         )
 
     def _finish_if_due(self, now_ms: float) -> list[callcommand.Command]:
         if self.finished:
             return []
-        if not self._parts.open_count or not self._parts.floor_reachable():
+        if not self._parts.open_count or not self._parts.can_reach_floor():
             return self._finish(now_ms, timed_out=False)
-        if now_ms >= self.ask.goal_at_ms and self._answers_at_goal():
+        if now_ms >= self.request.goal_at_ms and self._answers_at_goal():
             return self._finish(now_ms, timed_out=False)
         if now_ms >= self._ends_ms:
             return self._finish(now_ms, timed_out=True)
@@ -414,9 +431,9 @@
     def _finish(
         self, now_ms: float, timed_out: bool
     ) -> list[callcommand.Command]:
-        result = callresult.result_of(
+        result = callresult.request_result(
             self._parts,
-            covers_floor=self._parts.covers_floor(),
+            meets_floor=self._parts.meets_floor(),
             timed_out=timed_out,
             may_have_run=self._may_have_run or self.calls.any_sent(),
         )
@@ -431,6 +448,8 @@
         self, result: callcommand.Result, now_ms: float
     ) -> list[callcommand.Command]:
         self.finished = True
-        self._know.domains.record_wait(self._tally, now_ms - self._started_ms)
+        self._know.partition_detector.record_wait(
+            self._tally, now_ms - self._started_ms
+        )
         self.caution.record_failure()
         return [*self._cancel_all(now_ms), callcommand.Finish(result=result)]
--- a/hyssoptack/policy/callplan_crash_test.py
+++ b/hyssoptack/policy/callplan_crash_test.py
@@ -7,15 +7,17 @@
 SHARD_COUNT = 4
 COPY_COUNT = 3
 NAME = "00c0ffee"
-ANSWERED = callcommand.Outcome(kind=callcommand.Kind.ANSWERED, reply=b"records")
+ANSWERED = callcommand.Outcome(
+    kind=callcommand.OutcomeKind.ANSWERED, reply=b"records"
+)
 ENDED = callcommand.Outcome(
-    kind=callcommand.Kind.FAILED,
+    kind=callcommand.OutcomeKind.FAILED,
     reason="connection_closed",
-    ended=True,
-    alone=True,
+    upstream_exited=True,
+    was_only_call=True,
 )
 BROKEN = callcommand.Outcome(
-    kind=callcommand.Kind.FAILED, reason="connection_reset"
+    kind=callcommand.OutcomeKind.FAILED, reason="connection_reset"
 )
 CRASHES = callcommand.Fail(reason=callresult.CRASHES_UPSTREAMS, timed_out=False)
 
@@ -62,7 +64,7 @@
         for shard in range(SHARD_COUNT)
         for copy in range(COPY_COUNT)
     ]
-    return callplan_test.knowledge(*upstreams, **given)
+    return callplan_test.plan_context(*upstreams, **given)
 
 
 def test_a_query_that_ends_all_its_upstreams_costs_two_more_and_no_third():
@@ -75,7 +77,7 @@
     sent.end(ENDED, 20.0)
     for now_ms in (40.0, 60.0):
         assert len(sent.out) == 1
-        assert all(each.careful for each in sent.out.values())
+        assert all(each.is_probe for each in sent.out.values())
         sent.end(ENDED, now_ms)
     assert sent.result == CRASHES
     assert sent.count == SHARD_COUNT + 2
@@ -100,7 +102,7 @@
     assert len(sent.out) == 1
     sent.end(ANSWERED, 30.0)
     assert len(sent.out) == SHARD_COUNT - 1
-    assert not any(each.careful for each in sent.out.values())
+    assert not any(each.is_probe for each in sent.out.values())
     sent.end(ANSWERED, 40.0, SHARD_COUNT)
     assert len(sent.result.replies) == SHARD_COUNT
     assert not know.suspicions.has_entries
@@ -113,7 +115,7 @@
     sent.end(ANSWERED, 10.0)
     sent.end(ENDED, 20.0)
     assert len(sent.out) == SHARD_COUNT - 1
-    assert not any(each.careful for each in sent.out.values())
+    assert not any(each.is_probe for each in sent.out.values())
     assert not know.suspicions.has_entries
 
 
@@ -130,7 +132,7 @@
     _Sent(know).start().end(ENDED, 20.0, SHARD_COUNT)
     for shard in range(SHARD_COUNT):
         for copy in range(COPY_COUNT - 1):
-            know.placing.sent(f"u{shard}-{copy}", 0.0)
+            know.load_balancer.begin_call(f"u{shard}-{copy}", 0.0)
     sent = _Sent(know).start(100.0)
     (only,) = sent.out.values()
     assert only.upstream.upstream_id.endswith(f"-{COPY_COUNT - 1}")
@@ -141,7 +143,7 @@
     _Sent(know).start().end(ENDED, 20.0, SHARD_COUNT)
     sent = _Sent(know).start(100.0)
     assert len(sent.out) == 1
-    sent.take(sent.plan.on_time(sent.plan.next_time_ms()))
+    sent.take(sent.plan.on_timeout(sent.plan.next_deadline_ms()))
     assert len(sent.out) == 2
     services = {each.upstream.service for each in sent.out.values()}
     assert len(services) == 1
@@ -152,7 +154,9 @@
     know = _know()
     sent = _Sent(know).start()
     beside = callcommand.Outcome(
-        kind=callcommand.Kind.FAILED, reason="connection_closed", ended=True
+        kind=callcommand.OutcomeKind.FAILED,
+        reason="connection_closed",
+        upstream_exited=True,
     )
     sent.end(beside, 20.0, SHARD_COUNT)
     for step in range(SHARD_COUNT):
@@ -174,7 +178,7 @@
 
 def test_a_single_request_is_refused_after_three_upstreams():
     for idempotent, attempt_count in ((True, 2), (False, 3)):
-        know = callplan_test.knowledge(
+        know = callplan_test.plan_context(
             *(callplan_test.upstream(f"u{index}") for index in range(6))
         )
         count = 0
@@ -194,11 +198,11 @@
 def test_word_from_elsewhere_ends_what_is_out_unless_it_was_answered():
     know = _know()
     sent = _Sent(know).start()
-    sent.take(sent.plan.on_blocked(10.0))
+    sent.take(sent.plan.on_quarantined(10.0))
     assert (sent.result, sent.out) == (CRASHES, {})
     answered = _Sent(know, name="0ddba11").start()
     answered.end(ANSWERED, 10.0)
-    answered.take(answered.plan.on_blocked(20.0))
+    answered.take(answered.plan.on_quarantined(20.0))
     assert answered.result is None
 
 
@@ -206,7 +210,7 @@
     know = _know()
     sent = _Sent(know).start()
     refused = callcommand.Outcome(
-        kind=callcommand.Kind.NOT_RUN,
+        kind=callcommand.OutcomeKind.NOT_RUN,
         reason=callresult.CRASHES_UPSTREAMS,
         reached=False,
     )
@@ -230,7 +234,7 @@
     know = _know()
     _Sent(know).start().end(ENDED, 20.0, SHARD_COUNT)
     sent = _Sent(know).start(100.0)
-    shed = callcommand.Outcome(kind=callcommand.Kind.SHED)
+    shed = callcommand.Outcome(kind=callcommand.OutcomeKind.SHED)
     asked: dict[str, set[str]] = {}
     for step in range(12):
         for each in sent.out.values():
--- a/hyssoptack/policy/callplan_cross_test.py
+++ b/hyssoptack/policy/callplan_cross_test.py
@@ -21,14 +21,16 @@
             callplan_test.upstream(f"f{shard}-{copy}", service, zone="south")
             for copy in range(2)
         ]
-    know = callplan_test.knowledge(*upstreams)
+    know = callplan_test.plan_context(*upstreams)
     return callplan_test.plan(know, callplan_test.shards(SHARD_COUNT, 0.8))
 
 
 def test_calls_that_only_another_domain_can_take_are_for_instances_there():
     plan = _plan(0, 1, 2)
     sends = callplan_test.sends(plan.start(0.0))
-    crossing = {each.upstream.service for each in sends if each.must_cross}
+    crossing = {
+        each.upstream.service for each in sends if each.cross_domain_only
+    }
     assert crossing == {"s0", "s1", "s2"}
 
 
@@ -37,8 +39,8 @@
     # detour over another instance would cost as many bytes once more.
     plan = _plan()
     sends = callplan_test.sends(plan.start(0.0))
-    assert not any(each.must_cross for each in sends)
-    shed = callcommand.Outcome(kind=callcommand.Kind.SHED)
+    assert not any(each.cross_domain_only for each in sends)
+    shed = callcommand.Outcome(kind=callcommand.OutcomeKind.SHED)
     again = [
         each
         for first in sends
@@ -48,4 +50,4 @@
     ]
     assert len(again) == SHARD_COUNT
     assert all(each.upstream.failure_domain == "south" for each in again)
-    assert not any(each.must_cross for each in again)
+    assert not any(each.cross_domain_only for each in again)
--- a/hyssoptack/policy/callplan_cut_test.py
+++ b/hyssoptack/policy/callplan_cut_test.py
@@ -13,8 +13,8 @@
         callplan_test.upstream(f"u{i}", f"s{i}", zone="south")
         for i in range(2, 6)
     ]
-    know = callplan_test.knowledge(*here, *there)
-    know.domains.state = reach.PartitionState.PARTITIONED
+    know = callplan_test.plan_context(*here, *there)
+    know.partition_detector.state = reach.PartitionState.PARTITIONED
     return callplan_test.plan(know, callplan_test.shards(6, floor_ratio)).start(
         0.0
     )
@@ -44,17 +44,17 @@
         callplan_test.upstream(f"u{i}", f"s{i}", zone="south")
         for i in range(2, 6)
     ]
-    know = callplan_test.knowledge(*here, *there)
+    know = callplan_test.plan_context(*here, *there)
     running = callplan_test.plan(know, callplan_test.shards(6, 0.9))
     for call in callplan_test.sends(running.start(0.0))[:2]:
         running.on_outcome(call.call_id, callplan_test.answered(), 10.0)
-    running.on_time(callplan_test.END_MS)
-    assert know.domains.state is reach.PartitionState.SUSPECTED
+    running.on_timeout(callplan_test.END_MS)
+    assert know.partition_detector.state is reach.PartitionState.SUSPECTED
 
 
 def test_refused_calls_into_other_domains_raise_a_doubt():
     # In a cut by resets each query ended within 6 ms, and was failed for 5.6 s.
-    know = callplan_test.knowledge(
+    know = callplan_test.plan_context(
         callplan_test.upstream("n0"),
         *(
             callplan_test.upstream(f"f{i}", f"s{i}", zone="south")
@@ -66,11 +66,11 @@
     for call in calls:
         if call.upstream.failure_domain == "south":
             running.on_outcome(call.call_id, callplan_test.UNREACHABLE, 2.0)
-    assert know.domains.state is reach.PartitionState.SUSPECTED
+    assert know.partition_detector.state is reach.PartitionState.SUSPECTED
 
 
 def test_when_a_cut_is_seen_what_the_own_domain_can_not_cover_ends():
-    know = callplan_test.knowledge(
+    know = callplan_test.plan_context(
         callplan_test.upstream("n0"),
         callplan_test.upstream("n1", "s1"),
         *(
@@ -80,64 +80,64 @@
     )
     running = callplan_test.plan(know, callplan_test.shards(6, 0.9))
     running.start(0.0)
-    know.domains.state = reach.PartitionState.PARTITIONED
-    commands = running.on_cut(50.0)
+    know.partition_detector.state = reach.PartitionState.PARTITIONED
+    commands = running.on_partition(50.0)
     end = callplan_test.result(commands)
     assert isinstance(end, callcommand.Fail)
-    assert end.reason == callresult.CUT_OFF
+    assert end.reason == callresult.PARTITIONED
     assert not end.timed_out
     # The upstreams beyond the cut are not taken for slow ones.
-    assert know.placing.standings["f2"].slowness_ratio == 1.0
+    assert know.load_balancer.upstream_states["f2"].slowness_ratio == 1.0
 
 
 def test_when_a_cut_is_seen_calls_move_to_the_own_domain():
-    know = callplan_test.knowledge(
+    know = callplan_test.plan_context(
         callplan_test.upstream("n0"),
         callplan_test.upstream("f0", zone="south"),
         callplan_test.upstream("n1", "s1"),
     )
-    know.placing.unreachable("n0", 0.0)
+    know.load_balancer.record_connect_failure("n0", 0.0)
     running = callplan_test.plan(know, callplan_test.shards(2, 0.9))
     first = callplan_test.sends(running.start(0.0))
     assert [each.upstream.upstream_id for each in first] == ["f0", "n1"]
-    know.domains.state = reach.PartitionState.PARTITIONED
-    (again,) = callplan_test.sends(running.on_cut(20.0))
+    know.partition_detector.state = reach.PartitionState.PARTITIONED
+    (again,) = callplan_test.sends(running.on_partition(20.0))
     assert again.upstream.upstream_id == "n0"
 
 
 def test_a_call_given_up_in_the_same_breath_may_be_said_to_wait():
     # Found by a grown day: a cut moved one part to the own domain and then
     # ended the query; the runner's word on the first call ended the process.
-    know = callplan_test.knowledge(
+    know = callplan_test.plan_context(
         callplan_test.upstream("f0", zone="south"),
         callplan_test.upstream("n0"),
         callplan_test.upstream("f1", "s1", zone="south"),
         callplan_test.upstream("f2", "s2", zone="south"),
     )
-    know.placing.unreachable("n0", 0.0)
+    know.load_balancer.record_connect_failure("n0", 0.0)
     running = callplan_test.plan(know, callplan_test.shards(3, 0.9))
     running.start(0.0)
-    know.domains.state = reach.PartitionState.PARTITIONED
-    commands = running.on_cut(20.0)
+    know.partition_detector.state = reach.PartitionState.PARTITIONED
+    commands = running.on_partition(20.0)
     assert callplan_test.result(commands) is not None
     (again,) = callplan_test.sends(commands)
-    running.calls.note_waiting(again.call_id)
+    running.calls.mark_unsent(again.call_id)
 
 
 def test_while_cut_off_a_single_request_stays_near_or_is_refused():
-    know = callplan_test.knowledge(
+    know = callplan_test.plan_context(
         callplan_test.upstream("n"), callplan_test.upstream("f", zone="south")
     )
-    know.placing.unreachable("n", 0.0)
-    know.domains.state = reach.PartitionState.PARTITIONED
+    know.load_balancer.record_connect_failure("n", 0.0)
+    know.partition_detector.state = reach.PartitionState.PARTITIONED
     (first,) = callplan_test.sends(callplan_test.plan(know).start(0.0))
     assert first.upstream.upstream_id == "n"
-    know = callplan_test.knowledge(callplan_test.upstream("f", zone="south"))
-    know.domains.state = reach.PartitionState.PARTITIONED
+    know = callplan_test.plan_context(callplan_test.upstream("f", zone="south"))
+    know.partition_detector.state = reach.PartitionState.PARTITIONED
     end = callplan_test.result(
         callplan_test.plan(know, idempotent=False).start(0.0)
     )
-    assert end == callcommand.Refuse(reason=callresult.CUT_OFF)
+    assert end == callcommand.Refuse(reason=callresult.PARTITIONED)
 
 
 def test_an_upstream_that_a_lost_gatherer_may_have_called_stays_an_attempt():
@@ -150,11 +150,11 @@
         for name in target.shards
         for end in "abc"
     ]
-    plan = callplan_test.plan(callplan_test.knowledge(*listed), target)
+    plan = callplan_test.plan(callplan_test.plan_context(*listed), target)
     first, _ = callplan_test.sends(plan.start(0.0))
-    plan.note_relayed([first.call_id], 50.0)
+    plan.record_relayed([first.call_id], 50.0)
     lost = callcommand.Outcome(
-        kind=callcommand.Kind.FAILED, reason=callresult.GATHERER_LOST
+        kind=callcommand.OutcomeKind.FAILED, reason=callresult.GATHERER_LOST
     )
     (again,) = callplan_test.sends(plan.on_outcome(first.call_id, lost, 10.0))
     assert again.upstream == first.upstream
--- a/hyssoptack/policy/callresult.py
+++ b/hyssoptack/policy/callresult.py
@@ -3,7 +3,7 @@
 from hyssoptack.policy import callcommand
 from hyssoptack.policy import callpart
 
-CUT_OFF = "failure_domain_cut_off"
+PARTITIONED = "failure_domain_cut_off"
 """Why a part has nobody to be sent to while its failure domain is cut off."""
 
 GATHERER_LOST = "gatherer_lost"
@@ -12,22 +12,22 @@
 GATHERER_DECLINED = "gatherer_declined"
 """Why a call was not made: the instance that was to make it makes none."""
 
-GATHERERS_FAULTS = frozenset((GATHERER_LOST, GATHERER_DECLINED))
+GATHERER_FAULTS = frozenset((GATHERER_LOST, GATHERER_DECLINED))
 """Then the upstream itself may be called from here."""
 
 CRASHES_UPSTREAMS = "crashes_upstreams"
 """Why a request is refused, here or by the instance that was to call for it:
 upstreams ended each time that it ran (`policy.suspicion`)."""
 
-NOT_LISTED_THERE = "not_listed_there"
+NOT_LISTED_AT_GATHERER = "not_listed_there"
 """Why a call was not made: the instance that was to make it knows no such
 upstream, or knows that it leaves."""
 
 
-def result_of(
+def request_result(
     parts: callpart.Parts,
     *,
-    covers_floor: bool,
+    meets_floor: bool,
     timed_out: bool,
     may_have_run: bool,
 ) -> callcommand.Result:
@@ -35,11 +35,11 @@
 
     Args:
         parts: What became of its parts.
-        covers_floor: Whether those that are in make an answer.
+        meets_floor: Whether those that are in make an answer.
         timed_out: Whether its time is over.
         may_have_run: Whether any of it ran, or may still run.
     """
-    if covers_floor:
+    if meets_floor:
         replies = tuple(
             part.reply for part in parts.all if part.reply is not None
         )
@@ -54,7 +54,13 @@
     return callcommand.Refuse(reason=reason)
 
 
-def lost_by_cut(call: callpart.Call) -> callcommand.Outcome:
+def partition_outcome(call: callpart.Call) -> callcommand.Outcome:
     """Returns the outcome of a call that a cut has swallowed."""
-    kind = callcommand.Kind.FAILED if call.sent else callcommand.Kind.NOT_RUN
-    return callcommand.Outcome(kind=kind, reason=CUT_OFF, reached=call.sent)
+    kind = (
+        callcommand.OutcomeKind.FAILED
+        if call.is_sent
+        else callcommand.OutcomeKind.NOT_RUN
+    )
+    return callcommand.Outcome(
+        kind=kind, reason=PARTITIONED, reached=call.is_sent
+    )
--- a/hyssoptack/policy/caution.py
+++ b/hyssoptack/policy/caution.py
@@ -83,7 +83,7 @@
         """Takes an outcome; tells whether its request crashes upstreams."""
         if outcome.reason == callresult.CRASHES_UPSTREAMS:
             return not self._answered
-        if not outcome.ended:
+        if not outcome.upstream_exited:
             return False
         self.crash_count += 1
         if self._answered:
@@ -91,7 +91,7 @@
         ending = suspect.UpstreamCrash(
             upstream_id=call.upstream_id,
             at_ms=now_ms,
-            proven=call.careful and outcome.alone,
+            proven=call.is_probe and outcome.was_only_call,
         )
         self._known.record_crash(self._fingerprint, ending, now_ms)
         self.is_probing = self._known.is_tracked(self._fingerprint)
@@ -118,7 +118,7 @@
         if not self.is_probing:
             return False
         if asked.extra == HEDGE:
-            return any(e.careful and e.part is not asked.part for e in calls)
+            return any(e.is_probe and e.part is not asked.part for e in calls)
         if asked.part is self._released:
             self._released = None
             return False
--- a/hyssoptack/policy/comeback.py
+++ b/hyssoptack/policy/comeback.py
@@ -60,7 +60,7 @@
 def cause_of(reason: str) -> RefusalCause:
     """Returns the cause behind a plan's or a route table's reason."""
     match reason:
-        case callresult.CUT_OFF:
+        case callresult.PARTITIONED:
             return RefusalCause.PARTITIONED
         case routetable.RouteMiss.NOT_CONFIGURED.value:
             return RefusalCause.STARTING
--- a/hyssoptack/policy/comeback_test.py
+++ b/hyssoptack/policy/comeback_test.py
@@ -20,8 +20,8 @@
     # They were told 100 ms, came back to the same domain, and had no try left.
     for cut_for_ms in (0.0, 400.0, 2_000.0):
         away_ms = comeback.BALANCER_REMOVAL_MS - cut_for_ms
-        assert min(waits(callresult.CUT_OFF, cut_for_ms)) >= away_ms
-    assert max(waits(callresult.CUT_OFF, 9_000.0)) < 100.0
+        assert min(waits(callresult.PARTITIONED, cut_for_ms)) >= away_ms
+    assert max(waits(callresult.PARTITIONED, 9_000.0)) < 100.0
 
 
 @pytest.mark.parametrize(
--- a/hyssoptack/policy/covering.py
+++ b/hyssoptack/policy/covering.py
@@ -12,7 +12,7 @@
 from hyssoptack.policy import rendezvous
 
 
-def preferred(
+def preferred_domains(
     own_domain: str, domains: collections.abc.Mapping[str, set[str]]
 ) -> dict[str, str]:
     """Returns the domain that each shard's calls prefer, but for own ones.
--- a/hyssoptack/policy/delegation.py
+++ b/hyssoptack/policy/delegation.py
@@ -63,8 +63,8 @@
     """What handing queries to one neighbour has shown."""
 
     flight_count: int = 0
-    left_alone: avoidance.Avoidance = dataclasses.field(
-        default_factory=avoidance.Avoidance
+    left_alone: avoidance.EjectionState = dataclasses.field(
+        default_factory=avoidance.EjectionState
     )
 
 
@@ -92,7 +92,7 @@
         self._peers: tuple[member.Peer, ...] = ()
         self._known: dict[str, _Neighbour] = {}
         self._reply_bytes: dict[str, float] = {}
-        self.hop_delays = lateness.Lateness(HOP_MS)
+        self.hop_delays = lateness.DelayEstimate(HOP_MS)
 
     def install(self, peers: tuple[member.Peer, ...]) -> None:
         """Replaces the list of neighbours."""
@@ -136,7 +136,7 @@
     def _is_well(self, address: str, now_ms: float) -> bool:
         known = self._known.get(address, _Neighbour())
         full = known.flight_count >= IN_FLIGHT_LIMIT_COUNT
-        return not full and not known.left_alone.avoided(now_ms)
+        return not full and not known.left_alone.is_ejected(now_ms)
 
     def _load(self, peer: member.Peer) -> float:
         known = self._known.get(peer.address, _Neighbour())
@@ -156,9 +156,9 @@
     def record_answer(self, address: str) -> None:
         """Takes that a neighbour answered."""
         known = self._known.setdefault(address, _Neighbour())
-        known.left_alone.answered()
+        known.left_alone.record_answer()
 
     def record_failure(self, address: str, now_ms: float) -> None:
         """Takes that a neighbour did not begin, or did not answer."""
         known = self._known.setdefault(address, _Neighbour())
-        known.left_alone.failed(now_ms)
+        known.left_alone.record_failure(now_ms)
--- a/hyssoptack/policy/example.py
+++ b/hyssoptack/policy/example.py
@@ -74,7 +74,7 @@
 
 def knowledge(
     current: catalog.Service,
-    hedges: hedging.Hedging | None = None,
+    hedges: hedging.HedgePolicy | None = None,
 ) -> queryplan.QueryPlanContext:
     """Returns what a fresh instance of three domains knows of a service."""
     upstream_health = health.HealthTracker()
@@ -110,13 +110,15 @@
     return queryplan.QueryPlanContext(
         router=router,
         upstream_health=upstream_health,
-        retry_budgets=budget.Book(),
+        retry_budgets=budget.ServiceBudgets(),
         hedge_policy=hedges or hedging.HedgeAfterQuantile(),
         current_service=services.get,
     )
 
 
-def asked(service_name: str = "oven-kiosk", number: int = 1) -> query.Query:
+def browsing_query(
+    service_name: str = "oven-kiosk", number: int = 1
+) -> query.Query:
     """Returns a browsing query with the profile's deadline."""
     return query.Query(
         query_id=f"q{number}",
@@ -128,11 +130,11 @@
     )
 
 
-def answer_to(
+def answer_reply(
     ask: querycommand.Send,
     current: catalog.Service,
     version: int = 1,
-    held: tuple[int, ...] = (1,),
+    held_versions: tuple[int, ...] = (1,),
     service_ms: float = 5.0,
 ) -> message.UpstreamReply:
     """Returns an upstream's whole answer to an ask."""
@@ -147,7 +149,7 @@
         upstream_id=ask.path.upstream_id,
         status=message.CallStatus.ANSWERED,
         index_version=version,
-        held_versions=held,
+        held_versions=held_versions,
         key_range=shard.key_range,
         hits=(hit,),
         service_ms=service_ms,
@@ -155,10 +157,10 @@
     )
 
 
-def failure_of(
+def failure_reply(
     ask: querycommand.Send,
     status: message.CallStatus,
-    held: tuple[int, ...] = (),
+    held_versions: tuple[int, ...] = (),
     reached: bool = True,
 ) -> message.UpstreamReply:
     """Returns a reply without an answer."""
@@ -166,7 +168,7 @@
         call_id=ask.call_id,
         upstream_id=ask.path.upstream_id,
         status=status,
-        held_versions=held,
+        held_versions=held_versions,
         reached_upstream=reached,
         service_ms=5.0,
     )
--- a/hyssoptack/policy/extrawindow.py
+++ b/hyssoptack/policy/extrawindow.py
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Share:
+class BudgetShare:
     """One instance's part of the budget.
 
     Attributes:
@@ -81,7 +81,7 @@
         self.slack_count = 0.0
         self.filled_ms = started_ms
 
-    def fill(self, share: Share, now_ms: float) -> None:
+    def fill(self, share: BudgetShare, now_ms: float) -> None:
         """Takes the slack that has come in since the last time."""
         came_count = share.refill_count_per_ms * (now_ms - self.filled_ms)
         self.slack_count = min(
@@ -106,10 +106,10 @@
         return self._slots[-1]
 
 
-class Book:
+class WindowBudget:
     """The extra calls of one instance, by service."""
 
-    def __init__(self, share: Share, started_ms: float):
+    def __init__(self, share: BudgetShare, started_ms: float):
         """Makes a book without entries.
 
         Args:
@@ -118,28 +118,28 @@
         """
         self.share = share
         self.gather_share = share
-        self.gathered: frozenset[str] = frozenset()
+        self.gathered_services: frozenset[str] = frozenset()
         self._started_ms = started_ms
         self._services: dict[str, _Service] = {}
 
-    def note_request(self, service: str, now_ms: float) -> None:
+    def record_request(self, service: str, now_ms: float) -> None:
         """Counts the first call of a request to a service."""
         found = self._service(service)
         found.slot(self._number(now_ms)).request_count += 1
         found.request_count += 1
 
-    def spend(
-        self, service: str, now_ms: float, keep_count: float = 0.0
+    def try_spend(
+        self, service: str, now_ms: float, reserve_count: float = 0.0
     ) -> bool:
         """Counts an extra call if it may be made; tells whether so.
 
         Args:
             service: The service to call.
             now_ms: The time now.
-            keep_count: Extra calls that must be left after it.
+            reserve_count: Extra calls that must be left after it.
         """
         found, slot, earned_count = self._account(service, now_ms)
-        if earned_count + found.slack_count < 1.0 + keep_count:
+        if earned_count + found.slack_count < 1.0 + reserve_count:
             return False
         paid_count = min(1.0, earned_count)
         slot.extra_count += paid_count
@@ -152,9 +152,13 @@
         found, _, earned_count = self._account(service, now_ms)
         return earned_count + found.slack_count >= 1.0
 
-    def _share_for(self, service: str) -> Share:
+    def _share_for(self, service: str) -> BudgetShare:
         """Returns the part of the budget that calls to a service draw on."""
-        return self.gather_share if service in self.gathered else self.share
+        return (
+            self.gather_share
+            if service in self.gathered_services
+            else self.share
+        )
 
     def _account(
         self, service: str, now_ms: float
--- a/hyssoptack/policy/extrawindow_test.py
+++ b/hyssoptack/policy/extrawindow_test.py
@@ -16,14 +16,14 @@
 
 
 def share(slack_count=SLACK_COUNT / INSTANCE_COUNT, ratio=RATIO):
-    return extrawindow.Share(
+    return extrawindow.BudgetShare(
         ratio=ratio, slack_count=slack_count, window_ms=WINDOW_MS
     )
 
 
 def old_book(part):
     """Returns the book of an instance that runs for a window already."""
-    return extrawindow.Book(part, -WINDOW_MS)
+    return extrawindow.WindowBudget(part, -WINDOW_MS)
 
 
 def spent_count(book, now_ms):
@@ -54,28 +54,28 @@
 
 
 def test_requests_earn_extra_calls_until_they_are_a_window_old():
-    book = extrawindow.Book(share(slack_count=0.0), 0.0)
+    book = extrawindow.WindowBudget(share(slack_count=0.0), 0.0)
     for _ in range(10):
-        book.note_request("s", 0.0)
-    assert [book.spend("s", 0.0) for _ in range(3)] == [True, True, False]
-    assert not book.spend("s", 20_000.0)
+        book.record_request("s", 0.0)
+    assert [book.try_spend("s", 0.0) for _ in range(3)] == [True, True, False]
+    assert not book.try_spend("s", 20_000.0)
 
 
 def test_what_is_to_be_left_is_left():
     book = old_book(share(slack_count=4.0))
-    assert book.spend("s", 0.0, keep_count=1.0)
-    assert not book.spend("s", 0.0, keep_count=1.0)
-    assert book.spend("s", 0.0)
+    assert book.try_spend("s", 0.0, reserve_count=1.0)
+    assert not book.try_spend("s", 0.0, reserve_count=1.0)
+    assert book.try_spend("s", 0.0)
 
 
 def test_a_new_instance_has_what_it_earns_at_first_and_all_after_a_window():
-    book = extrawindow.Book(share(slack_count=4.0), 0.0)
+    book = extrawindow.WindowBudget(share(slack_count=4.0), 0.0)
     assert spent_count(book, 0.0) == 0
     assert spent_count(book, 2_400.0) == 0
     for _ in range(5):
-        book.note_request("s", 2_400.0)
+        book.record_request("s", 2_400.0)
     assert spent_count(book, 2_400.0) == 1
-    late = extrawindow.Book(share(slack_count=4.0), 0.0)
+    late = extrawindow.WindowBudget(share(slack_count=4.0), 0.0)
     assert spent_count(late, WINDOW_MS) == 2
 
 
@@ -93,10 +93,10 @@
         now_ms += dice.expovariate(1 / dice.choice((5.0, 50.0, 400.0)))
         book = dice.choice(books)
         if dice.random() < 0.5:
-            book.note_request("s", now_ms)
+            book.record_request("s", now_ms)
             requests.append(now_ms)
         while dice.random() < 0.7:
-            if book.spend("s", now_ms):
+            if book.try_spend("s", now_ms):
                 extras.append(now_ms)
     return requests, extras
 
@@ -128,14 +128,14 @@
     while now_ms < 3 * WINDOW_MS:
         now_ms += dice.uniform(5.0, 100.0)
         number = dice.randrange(instance_count)
-        books[number].note_request("s", now_ms)
+        books[number].record_request("s", now_ms)
         requests.append(now_ms)
-        while books[number].spend("s", now_ms):
+        while books[number].try_spend("s", now_ms):
             extras.append(now_ms)
         if dice.random() < 0.01:
             ended = range(instance_count) if together else (number,)
             for each in ended:
-                books[each] = extrawindow.Book(part, now_ms)
+                books[each] = extrawindow.WindowBudget(part, now_ms)
     return requests, extras
 
 
@@ -186,9 +186,9 @@
 def test_the_slack_of_queries_and_that_of_single_calls_are_apart():
     book = old_book(share(slack_count=0.0))
     book.gather_share = share(slack_count=8.0)
-    book.gathered = frozenset(("s",))
+    book.gathered_services = frozenset(("s",))
     assert spent_count(book, 0.0) == 4
-    assert not book.spend("desk", 0.0)
+    assert not book.try_spend("desk", 0.0)
 
 
 def _served_ratio(part, seed):
@@ -203,9 +203,9 @@
         now_ms = number * 110.0
         missing_count = 0
         for shard in range(54):
-            book.note_request(f"s{shard}", now_ms)
+            book.record_request(f"s{shard}", now_ms)
             if source.random() < 0.25:
-                missing_count += not book.spend(f"s{shard}", now_ms)
+                missing_count += not book.try_spend(f"s{shard}", now_ms)
         served_count += missing_count <= 2
     return served_count / 90
 
--- a/hyssoptack/policy/gatherers.py
+++ b/hyssoptack/policy/gatherers.py
@@ -89,8 +89,8 @@
     """What relaying over one gatherer has shown."""
 
     open_count: int = 0
-    left_alone: avoidance.Avoidance = dataclasses.field(
-        default_factory=avoidance.Avoidance
+    left_alone: avoidance.EjectionState = dataclasses.field(
+        default_factory=avoidance.EjectionState
     )
 
 
@@ -101,8 +101,8 @@
         self._random = source
         self._by_domain: dict[str, list[member.Peer]] = {}
         self._standings: dict[str, _Standing] = {}
-        self._domains: dict[str, avoidance.Avoidance] = {}
-        self._first_words = typicals.Typical()
+        self._domains: dict[str, avoidance.EjectionState] = {}
+        self._first_words = typicals.LatencyEstimate()
 
     def install(self, peers: tuple[member.Peer, ...]) -> None:
         """Replaces the list."""
@@ -123,12 +123,12 @@
     def choose(self, failure_domain: str, now_ms: float) -> member.Peer | None:
         """Returns who makes calls in a domain; None to make them from here."""
         domain = self._domains.get(failure_domain)
-        if domain is not None and domain.avoided(now_ms):
+        if domain is not None and domain.is_ejected(now_ms):
             return None
         well = [
             each
             for each in self._by_domain.get(failure_domain, ())
-            if not self._standing(each.address).left_alone.avoided(now_ms)
+            if not self._standing(each.address).left_alone.is_ejected(now_ms)
         ]
         if not well:
             return None
@@ -155,18 +155,18 @@
 
     def record_first_report(self, took_ms: float) -> None:
         """Takes how long a gatherer took to say anything of its calls."""
-        self._first_words.note(took_ms)
+        self._first_words.record(took_ms)
 
     def record_report(self, peer: member.Peer) -> None:
         """Takes a gatherer's word."""
-        self._standing(peer.address).left_alone.alive()
+        self._standing(peer.address).left_alone.end_ejection()
         domain = self._domains.get(peer.failure_domain)
         if domain is not None:
-            domain.alive()
+            domain.end_ejection()
 
     def record_decline(self, peer: member.Peer, now_ms: float) -> None:
         """Takes that a gatherer makes no calls now."""
-        self._standing(peer.address).left_alone.failed(now_ms)
+        self._standing(peer.address).left_alone.record_failure(now_ms)
 
     def record_loss(self, peer: member.Peer, now_ms: float) -> None:
         """Takes that a gatherer is gone or silent.
@@ -176,13 +176,13 @@
         """
         domain = self._by_domain.get(peer.failure_domain, ())
         others_lost = any(
-            self._standing(each.address).left_alone.avoided(now_ms)
+            self._standing(each.address).left_alone.is_ejected(now_ms)
             for each in domain
             if each.address != peer.address
         )
-        self._standing(peer.address).left_alone.failed(now_ms)
+        self._standing(peer.address).left_alone.record_failure(now_ms)
         if others_lost:
             left = self._domains.setdefault(
-                peer.failure_domain, avoidance.Avoidance()
+                peer.failure_domain, avoidance.EjectionState()
             )
-            left.failed(now_ms)
+            left.record_failure(now_ms)
--- a/hyssoptack/policy/hedgequeue.py
+++ b/hyssoptack/policy/hedgequeue.py
@@ -20,7 +20,10 @@
     """Calls by the time at which they are hedged."""
 
     def __init__(
-        self, times: hedgetime.HedgeTime, may_hedge: MayHedge, dry_hedges: bool
+        self,
+        times: hedgetime.HedgeTiming,
+        may_hedge: MayHedge,
+        dry_hedges: bool,
     ):
         """Makes an empty queue.
 
@@ -39,35 +42,37 @@
         """Takes a call that goes out."""
         self._own.append(call)
 
-    def note_relayed(
-        self, calls: collections.abc.Iterable[callpart.Call], overdue_ms: float
+    def record_relayed(
+        self,
+        calls: collections.abc.Iterable[callpart.Call],
+        overdue_at_ms: float,
     ) -> None:
         """Notes that another instance makes some calls.
 
         Args:
             calls: The calls.
-            overdue_ms: When word of them is overdue.
+            overdue_at_ms: When word of them is overdue.
         """
         for call in calls:
-            call.overdue_ms = overdue_ms
+            call.overdue_at_ms = overdue_at_ms
             self._relayed.append(call)
         self._own = collections.deque(
-            each for each in self._own if each.overdue_ms is None
+            each for each in self._own if each.overdue_at_ms is None
         )
 
-    def next_ms(self) -> float:
+    def next_due_ms(self) -> float:
         """Returns when the next call is due; infinite for never."""
         next_ms = math.inf
         call = self._first(self._own)
         if call is not None:
-            due_ms = self._times.alone_at_ms(call.sent_ms)
+            due_ms = self._times.single_hedge_at_ms(call.created_ms)
             next_ms = min(due_ms, self._dry_at_ms())
         call = self._first(self._relayed)
         if call is not None:
-            next_ms = min(next_ms, call.overdue_ms)
+            next_ms = min(next_ms, call.overdue_at_ms)
         return next_ms
 
-    def take_due(self, now_ms: float) -> list[callpart.Call]:
+    def pop_due(self, now_ms: float) -> list[callpart.Call]:
         """Takes out the calls whose time has come."""
         due: list[callpart.Call] = []
         if now_ms >= self._dry_at_ms():
@@ -75,11 +80,11 @@
             due.extend(each for each in self._own if self._is_open(each))
             self._own.clear()
         while call := self._first(self._own):
-            if now_ms < self._times.alone_at_ms(call.sent_ms):
+            if now_ms < self._times.single_hedge_at_ms(call.created_ms):
                 break
             due.append(self._own.popleft())
         while call := self._first(self._relayed):
-            if now_ms < call.overdue_ms:
+            if now_ms < call.overdue_at_ms:
                 break
             due.append(self._relayed.popleft())
         return due
@@ -88,7 +93,7 @@
         """Returns when the missing calls are hedged; infinite for never."""
         if not self._dry_hedges:
             return math.inf
-        at_ms = self._times.dry_at_ms()
+        at_ms = self._times.stall_at_ms()
         return math.inf if at_ms is None else at_ms
 
     def _first(
--- a/hyssoptack/policy/hedgetime.py
+++ b/hyssoptack/policy/hedgetime.py
@@ -20,28 +20,28 @@
 """A call that takes longer than this share of its route's calls is hedged: the
 users' upstreams pause for 4 calls in 100, so most hedges answer a pause."""
 
-FLOOR_MS = 5.0
+MIN_DELAY_MS = 5.0
 """No hedge sooner: below it, timers and the wire decide, not the upstream."""
 
 DEFAULT_RATIO = 0.4
 """Before a route has measured calls, hedge at this share of its goal."""
 
-LATEST_RATIO = 0.6
+MAX_DELAY_RATIO = 0.6
 """Hedge at this share of the time to the goal at the latest, so that the second
 call has time to answer."""
 
-SOONEST_RATIO = 0.5
+MIN_DELAY_RATIO = 0.5
 """Nor hedge a call alone before this share of the time to the goal: an answer
 that is in time sooner is worth no more, and in most cases the first call
 answers within 10 ms of the earlier hedge (60 in 100 on the grown sites' calm
 seconds), which then has spent what a call that fails needs."""
 
-DRY_ANSWERED_RATIO = 0.7
+STALL_ANSWERED_RATIO = 0.7
 """Part of a query's shards that must have answered before a gap between answers
 says anything of the others: with 15 in 100 upstreams slow, and 4 pausing, 8 in
 10 are in; with fewer the fault may be this instance's."""
 
-DRY_GAP_RATIO = 0.15
+STALL_GAP_RATIO = 0.15
 """Gap without an answer, over the time to the query's first answer, after which
 the missing ones are late for a cause of their own. The first answer waited for
 nothing here, so it shows what an upstream takes (9 and 22 ms on the users'
@@ -58,12 +58,12 @@
 this process; only a cut shows the same, and a hedge mends none."""
 
 
-class HedgeTime:
+class HedgeTiming:
     """The times at which one request's calls are hedged."""
 
     def __init__(
         self,
-        typical: typicals.Typical,
+        typical: typicals.LatencyEstimate,
         goal_ms: float,
         goal_at_ms: float,
         now_ms: float,
@@ -85,51 +85,51 @@
         self._answered_count = 0
         self._alone_ms = _alone_ms(typical, goal_ms, goal_at_ms - now_ms)
 
-    def note_answer(self, now_ms: float) -> None:
+    def record_answer(self, now_ms: float) -> None:
         """Takes an answer of one of the shards."""
         if self._first_ms is None:
             self._first_ms = now_ms
         self._last_ms = now_ms
         self._answered_count += 1
 
-    def alone_at_ms(self, sent_ms: float) -> float:
+    def single_hedge_at_ms(self, created_ms: float) -> float:
         """Returns when a call is hedged that is alone in being late.
 
         Args:
-            sent_ms: When it was decided on.
+            created_ms: When it was decided on.
         """
-        due_ms = sent_ms + self._alone_ms
+        due_ms = created_ms + self._alone_ms
         if self._part_count < 2:
             return due_ms
         if self._first_ms is None:
-            return sent_ms + ALL_SILENT_RATIO * self._alone_ms
+            return created_ms + ALL_SILENT_RATIO * self._alone_ms
         return max(due_ms, self._last_ms + self._stream_gap_ms())
 
-    def dry_at_ms(self) -> float | None:
+    def stall_at_ms(self) -> float | None:
         """Returns when answers have dried up; None while that can't be told."""
         if self._first_ms is None or self._part_count < 2:
             return None
-        if self._answered_count < DRY_ANSWERED_RATIO * self._part_count:
+        if self._answered_count < STALL_ANSWERED_RATIO * self._part_count:
             return None
         own_ms = self._first_ms - self._started_ms
-        gap_ms = max(DRY_GAP_RATIO * own_ms, self._stream_gap_ms())
+        gap_ms = max(STALL_GAP_RATIO * own_ms, self._stream_gap_ms())
         return self._last_ms + gap_ms
 
     def _stream_gap_ms(self) -> float:
         """Returns the age of the last answer at which they have paused."""
         gaps_count = max(1, self._answered_count - 1)
         usual_ms = (self._last_ms - self._first_ms) / gaps_count
-        return max(FLOOR_MS, STREAM_GAP_RATIO * usual_ms)
+        return max(MIN_DELAY_MS, STREAM_GAP_RATIO * usual_ms)
 
 
 def _alone_ms(
-    typical: typicals.Typical, goal_ms: float, to_goal_ms: float
+    typical: typicals.LatencyEstimate, goal_ms: float, to_goal_ms: float
 ) -> float:
     """Returns how long a call is waited for, whatever the others do."""
     slow_ms = typical.quantile_ms(QUANTILE_RATIO)
     if slow_ms is None:
         slow_ms = DEFAULT_RATIO * goal_ms
     if to_goal_ms > 0.0:
-        slow_ms = min(slow_ms, LATEST_RATIO * to_goal_ms)
-        slow_ms = max(slow_ms, SOONEST_RATIO * to_goal_ms)
-    return max(FLOOR_MS, slow_ms)
+        slow_ms = min(slow_ms, MAX_DELAY_RATIO * to_goal_ms)
+        slow_ms = max(slow_ms, MIN_DELAY_RATIO * to_goal_ms)
+    return max(MIN_DELAY_MS, slow_ms)
--- a/hyssoptack/policy/hedgetime_test.py
+++ b/hyssoptack/policy/hedgetime_test.py
@@ -9,36 +9,36 @@
 
 
 def made(part_count=PART_COUNT):
-    return hedgetime.HedgeTime(
-        typicals.Typical(), GOAL_MS, GOAL_MS, 0.0, part_count
+    return hedgetime.HedgeTiming(
+        typicals.LatencyEstimate(), GOAL_MS, GOAL_MS, 0.0, part_count
     )
 
 
 def test_a_call_alone_waits_for_its_time():
     times = made(part_count=1)
-    assert times.alone_at_ms(0.0) == hedgetime.SOONEST_RATIO * GOAL_MS
-    assert times.dry_at_ms() is None
+    assert times.single_hedge_at_ms(0.0) == hedgetime.MIN_DELAY_RATIO * GOAL_MS
+    assert times.stall_at_ms() is None
 
 
 def test_calls_that_are_silent_together_are_given_twice_the_time():
-    assert made().alone_at_ms(0.0) == GOAL_MS
+    assert made().single_hedge_at_ms(0.0) == GOAL_MS
 
 
 def test_while_answers_stream_in_nothing_is_hedged():
     times = made()
     for number in range(20):
-        times.note_answer(35.0 + 2.0 * number)
+        times.record_answer(35.0 + 2.0 * number)
     last_ms = 35.0 + 2.0 * 19
-    assert times.alone_at_ms(0.0) > last_ms + 5.0
-    assert times.dry_at_ms() is None
+    assert times.single_hedge_at_ms(0.0) > last_ms + 5.0
+    assert times.stall_at_ms() is None
 
 
 def test_a_pause_among_quick_answers_is_hedged_at_once():
     times = made()
     for number in range(38):
-        times.note_answer(8.0 + 0.2 * number)
-    assert times.dry_at_ms() <= 8.0 + 0.2 * 37 + hedgetime.FLOOR_MS
-    assert times.alone_at_ms(0.0) == hedgetime.SOONEST_RATIO * GOAL_MS
+        times.record_answer(8.0 + 0.2 * number)
+    assert times.stall_at_ms() <= 8.0 + 0.2 * 37 + hedgetime.MIN_DELAY_MS
+    assert times.single_hedge_at_ms(0.0) == hedgetime.MIN_DELAY_RATIO * GOAL_MS
 
 
 def _hedges(answer_times_ms):
@@ -53,12 +53,12 @@
         for name in target.shards
         for end in "ab"
     ]
-    plan = callplan_test.plan(callplan_test.knowledge(*upstreams), target)
+    plan = callplan_test.plan(callplan_test.plan_context(*upstreams), target)
     calls = callplan_test.sends(plan.start(0.0))
     hedge_count = 0
     for call, now_ms in zip(calls, answer_times_ms, strict=True):
-        while not plan.finished and plan.next_time_ms() < now_ms:
-            commands = plan.on_time(plan.next_time_ms())
+        while not plan.finished and plan.next_deadline_ms() < now_ms:
+            commands = plan.on_timeout(plan.next_deadline_ms())
             hedge_count += len(callplan_test.sends(commands))
         answer = callplan_test.answered()
         plan.on_outcome(call.call_id, answer, now_ms)
--- a/hyssoptack/policy/hedging.py
+++ b/hyssoptack/policy/hedging.py
@@ -3,7 +3,7 @@
 import dataclasses
 import math
 
-FLOOR_MS = 1.0
+MIN_DELAY_MS = 1.0
 """No hedge sooner: timers fire that late."""
 
 
@@ -24,10 +24,10 @@
     """Never hedge: a baseline for measurements."""
 
 
-Hedging = HedgeAfterQuantile | HedgeAfterDelay | NoHedge
+HedgePolicy = HedgeAfterQuantile | HedgeAfterDelay | NoHedge
 
 
-def delay_ms(hedges: Hedging, quantile_ms: float | None) -> float:
+def delay_ms(hedges: HedgePolicy, quantile_ms: float | None) -> float:
     """Returns how long a call is waited for before it is hedged.
 
     Args:
@@ -38,7 +38,7 @@
         case HedgeAfterQuantile():
             if quantile_ms is None:
                 return math.inf
-            return max(FLOOR_MS, quantile_ms)
+            return max(MIN_DELAY_MS, quantile_ms)
         case HedgeAfterDelay(delay_ms=fixed_ms):
             return fixed_ms
         case NoHedge():
--- a/hyssoptack/policy/knowing.py
+++ b/hyssoptack/policy/knowing.py
@@ -11,20 +11,20 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Knowledge:
+class PlanContext:
     """What all plans of an instance draw on.
 
     Attributes:
-        placing: Standings of the upstreams.
-        extra_calls: The budget of calls beyond the first.
-        domains: Whether other failure domains can be reached.
+        load_balancer: Standings of the upstreams.
+        extra_call_budget: The budget of calls beyond the first.
+        partition_detector: Whether other failure domains can be reached.
         mechanisms: What is at work.
         suspicions: Which requests crash upstreams.
     """
 
-    placing: placing.Placing
-    extra_calls: extrawindow.Book
-    domains: reach.PartitionDetector = dataclasses.field(
+    load_balancer: placing.LoadBalancer
+    extra_call_budget: extrawindow.WindowBudget
+    partition_detector: reach.PartitionDetector = dataclasses.field(
         default_factory=reach.PartitionDetector
     )
     mechanisms: mechanism.Mechanisms = mechanism.ALL_ENABLED
--- a/hyssoptack/policy/lateness.py
+++ b/hyssoptack/policy/lateness.py
@@ -18,7 +18,7 @@
 which comes seldom and leaves other queries alone."""
 
 
-class Lateness:
+class DelayEstimate:
     """What was seen of one kind of work."""
 
     def __init__(self, least_ms: float):
@@ -31,11 +31,11 @@
         self._seen_ms: collections.deque[float] = collections.deque(
             maxlen=SAMPLES_COUNT
         )
-        self.usual_ms = least_ms
+        self.estimate_ms = least_ms
 
-    def note(self, late_ms: float) -> None:
+    def record(self, late_ms: float) -> None:
         """Takes how late it was once."""
         self._seen_ms.append(min(MAX_MS, late_ms))
         ordered = sorted(self._seen_ms)
         usual_ms = ordered[int(QUANTILE_RATIO * (len(ordered) - 1))]
-        self.usual_ms = max(self._least_ms, usual_ms)
+        self.estimate_ms = max(self._least_ms, usual_ms)
--- a/hyssoptack/policy/opencalls.py
+++ b/hyssoptack/policy/opencalls.py
@@ -10,7 +10,7 @@
 class OpenCalls:
     """The calls of one request that are out, by number."""
 
-    def __init__(self, known: placing.Placing, route_name: str):
+    def __init__(self, known: placing.LoadBalancer, route_name: str):
         """Makes the calls of a request, of which there are none yet.
 
         Args:
@@ -29,20 +29,20 @@
         """Returns all calls, in the order in which they were decided on."""
         return tuple(self._calls.values())
 
-    def some(
+    def still_open(
         self, call_ids: collections.abc.Iterable[int]
     ) -> list[callpart.Call]:
         """Returns those of some calls that are still out."""
         return [self._calls[each] for each in call_ids if each in self._calls]
 
-    def open(
+    def add(
         self,
         part: callpart.Part,
         upstream: traffic.Upstream,
         now_ms: float,
         *,
-        far: bool,
-        careful: bool,
+        cross_domain: bool,
+        is_probe: bool,
     ) -> callpart.Call:
         """Notes a call that goes out.
 
@@ -50,21 +50,21 @@
             part: The part that it is for.
             upstream: Whom it goes to.
             now_ms: The time now.
-            far: Whether it goes into another failure domain.
-            careful: Whether it goes over a new connection.
+            cross_domain: Whether it goes into another failure domain.
+            is_probe: Whether it goes over a new connection.
         """
         self._last_id += 1
         call = callpart.Call(
             call_id=self._last_id,
             upstream_id=upstream.upstream_id,
-            sent_ms=now_ms,
+            created_ms=now_ms,
             part=part,
-            far=far,
-            careful=careful,
+            cross_domain=cross_domain,
+            is_probe=is_probe,
         )
         part.calls[call.call_id] = self._calls[call.call_id] = call
-        part.sent(upstream.upstream_id)
-        self._placing.sent(upstream.upstream_id, now_ms)
+        part.record_call(upstream.upstream_id)
+        self._placing.begin_call(upstream.upstream_id, now_ms)
         return call
 
     def pop(self, call_id: int) -> callpart.Call | None:
@@ -72,32 +72,32 @@
         call = self._calls.pop(call_id, None)
         if call is not None:
             call.part.calls.pop(call_id, None)
-            self._placing.ended(call.upstream_id)
+            self._placing.end_call(call.upstream_id)
         return call
 
-    def note_waiting(self, call_id: int) -> None:
+    def mark_unsent(self, call_id: int) -> None:
         """Notes that a call waits for a connection: nothing was sent yet."""
         if call := self._calls.get(call_id):
-            call.sent = False
+            call.is_sent = False
 
-    def note_sent(self, call_id: int) -> None:
+    def mark_sent(self, call_id: int) -> None:
         """Notes that a call is being sent."""
         if call := self._calls.get(call_id):
-            call.sent = True
+            call.is_sent = True
 
     def any_sent(self) -> bool:
         """Whether a call is out that an upstream may see at any moment."""
-        return any(call.sent for call in self._calls.values())
+        return any(call.is_sent for call in self._calls.values())
 
     def cancel(self, part: callpart.Part, now_ms: float) -> list[int]:
         """Takes a part's calls out; returns their numbers."""
         call_ids = list(part.calls)
         for call_id in call_ids:
             call = self.pop(call_id)
-            self._placing.outlasted(
+            self._placing.record_cancelled(
                 self._route_name,
                 call.upstream_id,
-                now_ms - call.sent_ms,
+                now_ms - call.created_ms,
                 now_ms,
             )
         return call_ids
--- a/hyssoptack/policy/placing.py
+++ b/hyssoptack/policy/placing.py
@@ -20,13 +20,13 @@
 from hyssoptack.policy import typicals
 from hyssoptack.policy import warmup
 
-PRIOR_MS = 15.0
+DEFAULT_CALL_MS = 15.0
 """Assumed time of a call before any was measured."""
 
-EJECTION_MS = 1_000.0
+BASE_EJECTION_MS = 1_000.0
 """No calls for this long after a failure to connect; doubles up to the most."""
 
-EJECTION_MAX_MS = 4_000.0
+MAX_EJECTION_MS = 4_000.0
 """A crashed upstream's entry is gone after about this long."""
 
 FAILURE_SLOWNESS_RATIO = 6.0
@@ -45,14 +45,14 @@
 neighbours: an upstream that refuses time and again is worth avoiding across
 failure domains, as each refusal costs an extra call of a scarce budget."""
 
-OUTLASTED_RATIO = 2.0
+CANCELLED_SLOWNESS_RATIO = 2.0
 """A call given up unanswered counts as one that took this many times as long as
 it was waited for: half of those that last so long last longer still."""
 
-TELL_FRESH_MS = 600.0
+SHARE_MAX_AGE_MS = 600.0
 """A call is told for about one round of telling; twice does no harm."""
 
-OWN_FAULT_RATIO = 0.5
+LOCAL_FAULT_RATIO = 0.5
 """Where more than this part of the upstreams called of late looks slow, the
 fault is more likely this instance's own, and nothing is told."""
 
@@ -63,7 +63,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class PlacingSettings:
+class LoadBalancerSettings:
     """How upstreams are weighed.
 
     Attributes:
@@ -78,11 +78,13 @@
     mechanisms: mechanism.Mechanisms = mechanism.ALL_ENABLED
 
 
-class Placing:
+class LoadBalancer:
     """Standings of all listed upstreams."""
 
     def __init__(
-        self, settings: PlacingSettings, warmups: warmup.Warmups | None = None
+        self,
+        settings: LoadBalancerSettings,
+        warmups: warmup.WarmupLimiter | None = None,
     ):
         """Makes the placing of one instance.
 
@@ -92,40 +94,40 @@
         """
         self.settings = settings
         self._warmups = warmups
-        self.standings: dict[str, standings.Standing] = {}
-        self._by_service: dict[str, list[standings.Standing]] = {}
-        self._typical: dict[str, typicals.Typical] = {}
+        self.upstream_states: dict[str, standings.UpstreamState] = {}
+        self._by_service: dict[str, list[standings.UpstreamState]] = {}
+        self._typical: dict[str, typicals.LatencyEstimate] = {}
         self._preferred: dict[tuple[str, ...], dict[str, str]] = {}
 
-    def install(
+    def set_upstreams(
         self,
         upstreams: dict[str, traffic.Upstream],
         now_ms: float,
-        returning: frozenset[str] = frozenset(),
+        restored_domains: frozenset[str] = frozenset(),
     ) -> None:
         """Replaces the list of upstreams; what calls have shown is kept.
 
         Args:
             upstreams: The upstreams that may be called.
             now_ms: The time now.
-            returning: Failure domains whose upstreams got nothing before: they
+            restored_domains: Failure domains whose upstreams got nothing before: they
                 may be cold, whatever their entries said then.
         """
-        known = self.standings
-        self.standings = {}
+        known = self.upstream_states
+        self.upstream_states = {}
         self._by_service = {}
         self._preferred = {}
         for upstream_id, upstream in upstreams.items():
             standing = known.get(upstream_id)
             if standing is None:
-                standing = standings.Standing(upstream=upstream)
+                standing = standings.UpstreamState(upstream=upstream)
                 standing.cold_until_ms = now_ms + self._cold_ms(
-                    upstream, upstream.failure_domain in returning
+                    upstream, upstream.failure_domain in restored_domains
                 )
             elif upstream.cold_ms != standing.upstream.cold_ms:
                 self._note_cold(standing, upstream, now_ms)
             standing.upstream = upstream
-            self.standings[upstream_id] = standing
+            self.upstream_states[upstream_id] = standing
             listed = self._by_service.setdefault(upstream.service, [])
             listed.append(standing)
 
@@ -137,7 +139,7 @@
 
     def _note_cold(
         self,
-        standing: standings.Standing,
+        standing: standings.UpstreamState,
         upstream: traffic.Upstream,
         now_ms: float,
     ) -> None:
@@ -145,37 +147,37 @@
         was_cold = standing.cold_until_ms > now_ms
         standing.cold_until_ms = now_ms + upstream.cold_ms
         if upstream.cold_ms and not was_cold and self._warmups is not None:
-            self._warmups.note_cold(upstream, now_ms)
+            self._warmups.on_upstream_cold(upstream, now_ms)
 
-    def typical(self, route_name: str) -> typicals.Typical:
+    def latency_of(self, route_name: str) -> typicals.LatencyEstimate:
         """Returns what is known of a route's calls."""
         found = self._typical.get(route_name)
         if found is None:
-            found = self._typical[route_name] = typicals.Typical()
+            found = self._typical[route_name] = typicals.LatencyEstimate()
         return found
 
     def choose(
         self,
         route_name: str,
         service: str,
-        tried: frozenset[str],
+        excluded_ids: frozenset[str],
         now_ms: float,
-        near_only: bool = False,
+        own_domain_only: bool = False,
         preferred_domain: str = "",
-        idle: bool = False,
-        rank: int = 0,
+        prefer_idle: bool = False,
+        priority: int = 0,
     ) -> traffic.Upstream | None:
         """Returns the best upstream for a call.
 
         Args:
             route_name: The route, whose typical time is used.
             service: The service to call.
-            tried: Upstreams that this request was sent to already.
+            excluded_ids: Upstreams that this request was sent to already.
             now_ms: The time now.
-            near_only: Whether only the own failure domain can be reached.
+            own_domain_only: Whether only the own failure domain can be reached.
             preferred_domain: Among upstreams that look alike, one there.
-            idle: Rather one that has no call of this instance in hand.
-            rank: The request's urgency, 0 the most urgent.
+            prefer_idle: Rather one that has no call of this instance in hand.
+            priority: The request's urgency, 0 the most urgent.
 
         Returns:
             The upstream, or None if there is none left.
@@ -183,20 +185,20 @@
         staying = [
             each
             for each in self._by_service.get(service, ())
-            if each.upstream.upstream_id not in tried
+            if each.upstream.upstream_id not in excluded_ids
             and not each.upstream.draining
-            and not (near_only and self._is_far(each))
-            and self._bears(each, rank, now_ms)
+            and not (own_domain_only and self._is_far(each))
+            and self._bears(each, priority, now_ms)
         ]
         well = [each for each in staying if each.ejected_until_ms <= now_ms]
         # Where none looks well, the fault may be ours: any will do.
         candidates = well or staying
-        if idle:
+        if prefer_idle:
             quiet = [each for each in candidates if not each.in_flight_count]
             candidates = quiet or candidates
         if not candidates:
             return None
-        typical_ms = self.typical(route_name).median_ms or PRIOR_MS
+        typical_ms = self.latency_of(route_name).median_ms or DEFAULT_CALL_MS
         best = min(
             candidates,
             key=lambda each: (
@@ -208,7 +210,7 @@
         )
         return best.upstream
 
-    def preferred(self, services: tuple[str, ...]) -> dict[str, str]:
+    def preferred_domains(self, services: tuple[str, ...]) -> dict[str, str]:
         """Returns the failure domain that each service's calls prefer.
 
         So that a query's calls into other domains go to few of them. Kept until
@@ -224,11 +226,15 @@
                 }
                 for service in services
             }
-            found = covering.preferred(self.settings.failure_domain, domains)
+            found = covering.preferred_domains(
+                self.settings.failure_domain, domains
+            )
             self._preferred[services] = found
         return found
 
-    def covers_near(self, services: collections.abc.Iterable[str]) -> bool:
+    def own_domain_covers(
+        self, services: collections.abc.Iterable[str]
+    ) -> bool:
         """Whether the own failure domain has an upstream for each service.
 
         Services that no upstream serves anywhere don't count.
@@ -244,13 +250,16 @@
         return not any(far and all(far) for far in staying)
 
     def _score(
-        self, standing: standings.Standing, typical_ms: float, now_ms: float
+        self,
+        standing: standings.UpstreamState,
+        typical_ms: float,
+        now_ms: float,
     ) -> float:
         upstream = standing.upstream
         at_work = self.settings.mechanisms
         expected_ms = typical_ms
         if at_work.slowness:
-            expected_ms *= slowness.of(standing, now_ms)
+            expected_ms *= slowness.decayed_ratio(standing, now_ms)
         if at_work.cold_starts and standing.cold_until_ms > now_ms:
             expected_ms *= COLD_RATIO
         queue = max(0, standing.in_flight_count + 1 - upstream.slot_count)
@@ -262,49 +271,49 @@
             expected_ms += self.settings.crossing_ratio * typical_ms
         return expected_ms
 
-    def _is_far(self, standing: standings.Standing) -> bool:
+    def _is_far(self, standing: standings.UpstreamState) -> bool:
         own = self.settings.failure_domain
         return standing.upstream.failure_domain != own
 
     def _bears(
-        self, standing: standings.Standing, rank: int, now_ms: float
+        self, standing: standings.UpstreamState, rank: int, now_ms: float
     ) -> bool:
         """Whether an upstream bears a request more from here."""
         if self._warmups is None or standing.cold_until_ms <= now_ms:
             return True
         return self._warmups.allows(standing.upstream, rank, now_ms)
 
-    def usable(
+    def usable_upstream(
         self, upstream_id: str, rank: int, now_ms: float
     ) -> traffic.Upstream | None:
         """Returns an upstream by its id; None if it may get nothing now."""
-        standing = self.standings.get(upstream_id)
+        standing = self.upstream_states.get(upstream_id)
         if standing is None or standing.upstream.draining:
             return None
         if not self._bears(standing, rank, now_ms):
             return None
         return standing.upstream
 
-    def seen_calls(self, now_ms: float) -> dict[str, notice.LatencySample]:
+    def calls_to_share(self, now_ms: float) -> dict[str, notice.LatencySample]:
         """Returns the calls that neighbours should know of.
 
         Only this instance's own: what it was told would else go round for ever.
         """
         fresh = {
-            upstream_id: standing.own_call
-            for upstream_id, standing in self.standings.items()
-            if now_ms - standing.measured_ms < TELL_FRESH_MS
+            upstream_id: standing.sample_to_share
+            for upstream_id, standing in self.upstream_states.items()
+            if now_ms - standing.last_sample_ms < SHARE_MAX_AGE_MS
         }
         news = {
             upstream_id: seen
             for upstream_id, seen in fresh.items()
-            if seen is not None and now_ms - seen.end_ms < TELL_FRESH_MS
+            if seen is not None and now_ms - seen.end_ms < SHARE_MAX_AGE_MS
         }
         slow_count = sum(
-            each.ratio > slowness.SLOW_RATIO and not each.refused
+            each.ratio > slowness.SLOW_RATIO and not each.was_shed
             for each in news.values()
         )
-        if slow_count > max(1, OWN_FAULT_RATIO * len(fresh)):
+        if slow_count > max(1, LOCAL_FAULT_RATIO * len(fresh)):
             return {}
         return {
             upstream_id: notice.LatencySample(
@@ -313,7 +322,7 @@
             for upstream_id, seen in news.items()
         }
 
-    def told(
+    def merge_neighbour_calls(
         self, seen_calls: dict[str, notice.LatencySample], now_ms: float
     ) -> None:
         """Takes a neighbour's calls as if they were its own.
@@ -322,29 +331,29 @@
         slow upstream rather than a pause, whoever made them.
         """
         for upstream_id, call in seen_calls.items():
-            standing = self.standings.get(upstream_id)
+            standing = self.upstream_states.get(upstream_id)
             if standing is not None:
                 end_ms = now_ms - call.age_ms
-                slowness.take(standing, call.ratio, end_ms, now_ms)
+                slowness.record_call(standing, call.ratio, end_ms, now_ms)
 
     # What calls show.
 
-    def sent(self, upstream_id: str, now_ms: float) -> None:
+    def begin_call(self, upstream_id: str, now_ms: float) -> None:
         """Notes a call that goes out."""
-        standing = self.standings.get(upstream_id)
+        standing = self.upstream_states.get(upstream_id)
         if standing is None:
             return
         standing.in_flight_count += 1
         if self._warmups is not None and standing.cold_until_ms > now_ms:
-            self._warmups.note_sent(standing.upstream, now_ms)
+            self._warmups.record_sent(standing.upstream, now_ms)
 
-    def ended(self, upstream_id: str) -> None:
+    def end_call(self, upstream_id: str) -> None:
         """Notes that a call is over."""
-        standing = self.standings.get(upstream_id)
+        standing = self.upstream_states.get(upstream_id)
         if standing is not None and standing.in_flight_count:
             standing.in_flight_count -= 1
 
-    def answered(
+    def record_answer(
         self,
         route_name: str,
         upstream_id: str,
@@ -352,16 +361,18 @@
         now_ms: float,
     ) -> None:
         """Takes the time of an answered call."""
-        typical = self.typical(route_name)
-        typical.note(elapsed_ms)
-        standing = self.standings.get(upstream_id)
+        typical = self.latency_of(route_name)
+        typical.record(elapsed_ms)
+        standing = self.upstream_states.get(upstream_id)
         if standing is None:
             return
         standing.failure_count = 0
         standing.ejected_until_ms = 0.0
-        slowness.measure(standing, elapsed_ms / typical.median_ms, now_ms)
+        slowness.record_own_call(
+            standing, elapsed_ms / typical.median_ms, now_ms
+        )
 
-    def outlasted(
+    def record_cancelled(
         self,
         route_name: str,
         upstream_id: str,
@@ -369,38 +380,38 @@
         now_ms: float,
     ) -> None:
         """Takes a call given up unanswered; too early, it shows nothing."""
-        standing = self.standings.get(upstream_id)
-        typical_ms = self.typical(route_name).median_ms
+        standing = self.upstream_states.get(upstream_id)
+        typical_ms = self.latency_of(route_name).median_ms
         if standing is None or not typical_ms:
             return
-        ratio = OUTLASTED_RATIO * elapsed_ms / typical_ms
+        ratio = CANCELLED_SLOWNESS_RATIO * elapsed_ms / typical_ms
         if ratio > slowness.SLOW_RATIO:
-            slowness.measure(standing, ratio, now_ms)
+            slowness.record_own_call(standing, ratio, now_ms)
 
-    def failed(self, upstream_id: str, now_ms: float) -> None:
+    def record_failure(self, upstream_id: str, now_ms: float) -> None:
         """Takes a call that the upstream failed."""
-        standing = self.standings.get(upstream_id)
+        standing = self.upstream_states.get(upstream_id)
         if standing is not None:
-            slowness.measure(standing, FAILURE_SLOWNESS_RATIO, now_ms)
+            slowness.record_own_call(standing, FAILURE_SLOWNESS_RATIO, now_ms)
 
-    def unreachable(self, upstream_id: str, now_ms: float) -> bool:
+    def record_connect_failure(self, upstream_id: str, now_ms: float) -> bool:
         """Takes a failure to connect; tells whether it ejects anew."""
-        standing = self.standings.get(upstream_id)
+        standing = self.upstream_states.get(upstream_id)
         if standing is None or not self.settings.mechanisms.ejection:
             return False
         anew = standing.ejected_until_ms <= now_ms
         if anew:
             standing.failure_count += 1
-            wait_ms = EJECTION_MS * 2 ** (standing.failure_count - 1)
-            standing.ejected_until_ms = now_ms + min(EJECTION_MAX_MS, wait_ms)
+            wait_ms = BASE_EJECTION_MS * 2 ** (standing.failure_count - 1)
+            standing.ejected_until_ms = now_ms + min(MAX_EJECTION_MS, wait_ms)
         return anew
 
-    def shed(self, upstream_id: str, now_ms: float) -> None:
+    def record_shed(self, upstream_id: str, now_ms: float) -> None:
         """Takes a refusal for want of room."""
-        standing = self.standings.get(upstream_id)
+        standing = self.upstream_states.get(upstream_id)
         if standing is not None:
             standing.shed_until_ms = now_ms + SHED_QUIET_MS
-            standing.own_call = standings.MeasuredCall(
-                ratio=SHED_SLOWNESS_RATIO, end_ms=now_ms, refused=True
+            standing.sample_to_share = standings.CallSample(
+                ratio=SHED_SLOWNESS_RATIO, end_ms=now_ms, was_shed=True
             )
-            slowness.blend(standing, SHED_SLOWNESS_RATIO, now_ms)
+            slowness.update_average(standing, SHED_SLOWNESS_RATIO, now_ms)
--- a/hyssoptack/policy/queryplan.py
+++ b/hyssoptack/policy/queryplan.py
@@ -46,8 +46,8 @@
 
     router: routing.Router
     upstream_health: health.HealthTracker
-    retry_budgets: budget.Book
-    hedge_policy: hedging.Hedging
+    retry_budgets: budget.ServiceBudgets
+    hedge_policy: hedging.HedgePolicy
     current_service: collections.abc.Callable[[str], catalog.Service | None]
 
 
@@ -265,7 +265,7 @@
     def _paid_ask(
         self, state: shardstate.ShardState, now_ms: float
     ) -> list[querycommand.Command]:
-        if not self._know.retry_budgets.spend(self._service.name):
+        if not self._know.retry_budgets.try_spend(self._service.name):
             return self._lose(state)
         self.extra_call_count += 1
         return self._ask(state, now_ms)
@@ -285,7 +285,7 @@
     def _pays_hedge(self) -> bool:
         match self._know.hedge_policy:
             case hedging.HedgeAfterQuantile():
-                return self._know.retry_budgets.spend(
+                return self._know.retry_budgets.try_spend(
                     self._service.name, HEDGE_KEEP_COUNT
                 )
             case hedging.HedgeAfterDelay():
--- a/hyssoptack/policy/queryplan_test.py
+++ b/hyssoptack/policy/queryplan_test.py
@@ -14,7 +14,7 @@
 
 def _plan(current, know, **changed):
     plan = queryplan.QueryPlan(
-        example.asked(), example.profile(**changed), current, know, 0.0
+        example.browsing_query(), example.profile(**changed), current, know, 0.0
     )
     return plan, plan.start(0.0)
 
@@ -33,7 +33,7 @@
 def _reply_all(plan, current, commands, **kind):
     last = []
     for ask in _asks(commands):
-        last = plan.on_reply(example.answer_to(ask, current, **kind), 5.0)
+        last = plan.on_reply(example.answer_reply(ask, current, **kind), 5.0)
     return last
 
 
@@ -51,23 +51,25 @@
     current = example.service(2, 3)
     plan, commands = _plan(current, example.knowledge(current))
     first, second = _asks(commands)
-    reply = example.answer_to(first, current)
+    reply = example.answer_reply(first, current)
     assert _result(plan.on_reply(reply, 5.0)) is None
     assert plan.on_reply(reply, 6.0) == []
-    answer = _result(plan.on_reply(example.answer_to(second, current), 7.0))
+    answer = _result(plan.on_reply(example.answer_reply(second, current), 7.0))
     assert answer.coverage_ratio == 1.0
-    assert plan.on_reply(example.answer_to(second, current), 8.0) == []
+    assert plan.on_reply(example.answer_reply(second, current), 8.0) == []
 
 
 def test_an_answer_of_another_version_is_asked_again_at_the_pinned_one():
     current = example.service(2, 1)
     plan, commands = _plan(current, example.knowledge(current))
     first, second = _asks(commands)
-    plan.on_reply(example.answer_to(first, current, 1, (1,)), 5.0)
-    mixed = example.answer_to(second, current, 2, (1, 2))
+    plan.on_reply(example.answer_reply(first, current, 1, (1,)), 5.0)
+    mixed = example.answer_reply(second, current, 2, (1, 2))
     again = _asks(plan.on_reply(mixed, 5.0))
     assert [ask.index_version for ask in again] == [1]
-    answer = _result(plan.on_reply(example.answer_to(again[0], current), 9.0))
+    answer = _result(
+        plan.on_reply(example.answer_reply(again[0], current), 9.0)
+    )
     assert (answer.index_version, answer.coverage_ratio) == (1, 1.0)
     assert answer.extra_call_count == 1
 
@@ -76,8 +78,8 @@
     current = example.service(2, 1)
     plan, commands = _plan(current, example.knowledge(current))
     first, second = _asks(commands)
-    plan.on_reply(example.answer_to(first, current, 1, (1,)), 5.0)
-    missing = example.failure_of(second, _MISSING, held=(2,))
+    plan.on_reply(example.answer_reply(first, current, 1, (1,)), 5.0)
+    missing = example.failure_reply(second, _MISSING, held_versions=(2,))
     answer = _result(plan.on_reply(missing, 6.0))
     assert answer.index_version == 1
     assert answer.coverage_ratio == 0.5
@@ -99,7 +101,7 @@
     current = example.service(1, 3)
     plan, commands = _plan(current, example.knowledge(current))
     first = _asks(commands)[0]
-    again = _asks(plan.on_reply(example.failure_of(first, _FAILED), 5.0))
+    again = _asks(plan.on_reply(example.failure_reply(first, _FAILED), 5.0))
     assert again[0].path.upstream_id != first.path.upstream_id
 
 
@@ -107,9 +109,9 @@
     current = example.service(1, 3)
     know = example.knowledge(current)
     plan, commands = _plan(current, know)
-    shed = example.failure_of(_asks(commands)[0], _SHED, reached=False)
+    shed = example.failure_reply(_asks(commands)[0], _SHED, reached=False)
     assert len(_asks(plan.on_reply(shed, 1.0))) == 1
-    assert know.retry_budgets.of(current.name).extra_call_count == 0
+    assert know.retry_budgets.for_service(current.name).extra_call_count == 0
 
 
 def test_retries_stop_where_the_budget_ends():
@@ -120,7 +122,7 @@
     open_asks = _asks(commands)
     while open_asks:
         ask = open_asks.pop()
-        commands = plan.on_reply(example.failure_of(ask, _SHED), 5.0)
+        commands = plan.on_reply(example.failure_reply(ask, _SHED), 5.0)
         extra += len(_asks(commands))
         open_asks += _asks(commands)
     # 5 at the start and 5 in 100 of 50 first calls.
@@ -131,11 +133,11 @@
     current = example.service(1, 3)
     know = example.knowledge(current)
     plan, commands = _plan(current, know)
-    lost = example.failure_of(
+    lost = example.failure_reply(
         _asks(commands)[0], message.CallStatus.NOT_OWNER, reached=False
     )
     assert len(_asks(plan.on_reply(lost, 1.0))) == 1
-    assert know.retry_budgets.of(current.name).extra_call_count == 0
+    assert know.retry_budgets.for_service(current.name).extra_call_count == 0
 
 
 def test_a_slow_call_is_hedged_once_and_the_loser_dropped():
@@ -156,7 +158,7 @@
     assert len(hedge) == 1
     assert hedge[0].path.upstream_id != first.path.upstream_id
     assert _asks(plan.on_timeout(20.0)) == []
-    commands = plan.on_reply(example.answer_to(hedge[0], current), 8.0)
+    commands = plan.on_reply(example.answer_reply(hedge[0], current), 8.0)
     dropped = [
         each for each in commands if isinstance(each, querycommand.Cancel)
     ]
@@ -170,7 +172,7 @@
         current, example.knowledge(current), coverage_floor_ratio=0.9
     )
     ask = _asks(commands)[0]
-    refused = _result(plan.on_reply(example.failure_of(ask, _FAILED), 1.0))
+    refused = _result(plan.on_reply(example.failure_reply(ask, _FAILED), 1.0))
     assert refused.reason is refusal.Reason.COVERAGE_BELOW_FLOOR
     assert refused.ran is refusal.Ran.NO
     assert refused.retry_after_ms > 0
@@ -180,7 +182,7 @@
     current = example.service(4, 1)
     plan, commands = _plan(current, example.knowledge(current))
     for ask in _asks(commands)[:3]:
-        plan.on_reply(example.answer_to(ask, current), 5.0)
+        plan.on_reply(example.answer_reply(ask, current), 5.0)
     answer = _result(plan.on_timeout(395.0))
     assert isinstance(answer, query.Answer)
     assert answer.coverage_ratio == 0.75
@@ -190,7 +192,7 @@
     current = example.service(2, 1)
     plan, commands = _plan(current, example.knowledge(current))
     first, second = _asks(commands)
-    wide = example.answer_to(first, current)
+    wide = example.answer_reply(first, current)
     wide = message.UpstreamReply(
         **{
             **{name: getattr(wide, name) for name in wide.__dataclass_fields__},
@@ -202,7 +204,7 @@
         }
     )
     plan.on_reply(wide, 5.0)
-    other = example.answer_to(second, current)
+    other = example.answer_reply(second, current)
     other = message.UpstreamReply(
         **{
             **{
--- a/hyssoptack/policy/typicals.py
+++ b/hyssoptack/policy/typicals.py
@@ -12,7 +12,7 @@
 """They are sorted again after so many more, as sorting costs 10 us."""
 
 
-class Typical:
+class LatencyEstimate:
     """What calls of one route take: a running median and recent quantiles."""
 
     def __init__(self) -> None:
@@ -23,7 +23,7 @@
         self._sorted: list[float] = []
         self._since_sort_count = 0
 
-    def note(self, elapsed_ms: float) -> None:
+    def record(self, elapsed_ms: float) -> None:
         """Takes the time of a call that was answered."""
         if not self.median_ms:
             self.median_ms = elapsed_ms
--- a/hyssoptack/policy/warmup.py
+++ b/hyssoptack/policy/warmup.py
@@ -27,22 +27,22 @@
 """An upstream counts by the second; requests that wait for a connection come
 somewhat later than they were decided on."""
 
-SETTLED_MS = 1_700.0
+SETTLE_MS = 1_700.0
 """An instance uses no share until it has heard who lives this long after its
 start: those that start together have entered themselves by then."""
 
-KEPT_MS = 30_000.0
+PEER_RETENTION_MS = 30_000.0
 """An instance that is not listed any more keeps its share for so long: its
 entry may have lapsed while it lives."""
 
 RESERVED_RATIO = 0.5
 """Part of a share that is kept for the most urgent requests of late."""
 
-URGENT_KEPT_MS = 1_000.0
+URGENT_RETENTION_MS = 1_000.0
 """How long a request counts as of late."""
 
 
-def share_count(
+def instance_share_count(
     own: member.Peer, others: tuple[member.Peer, ...], limit_count: float
 ) -> int:
     """Returns how many requests a second an instance may send.
@@ -72,7 +72,7 @@
     seen_ms: float
 
 
-class Warmups:
+class WarmupLimiter:
     """One instance's shares of the cold upstreams of its failure domain."""
 
     def __init__(
@@ -91,7 +91,7 @@
         self._sent: dict[str, collections.deque[float]] = {}
         self._urgent: dict[str, _Urgency] = {}
 
-    def install_services(self, services: dict[str, traffic.Service]) -> None:
+    def set_services(self, services: dict[str, traffic.Service]) -> None:
         """Takes what is said of the services."""
         self._services = services
         self._urgent = {
@@ -100,7 +100,7 @@
             if name in services
         }
 
-    def install_instances(
+    def update_instances(
         self, others: tuple[member.Peer, ...], now_ms: float
     ) -> None:
         """Takes who else lives in the failure domain."""
@@ -109,9 +109,9 @@
         self._others = {
             name: (each, seen_ms)
             for name, (each, seen_ms) in self._others.items()
-            if now_ms - seen_ms <= KEPT_MS
+            if now_ms - seen_ms <= PEER_RETENTION_MS
         }
-        self._settled |= now_ms - self._started_ms >= SETTLED_MS
+        self._settled |= now_ms - self._started_ms >= SETTLE_MS
         self._shares.clear()
         for upstream_id in tuple(self._sent):
             # Drops those of upstreams that nobody asks for any more.
@@ -144,7 +144,7 @@
             share -= int(RESERVED_RATIO * share)
         return self._sent_count(upstream.upstream_id, now_ms) < share
 
-    def note_sent(self, upstream: traffic.Upstream, now_ms: float) -> None:
+    def record_sent(self, upstream: traffic.Upstream, now_ms: float) -> None:
         """Notes a request to a cold upstream."""
         if self._limit_count(upstream) < math.inf:
             sent = self._sent.setdefault(
@@ -152,12 +152,14 @@
             )
             sent.append(now_ms)
 
-    def note_cold(self, upstream: traffic.Upstream, now_ms: float) -> None:
+    def on_upstream_cold(
+        self, upstream: traffic.Upstream, now_ms: float
+    ) -> None:
         """Takes that an upstream in use is cold: it had requests just now."""
         limit_count = self._limit_count(upstream)
         if limit_count < math.inf:
             for _ in range(self._share(limit_count)):
-                self.note_sent(upstream, now_ms)
+                self.record_sent(upstream, now_ms)
 
     def _limit_count(self, upstream: traffic.Upstream) -> float:
         service = self._services.get(upstream.service)
@@ -167,14 +169,14 @@
         found = self._shares.get(limit_count)
         if found is None:
             others = tuple(each for each, _ in self._others.values())
-            found = share_count(self._own, others, limit_count)
+            found = instance_share_count(self._own, others, limit_count)
             self._shares[limit_count] = found
         return found
 
     def _yields(self, service: str, rank: int, now_ms: float) -> bool:
         """Whether requests that are more urgent came for a service of late."""
         seen = self._urgent.get(service)
-        over = seen is None or now_ms - seen.seen_ms > URGENT_KEPT_MS
+        over = seen is None or now_ms - seen.seen_ms > URGENT_RETENTION_MS
         if over or rank <= seen.rank:
             self._urgent[service] = _Urgency(rank=rank, seen_ms=now_ms)
             return False
--- a/hyssoptack/policy/warmup_test.py
+++ b/hyssoptack/policy/warmup_test.py
@@ -30,14 +30,14 @@
 
 
 def made(index, started_ms=0.0, per_s=PER_S):
-    one = warmup.Warmups(peer(index), LIMITS, started_ms)
+    one = warmup.WarmupLimiter(peer(index), LIMITS, started_ms)
     service = traffic.Service(
         name=COLD.service,
         max_connections_count=1,
         warmup_ms=3_000.0,
         warmup_per_s=per_s,
     )
-    one.install_services({COLD.service: service})
+    one.set_services({COLD.service: service})
     return one
 
 
@@ -73,12 +73,12 @@
                     for other in self.alive
                     if other != index and self.source.random() < heard_ratio
                 )
-                each.install_instances(others, now_ms)
+                each.update_instances(others, now_ms)
 
     def press(self, now_ms):
         for each in self.alive.values():
             if each.allows(COLD, 0, now_ms):
-                each.note_sent(COLD, now_ms)
+                each.record_sent(COLD, now_ms)
                 self.sent.append(now_ms)
 
 
@@ -103,7 +103,7 @@
 def test_an_instance_that_knows_of_nobody_sends_nothing():
     one = made(0)
     assert not one.allows(COLD, 0, 0.0)
-    one.install_instances((), 100.0)
+    one.update_instances((), 100.0)
     assert not one.allows(COLD, 0, 60_000.0)
 
 
@@ -111,12 +111,12 @@
     one = made(0, per_s=0.0)
     for _ in range(100):
         assert one.allows(COLD, 0, 0.0)
-        one.note_sent(COLD, 0.0)
+        one.record_sent(COLD, 0.0)
 
 
 def test_only_the_own_failure_domain_calls_a_cold_upstream():
     one = made(0)
-    one.install_instances((), warmup.SETTLED_MS)
+    one.update_instances((), warmup.SETTLE_MS)
     far = callplan_test.upstream("b", zone="south")
     assert one.allows(COLD, 0, 2_000.0)
     assert not one.allows(far, 0, 2_000.0)
@@ -124,16 +124,16 @@
 
 def test_urgent_requests_keep_half_of_a_share():
     one = made(0)
-    one.install_instances((), warmup.SETTLED_MS)
+    one.update_instances((), warmup.SETTLE_MS)
     now_ms = 10_000.0
     assert one.allows(COLD, 1, now_ms)
     counts = collections.Counter()
     for _ in range(int(LIMIT_COUNT)):
         if one.allows(COLD, 2, now_ms):
-            one.note_sent(COLD, now_ms)
+            one.record_sent(COLD, now_ms)
             counts["browse"] += 1
     while one.allows(COLD, 1, now_ms):
-        one.note_sent(COLD, now_ms)
+        one.record_sent(COLD, now_ms)
         counts["urgent"] += 1
     assert counts["urgent"] == counts["browse"] == LIMIT_COUNT / 4
 
@@ -142,7 +142,7 @@
     wide = [peer(index, 140.0) for index in range(2)]
     narrow = [peer(index, 14.0) for index in range(2, 29)]
     shares = {
-        each.instance_id: warmup.share_count(
+        each.instance_id: warmup.instance_share_count(
             each,
             tuple(other for other in wide + narrow if other != each),
             LIMIT_COUNT,
@@ -155,13 +155,16 @@
 
 def placed(cold_ms, per_s=PER_S, returning=frozenset()):
     one = made(0, per_s=per_s)
-    one.install_instances((), warmup.SETTLED_MS)
-    known = placing.Placing(
-        placing.PlacingSettings(failure_domain="north", crossing_ratio=1.5), one
+    one.update_instances((), warmup.SETTLE_MS)
+    known = placing.LoadBalancer(
+        placing.LoadBalancerSettings(
+            failure_domain="north", crossing_ratio=1.5
+        ),
+        one,
     )
     cold = callplan_test.upstream("a", cold_ms=cold_ms)
     warm = callplan_test.upstream("b")
-    known.install({"a": cold, "b": warm}, 10_000.0, returning)
+    known.set_upstreams({"a": cold, "b": warm}, 10_000.0, returning)
     return known
 
 
@@ -171,7 +174,7 @@
     for index in range(100):
         now_ms = 10_000.0 + 5.0 * index
         upstream = known.choose("r", COLD.service, frozenset(), now_ms)
-        known.sent(upstream.upstream_id, now_ms)
+        known.begin_call(upstream.upstream_id, now_ms)
         chosen[upstream.upstream_id] += 1
     assert 0 < chosen["a"] <= LIMIT_COUNT * warmup.SHARED_RATIO
     assert sum(chosen.values()) == 100
@@ -182,7 +185,7 @@
     now_ms = 10_000.0
     sent = 0
     while known.choose("r", COLD.service, frozenset("b"), now_ms) is not None:
-        known.sent("a", now_ms)
+        known.begin_call("a", now_ms)
         sent += 1
     assert sent == LIMIT_COUNT * warmup.SHARED_RATIO
 
@@ -193,7 +196,7 @@
         "a": callplan_test.upstream("a", cold_ms=3_000.0),
         "b": callplan_test.upstream("b"),
     }
-    known.install(again, 10_000.0)
+    known.set_upstreams(again, 10_000.0)
     assert known.choose("r", COLD.service, frozenset("b"), 10_100.0) is None
     later_ms = 10_001.0 + warmup.WINDOW_MS
     assert known.choose("r", COLD.service, frozenset("b"), later_ms) is not None
