--- a/bench/slopes/gossip.py
+++ b/bench/slopes/gossip.py
@@ -74,8 +74,8 @@
     def __init__(self, number: int, total: int):
         loop = asyncio.get_running_loop()
         settings = _settings(number)
-        self.state = state.State(settings, hedging.NoHedge())
-        self.config = configuration.Configuration()
+        self.state = state.InstanceState(settings, hedging.NoHedge())
+        self.config = configuration.ActiveConfiguration()
         self.revised_ms: dict[int, float] = {}
         self.links = link.Links(
             settings.peer_address,
@@ -89,7 +89,7 @@
             self.state, self.config, self.links.send, self._on_config
         )
         members = tuple(_member(each) for each in range(total))
-        self.state.note_listed(members, clock.now_ms())
+        self.state.merge_listed(members, clock.now_ms())
         self.links.start()
 
     def _on_received(self, received: link.ReceivedFrame) -> None:
@@ -102,7 +102,7 @@
                 case message.ConfigOffer():
                     self.gossip.on_config_offer(body)
 
-    def _on_config(self, taken: configuration.InForce) -> None:
+    def _on_config(self, taken: configuration.NewConfiguration) -> None:
         self.revised_ms[taken.manifest.revision] = clock.now_ms()
         self.gossip.send_heartbeat()
 
@@ -118,7 +118,7 @@
             applied_at_text="",
             parts={"profiles": digest},
         )
-        taken = self.config.offer(
+        taken = self.config.merge_offer(
             configuration.manifest_text(manifest), {digest: text}
         )
         self._on_config(taken)
--- a/bench/slopes/upstream_client.py
+++ b/bench/slopes/upstream_client.py
@@ -77,7 +77,7 @@
     decoder = msgspec.json.Decoder(client.SearchReply)
 
     def call(upstream: catalog.Upstream) -> client.SearchReply:
-        body = client.SearchBody(
+        body = client.SearchRequest(
             query_id="q",
             service="wide",
             text="baguette",
--- a/hyssoptack/entry/actor.py
+++ b/hyssoptack/entry/actor.py
@@ -34,15 +34,15 @@
 SendTo = collections.abc.Callable[[str, message.Message], bool]
 
 
-class Actor:
+class ActionCoordinator:
     """Owns the actions of this instance's callers; runs on the event loop."""
 
     def __init__(
         self,
-        knowledge: state.State,
+        knowledge: state.InstanceState,
         own_relay: relay.Relay,
-        own_executor: executor.Executor,
-        own_claims: claims.Claims,
+        own_executor: executor.ActionExecutor,
+        own_claims: claims.ClaimStore,
         send_to: SendTo,
     ):
         self._state = knowledge
@@ -56,7 +56,7 @@
         self._asked: dict[str, asyncio.Future[action.Outcome | None]] = {}
         self.in_flight_count = 0
 
-    async def act(self, asked: action.Action) -> action.Outcome:
+    async def run_action(self, asked: action.Action) -> action.Outcome:
         """Brings an action to its final outcome.
 
         Args:
@@ -134,7 +134,9 @@
     ) -> action.Outcome:
         done = asyncio.get_running_loop().create_future()
         self._asked[ask.request_id] = done
-        self._state.awaited.record_request(lane.instance_id, clock.now_ms())
+        self._state.pending_answers.record_request(
+            lane.instance_id, clock.now_ms()
+        )
         try:
             if not self._send_to(lane.instance_id, ask):
                 return _unsent()
@@ -142,7 +144,7 @@
                 return await self._settle(ask)
             outcome = done.result()
             if outcome is not None:
-                self._state.awaited.record_response(lane.instance_id)
+                self._state.pending_answers.record_response(lane.instance_id)
             return outcome if outcome is not None else _unsent()
         finally:
             del self._asked[ask.request_id]
@@ -184,7 +186,7 @@
             # Read again: only a release that is seen in the store counts.
         return claim.unknown_outcome("the executor did not answer")
 
-    async def look_up(self, service: str, key: str) -> action.Outcome:
+    async def read_outcome(self, service: str, key: str) -> action.Outcome:
         """Returns what is on record for an idempotency key."""
         asked = action.Action(
             idempotency_key=key,
--- a/hyssoptack/entry/actor_test.py
+++ b/hyssoptack/entry/actor_test.py
@@ -55,8 +55,8 @@
             asyncio.get_running_loop().call_soon(acting.on_reply, reply)
             return True
 
-        acting = actor.Actor(knowledge, None, None, None, send_to)
-        return await acting.act(_asked())
+        acting = actor.ActionCoordinator(knowledge, None, None, None, send_to)
+        return await acting.run_action(_asked())
 
     assert asyncio.run(run()) == done
     later_ms = clock.now_ms() + 2 * SUSPECT_AFTER_MS
--- a/hyssoptack/entry/burn.py
+++ b/hyssoptack/entry/burn.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Slice:
+class ServiceCounts:
     """Counts of one service in one slice of time.
 
     Attributes:
@@ -36,23 +36,25 @@
     latency: dict[int, int] = dataclasses.field(default_factory=dict)
 
 
-class Burn:
+class BurnCounts:
     """Slices by service; the oldest fall out."""
 
     def __init__(self) -> None:
-        self._slices: dict[str, collections.OrderedDict[int, Slice]] = {}
+        self._slices: dict[
+            str, collections.OrderedDict[int, ServiceCounts]
+        ] = {}
 
-    def _slice(self, service: str, now_ms: float) -> Slice:
+    def _slice(self, service: str, now_ms: float) -> ServiceCounts:
         slices = self._slices.setdefault(service, collections.OrderedDict())
         index = int(now_ms // SLICE_MS)
         found = slices.get(index)
         if found is None:
-            found = slices[index] = Slice()
+            found = slices[index] = ServiceCounts()
             while len(slices) > KEEP_COUNT:
                 slices.popitem(last=False)
         return found
 
-    def answered(
+    def record_answer(
         self,
         service: str,
         elapsed_ms: float,
@@ -67,7 +69,7 @@
         found.covered_sum += coverage_ratio
         _count(found.latency, _bound_index(elapsed_ms), 1)
 
-    def called(
+    def record_calls(
         self,
         service: str,
         upstream_call_count: int,
@@ -79,13 +81,13 @@
         found.upstream_call_count += upstream_call_count
         found.extra_call_count += extra_call_count
 
-    def refused(self, service: str, reason: str, now_ms: float) -> None:
+    def record_refusal(self, service: str, reason: str, now_ms: float) -> None:
         """Counts a refusal."""
         _count(self._slice(service, now_ms).refused, reason, 1)
 
-    def windows(
+    def window_sums(
         self, window_ms: tuple[float, ...], now_ms: float
-    ) -> dict[str, dict[str, Slice]]:
+    ) -> dict[str, dict[str, ServiceCounts]]:
         """Sums slices up.
 
         Args:
@@ -115,16 +117,18 @@
     return len(LATENCY_BOUNDS_MS)
 
 
-def _sum(slices: collections.OrderedDict[int, Slice], since_ms: float) -> Slice:
-    total = Slice()
+def _sum(
+    slices: collections.OrderedDict[int, ServiceCounts], since_ms: float
+) -> ServiceCounts:
+    total = ServiceCounts()
     for index, each in slices.items():
         if (index + 1) * SLICE_MS <= since_ms:
             continue
-        add(total, each)
+        add_counts(total, each)
     return total
 
 
-def add(total: Slice, each: Slice) -> None:
+def add_counts(total: ServiceCounts, each: ServiceCounts) -> None:
     """Adds one slice's counts to a total."""
     total.answered_count += each.answered_count
     total.late_count += each.late_count
--- a/hyssoptack/entry/claims.py
+++ b/hyssoptack/entry/claims.py
@@ -13,7 +13,7 @@
 _ENCODER = msgspec.json.Encoder()
 
 
-class Claims:
+class ClaimStore:
     """Claims by key; each call runs on a thread of its own."""
 
     def __init__(
@@ -51,12 +51,14 @@
         result = await loop.run_in_executor(self._threads, self._store.get, key)
         match result:
             case expression.Result(tag="ok", ok=found):
-                return claim_of(found)
+                return parse_claim(found)
             case _:
                 return None
 
 
-def claim_of(found: store.Found) -> tuple[action.Claim | None, int] | None:
+def parse_claim(
+    found: store.ReadResult,
+) -> tuple[action.Claim | None, int] | None:
     """Returns what the store holds as a claim; None when it can't be read."""
     match found:
         case store.Absent():
--- a/hyssoptack/entry/coordinator.py
+++ b/hyssoptack/entry/coordinator.py
@@ -48,16 +48,16 @@
     timer: asyncio.TimerHandle | None = None
 
 
-class Coordinator:
+class QueryCoordinator:
     """Owns the queries of this instance's callers; runs on the event loop."""
 
     def __init__(
         self,
-        knowledge: state.State,
+        knowledge: state.InstanceState,
         own_relay: relay.Relay,
         send_to: SendTo,
         counts: metrics.Metrics,
-        burned: burn.Burn,
+        burned: burn.BurnCounts,
         policy: admission.Policy,
     ):
         self._state = knowledge
@@ -77,7 +77,7 @@
         """Returns the queries in flight."""
         return len(self._running)
 
-    def gates(self) -> dict[str, admission.Limiter]:
+    def limiters(self) -> dict[str, admission.Limiter]:
         """Returns admission's view by service, for the operator port."""
         return self._gates
 
@@ -105,7 +105,7 @@
         self._gates[asked.service] = admission.begin_query(gate, asked.urgency)
         self.started_count += 1
         plan = queryplan.QueryPlan(
-            asked, profile, service, self._state.knowledge, now_ms
+            asked, profile, service, self._state.plan_context, now_ms
         )
         result = await self._run(plan, service, now_ms)
         self._close(plan, profile, result, now_ms)
@@ -254,13 +254,13 @@
             asks=asks,
         )
         if instance_id == self._own_id:
-            self._relay.handle(sub, self._local_sink(asked.query_id))
+            self._relay.run_sub_query(sub, self._local_sink(asked.query_id))
             return
-        self._state.awaited.record_request(instance_id, now_ms)
+        self._state.pending_answers.record_request(instance_id, now_ms)
         if not self._send_to(instance_id, sub):
             self.on_undelivered(instance_id, sub)
 
-    def _local_sink(self, query_id: str) -> relay.Sink:
+    def _local_sink(self, query_id: str) -> relay.OnReplies:
         """Returns where the own relay's replies go: never re-entrant."""
         loop = asyncio.get_running_loop()
 
@@ -285,7 +285,7 @@
 
     def on_sub_answer(self, answer: message.SubAnswer) -> None:
         """Takes upstream replies from a peer's relay."""
-        self._state.awaited.record_response(answer.origin)
+        self._state.pending_answers.record_response(answer.origin)
         now_ms = clock.now_ms()
         service = self._service_of(answer)
         if service:
@@ -330,7 +330,7 @@
 
     def on_undelivered(self, instance_id: str, sub: message.SubQuery) -> None:
         """Takes back a sub-query that could not be sent to a peer."""
-        self._state.awaited.record_unreachable(instance_id)
+        self._state.pending_answers.record_unreachable(instance_id)
         replies = tuple(
             message.UpstreamReply(
                 call_id=ask.call_id,
@@ -361,7 +361,7 @@
             asked.deadline_ms,
             now_ms,
         )
-        self._burn.called(
+        self._burn.record_calls(
             asked.service,
             plan.upstream_call_count,
             plan.extra_call_count,
@@ -383,7 +383,7 @@
         labels = {"service": asked.service, "kind": asked.urgency.value}
         match result:
             case query.Answer(coverage_ratio=coverage_ratio):
-                self._burn.answered(
+                self._burn.record_answer(
                     asked.service,
                     elapsed_ms,
                     profile.deadline_ms,
@@ -392,10 +392,10 @@
                 )
                 self._metrics.requests.inc({**labels, "result": "answered"})
                 name = {"service": asked.service}
-                self._metrics.latency_ms.observe(name, elapsed_ms)
-                self._metrics.coverage.set(name, coverage_ratio)
+                self._metrics.answer_latency_ms.observe(name, elapsed_ms)
+                self._metrics.last_coverage_ratio.set(name, coverage_ratio)
             case refusal.Refusal(reason=reason):
-                self._burn.refused(asked.service, reason.value, now_ms)
+                self._burn.record_refusal(asked.service, reason.value, now_ms)
                 self._metrics.requests.inc({**labels, "result": reason.value})
                 log.write(
                     log.Event.QUERY_REFUSED,
--- a/hyssoptack/entry/daemon.py
+++ b/hyssoptack/entry/daemon.py
@@ -59,11 +59,11 @@
         self._threads = concurrent.futures.ThreadPoolExecutor(
             THREAD_COUNT, thread_name_prefix="platform"
         )
-        self._state = state.State(settings, hedges)
-        self._config = configuration.Configuration()
+        self._state = state.InstanceState(settings, hedges)
+        self._config = configuration.ActiveConfiguration()
         self._client = client.UpstreamClient()
         self._metrics = metrics.Metrics()
-        self._burn = burn.Burn()
+        self._burn = burn.BurnCounts()
         store_client = store.StoreClient(settings.platform)
         self._links = link.Links(
             settings.peer_address,
@@ -79,7 +79,7 @@
             self._state.upstream_health,
             self._on_drain,
         )
-        self._coordinator = coordinator.Coordinator(
+        self._coordinator = coordinator.QueryCoordinator(
             self._state,
             self._relay,
             self._send_to,
@@ -87,14 +87,14 @@
             self._burn,
             admits,
         )
-        self._claims = claims.Claims(store_client, self._threads)
-        self._executor = executor.Executor(
+        self._claims = claims.ClaimStore(store_client, self._threads)
+        self._executor = executor.ActionExecutor(
             self._state,
             self._relay,
             self._claims,
             self._send_to,
         )
-        self._actor = actor.Actor(
+        self._actor = actor.ActionCoordinator(
             self._state,
             self._relay,
             self._executor,
@@ -104,7 +104,7 @@
         self._gossip = gossip.Gossip(
             self._state, self._config, self._links.send, self._on_config
         )
-        self._follower = follower.Follower(
+        self._follower = follower.PlatformWatcher(
             self._state,
             self._config,
             store_client,
@@ -112,25 +112,25 @@
             self._threads,
             self._on_config,
         )
-        self._front = front.Front(
+        self._front = front.CallerServer(
             self._state,
             self._coordinator,
             self._actor,
             self._metrics,
             self._loop,
         )
-        self._operations = operations.Operations(
-            operations.Parts(
+        self._operations = operations.OperatorServer(
+            operations.StatusSources(
                 state=self._state,
                 configuration=self._config,
-                coordinator=self._coordinator,
-                actor=self._actor,
-                claims=self._claims,
+                query_coordinator=self._coordinator,
+                action_coordinator=self._actor,
+                claim_store=self._claims,
                 relay=self._relay,
                 links=self._links,
-                follower=self._follower,
+                platform_watcher=self._follower,
                 metrics=self._metrics,
-                burn=self._burn,
+                burn_counts=self._burn,
             ),
             self._loop,
         )
@@ -146,8 +146,8 @@
             asyncio.ensure_future(each)
             for each in (
                 self._refresh(),
-                self._follower.follow_list(),
-                self._follower.follow_config(),
+                self._follower.poll_instances(),
+                self._follower.watch_configuration(),
                 self._gossip.run(),
             )
         ]
@@ -179,18 +179,18 @@
     async def _leave(self) -> None:
         """Tells everyone, waits out the balancer's lag, finishes all work."""
         shutdown = self._settings.shutdown
-        self._state.take("stop_asked")
+        self._state.apply_event("stop_asked")
         self._gossip.broadcast_heartbeat()
         if self._state.chart_state == "leaving":
             await self._wait_or_hurry(shutdown.balancer_lag_ms)
-            self._state.take("balancer_informed")
+            self._state.apply_event("balancer_informed")
         ends_ms = clock.now_ms() + shutdown.drain_limit_ms
         while not self._is_idle():
             if clock.now_ms() >= ends_ms or self._hurried.is_set():
-                self._state.take("drain_limit")
+                self._state.apply_event("drain_limit")
                 return
             await asyncio.sleep(IDLE_CHECK_MS / MS_PER_S)
-        self._state.take("idle")
+        self._state.apply_event("idle")
 
     async def _wait_or_hurry(self, wait_ms: float) -> None:
         try:
@@ -200,11 +200,11 @@
 
     def _is_idle(self) -> bool:
         return (
-            self._front.open_count() == 0
+            self._front.open_request_count() == 0
             and self._coordinator.in_flight_count() == 0
             and self._actor.in_flight_count == 0
-            and self._executor.open_task_count() == 0
-            and self._relay.open_count() == 0
+            and self._executor.unfinished_task_count() == 0
+            and self._relay.open_call_count() == 0
         )
 
     async def _close(self) -> None:
@@ -214,9 +214,9 @@
         await self._client.close()
         self._threads.shutdown(wait=False, cancel_futures=True)
 
-    def _on_config(self, taken: configuration.InForce) -> None:
+    def _on_config(self, taken: configuration.NewConfiguration) -> None:
         now_ms = clock.now_ms()
-        self._state.put_in_force(taken.catalog, now_ms)
+        self._state.apply_catalog(taken.catalog, now_ms)
         self._state.refresh(self._relay, now_ms)
         self._gossip.send_heartbeat()
 
@@ -243,7 +243,7 @@
             address=address,
             kind=type(body).__name__,
         )
-        instance_id = self._state.instance_at(address)
+        instance_id = self._state.instance_id_at(address)
         match body:
             case message.SubQuery():
                 self._coordinator.on_undelivered(instance_id, body)
@@ -265,7 +265,7 @@
     def _on_message(self, body: message.Message) -> None:
         match body:
             case message.SubQuery():
-                self._relay.handle(body, self._sink_to(body))
+                self._relay.run_sub_query(body, self._sink_to(body))
             case message.SubAnswer():
                 self._coordinator.on_sub_answer(body)
             case message.Cancel():
@@ -291,7 +291,7 @@
             case message.ConfigOffer():
                 self._gossip.on_config_offer(body)
 
-    def _sink_to(self, sub: message.SubQuery) -> relay.Sink:
+    def _sink_to(self, sub: message.SubQuery) -> relay.OnReplies:
         def sink(replies: tuple[message.UpstreamReply, ...]) -> None:
             answer = message.SubAnswer(
                 origin=self._settings.instance_id,
--- a/hyssoptack/entry/executor.py
+++ b/hyssoptack/entry/executor.py
@@ -78,14 +78,14 @@
         self.chart_state = _CHART.step(self.chart_state, event)
 
 
-class Executor:
+class ActionExecutor:
     """Runs attempts on the upstreams that this instance owns."""
 
     def __init__(
         self,
-        knowledge: state.State,
+        knowledge: state.InstanceState,
         own_relay: relay.Relay,
-        own_claims: claims.Claims,
+        own_claims: claims.ClaimStore,
         send_to: SendTo,
     ):
         self._state = knowledge
@@ -96,7 +96,7 @@
         self._random = random.Random()
         self._tasks: set[asyncio.Task] = set()
 
-    def open_task_count(self) -> int:
+    def unfinished_task_count(self) -> int:
         """Returns attempts and records that are not finished."""
         return len(self._tasks)
 
@@ -188,8 +188,8 @@
         match written:
             case expression.Result(tag="ok", ok=new_version):
                 return wanted, new_version
-            case expression.Result(error=store.Conflict(found=found)):
-                return claims.claim_of(found)
+            case expression.Result(error=store.Conflict(current_value=found)):
+                return claims.parse_claim(found)
             case _:
                 # The answer was lost; the write may have taken effect.
                 return await self._claims.read(attempt.key)
@@ -208,11 +208,11 @@
                 refusal.Reason.UPSTREAM_UNAVAILABLE, "claimed too late to send"
             )
         attempt.take("send_started")
-        result = await self._relay.act(
+        result = await self._relay.send_action(
             attempt.upstream, attempt.asked, attempt.attempt_id, expires_ms
         )
         match result:
-            case client.Ran(receipt=receipt):
+            case client.DidRun(receipt=receipt):
                 attempt.take("receipt")
                 done = action.ClaimState.DONE
                 self._start(self._record(attempt, done, receipt, ""))
--- a/hyssoptack/entry/front.py
+++ b/hyssoptack/entry/front.py
@@ -95,17 +95,17 @@
 
 
 Environ = dict[str, object]
-Work = collections.abc.Coroutine[object, object, problem.Page]
+Work = collections.abc.Coroutine[object, object, problem.Response]
 
 
-class Front:
+class CallerServer:
     """Owns the callers' socket and the threads that serve it."""
 
     def __init__(
         self,
-        knowledge: state.State,
-        queries: coordinator.Coordinator,
-        actions: actor.Actor,
+        knowledge: state.InstanceState,
+        queries: coordinator.QueryCoordinator,
+        actions: actor.ActionCoordinator,
         counts: metrics.Metrics,
         loop: asyncio.AbstractEventLoop,
     ):
@@ -144,7 +144,7 @@
         self._server.stop()
         self._thread.join()
 
-    def open_count(self) -> int:
+    def open_request_count(self) -> int:
         """Returns the requests that were read and are not yet answered."""
         with self._lock:
             return self._open_count
@@ -168,7 +168,7 @@
         start_response(problem.STATUS_LINES[page.status], headers)
         return [page.body]
 
-    def _page(self, environ: Environ) -> problem.Page:
+    def _page(self, environ: Environ) -> problem.Response:
         try:
             work = self._work(environ)
             page = asyncio.run_coroutine_threadsafe(work, self._loop).result()
@@ -176,10 +176,10 @@
             if refused.refusal.reason in _BODY_UNREAD:
                 # The library would wait for the rest of the body first.
                 environ[_REQUEST].close_connection = True
-            return problem.of_refusal(refused.refusal)
+            return problem.refusal_response(refused.refusal)
         except Exception as error:  # A fault of ours must still be answered.
             log.write(log.Event.REQUEST_FAULT, error=repr(error))
-            return problem.of_refusal(
+            return problem.refusal_response(
                 refusal.Refusal(
                     reason=refusal.Reason.INTERNAL,
                     ran=refusal.Ran.UNKNOWN,
@@ -224,16 +224,16 @@
         )
         return self._run_query(asked)
 
-    async def _run_query(self, asked: query.Query) -> problem.Page:
+    async def _run_query(self, asked: query.Query) -> problem.Response:
         result = await self._queries.run_query(asked)
         decided_s = time.perf_counter()
         match result:
             case query.Answer():
-                return problem.of_answer(result)
+                return problem.answer_response(result)
             case refusal.Refusal():
-                page = problem.of_refusal(result)
+                page = problem.refusal_response(result)
                 took_ms = (time.perf_counter() - decided_s) * MS_PER_S
-                self._metrics.refusal_ms.observe({}, took_ms)
+                self._metrics.refusal_write_ms.observe({}, took_ms)
                 return page
 
     def _act(self, service_name: str, environ: Environ) -> Work:
@@ -256,8 +256,8 @@
         )
         return self._run_action(asked)
 
-    async def _run_action(self, asked: action.Action) -> problem.Page:
-        return problem.of_outcome(await self._actions.act(asked))
+    async def _run_action(self, asked: action.Action) -> problem.Response:
+        return problem.outcome_response(await self._actions.run_action(asked))
 
     def _look_up(self, service_name: str, key: str) -> Work:
         self._deadline(service_name, None)
@@ -266,9 +266,11 @@
             raise _malformed("key: 1 to 255 visible ASCII characters")
         return self._run_look_up(service_name, key)
 
-    async def _run_look_up(self, service_name: str, key: str) -> problem.Page:
-        outcome = await self._actions.look_up(service_name, key)
-        return problem.of_outcome(outcome)
+    async def _run_look_up(
+        self, service_name: str, key: str
+    ) -> problem.Response:
+        outcome = await self._actions.read_outcome(service_name, key)
+        return problem.outcome_response(outcome)
 
     def _want_actions(self, service_name: str) -> None:
         if not self._state.catalog.services[service_name].accepts_actions:
@@ -283,7 +285,7 @@
 
     def _deadline(self, service_name: str, wanted_ms: int | None) -> int:
         """Returns the deadline: the profile's, or the caller's shorter one."""
-        if not self._state.takes_requests():
+        if not self._state.accepts_requests():
             raise Refused(
                 refusal=refusal.Refusal(
                     reason=refusal.Reason.STARTING,
--- a/hyssoptack/entry/metrics.py
+++ b/hyssoptack/entry/metrics.py
@@ -27,24 +27,24 @@
             "Calls beyond the first of each shard, by service.",
             registry=self.registry,
         )
-        self.latency_ms = aioprometheus.Histogram(
+        self.answer_latency_ms = aioprometheus.Histogram(
             "hyssoptack_answer_latency_ms",
             "Time from admission to the whole answer, by service.",
             buckets=LATENCY_BUCKETS_MS,
             registry=self.registry,
         )
-        self.coverage = aioprometheus.Gauge(
+        self.last_coverage_ratio = aioprometheus.Gauge(
             "hyssoptack_last_coverage_ratio",
             "Coverage of the last answer, by service.",
             registry=self.registry,
         )
-        self.refusal_ms = aioprometheus.Histogram(
+        self.refusal_write_ms = aioprometheus.Histogram(
             "hyssoptack_refusal_write_ms",
             "Time from the decision to refuse until the answer is written.",
             buckets=[0.1, 0.2, 0.5, 1, 2, 5, 10, 50, 100],
             registry=self.registry,
         )
-        self.instance = aioprometheus.Gauge(
+        self.instance_facts = aioprometheus.Gauge(
             "hyssoptack_instance",
             "Facts of this instance, by name.",
             registry=self.registry,
--- a/hyssoptack/entry/operations.py
+++ b/hyssoptack/entry/operations.py
@@ -29,19 +29,19 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Parts:
+class StatusSources:
     """The tasks that the port reads from."""
 
-    state: state.State
-    configuration: configuration.Configuration
-    coordinator: coordinator.Coordinator
-    actor: actor.Actor
-    claims: claims.Claims
+    state: state.InstanceState
+    configuration: configuration.ActiveConfiguration
+    query_coordinator: coordinator.QueryCoordinator
+    action_coordinator: actor.ActionCoordinator
+    claim_store: claims.ClaimStore
     relay: relay.Relay
     links: link.Links
-    follower: follower.Follower
+    platform_watcher: follower.PlatformWatcher
     metrics: metrics.Metrics
-    burn: burn.Burn
+    burn_counts: burn.BurnCounts
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -84,10 +84,10 @@
     upstreams: tuple[UpstreamStatus, ...]
 
 
-class Operations:
+class OperatorServer:
     """Owns the operators' socket."""
 
-    def __init__(self, parts: Parts, loop: asyncio.AbstractEventLoop):
+    def __init__(self, parts: StatusSources, loop: asyncio.AbstractEventLoop):
         self._parts = parts
         self._loop = loop
         address = parts.state.settings.operator_address
@@ -144,13 +144,13 @@
                 text = self._parts.state.chart_state + "\n"
                 return line, TEXT_TYPE, text.encode()
             case "/status":
-                page = problem.of_value(self._status())
+                page = problem.json_response(self._status())
                 return STATUS_LINE_OK, problem.JSON_TYPE, page.body
             case "/burn":
-                windows = self._parts.burn.windows(
+                windows = self._parts.burn_counts.window_sums(
                     BURN_WINDOWS_MS, clock.now_ms()
                 )
-                page = problem.of_value(windows)
+                page = problem.json_response(windows)
                 return STATUS_LINE_OK, problem.JSON_TYPE, page.body
             case _:
                 text = b"paths: /metrics /healthz /readyz /status /burn\n"
@@ -162,25 +162,25 @@
         facts = {
             "revision": parts.configuration.revision(),
             "ready": int(parts.state.is_ready()),
-            "queries_in_flight": parts.coordinator.in_flight_count(),
-            "actions_in_flight": parts.actor.in_flight_count,
-            "claim_writes": parts.claims.write_count,
-            "watches": parts.follower.watch_count,
+            "queries_in_flight": parts.query_coordinator.in_flight_count(),
+            "actions_in_flight": parts.action_coordinator.in_flight_count,
+            "claim_writes": parts.claim_store.write_count,
+            "watches": parts.platform_watcher.watch_count,
             "upstream_calls_made": parts.relay.call_count,
             **dataclasses.asdict(traffic),
         }
         for name, value in facts.items():
-            parts.metrics.instance.set({"fact": name}, value)
+            parts.metrics.instance_facts.set({"fact": name}, value)
 
     def _status(self) -> Status:
         parts = self._parts
         now_ms = clock.now_ms()
         settings = parts.state.settings
         manifest = parts.configuration.manifest
-        since_ms = parts.state.in_force_since_ms
+        since_ms = parts.state.catalog_applied_ms
         limits = {
             name: round(gate.limit_count, 2)
-            for name, gate in parts.coordinator.gates().items()
+            for name, gate in parts.query_coordinator.limiters().items()
         }
         return Status(
             instance_id=settings.instance_id,
@@ -193,19 +193,19 @@
             revision=parts.configuration.revision(),
             change_id=manifest.change_id if manifest else "",
             in_force_ms=now_ms - since_ms if since_ms else 0.0,
-            is_watcher=parts.follower.is_watcher(),
-            watch_count=parts.follower.watch_count,
-            usable_instances=tuple(sorted(parts.state.usable(now_ms))),
-            query_count=parts.coordinator.in_flight_count(),
-            action_count=parts.actor.in_flight_count,
+            is_watcher=parts.platform_watcher.is_watcher(),
+            watch_count=parts.platform_watcher.watch_count,
+            usable_instances=tuple(sorted(parts.state.usable_members(now_ms))),
+            query_count=parts.query_coordinator.in_flight_count(),
+            action_count=parts.action_coordinator.in_flight_count,
             upstream_call_count=parts.relay.call_count,
-            search_count=parts.coordinator.started_count,
-            claim_write_count=parts.claims.write_count,
+            search_count=parts.query_coordinator.started_count,
+            claim_write_count=parts.claim_store.write_count,
             peer_traffic=parts.links.counters,
             admission_limits=limits,
             extra_call_tokens={
                 name: round(
-                    parts.state.budgets.for_service(name).token_count, 2
+                    parts.state.retry_budgets.for_service(name).token_count, 2
                 )
                 for name in parts.state.catalog.services
             },
--- a/hyssoptack/entry/problem.py
+++ b/hyssoptack/entry/problem.py
@@ -28,7 +28,7 @@
     504: "504 Gateway Timeout",
 }
 
-STATUS_OF = {
+STATUS_BY_REASON = {
     refusal.Reason.MALFORMED: 400,
     refusal.Reason.TOO_LARGE: 413,
     refusal.Reason.TIMEOUT_READING: 408,
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Page:
+class Response:
     """One HTTP answer."""
 
     status: int
@@ -57,18 +57,18 @@
     headers: tuple[tuple[str, str], ...]
 
 
-def of_value(value: object) -> Page:
+def json_response(value: object) -> Response:
     """Returns any record as a JSON page."""
-    return Page(
+    return Response(
         status=200,
         body=msgspec.json.encode(value) + b"\n",
         headers=(("Content-Type", JSON_TYPE),),
     )
 
 
-def of_answer(answer: query.Answer) -> Page:
+def answer_response(answer: query.Answer) -> Response:
     """Returns a whole answer."""
-    return of_value(
+    return json_response(
         {
             "query_id": answer.query_id,
             "hits": [
@@ -88,11 +88,11 @@
     )
 
 
-def of_outcome(outcome: action.Outcome) -> Page:
+def outcome_response(outcome: action.Outcome) -> Response:
     """Returns what became of an action."""
     if outcome.refused is not None:
-        return of_refusal(outcome.refused, outcome.replayed)
-    return of_value(
+        return refusal_response(outcome.refused, outcome.replayed)
+    return json_response(
         {
             "ran": outcome.ran.value,
             "receipt": outcome.receipt,
@@ -101,9 +101,11 @@
     )
 
 
-def of_refusal(refused: refusal.Refusal, replayed: bool = False) -> Page:
+def refusal_response(
+    refused: refusal.Refusal, replayed: bool = False
+) -> Response:
     """Returns a refusal as problem details."""
-    status = STATUS_OF[refused.reason]
+    status = STATUS_BY_REASON[refused.reason]
     body: dict[str, object] = {
         "type": f"urn:hyssoptack:problem:{refused.reason.value}",
         "title": refused.reason.value.replace("_", " "),
@@ -121,7 +123,7 @@
         body["coverage_ratio"] = round(refused.coverage_ratio, 6)
     if replayed:
         body["replayed"] = True
-    return Page(
+    return Response(
         status=status,
         body=msgspec.json.encode(body) + b"\n",
         headers=tuple(headers),
--- a/hyssoptack/entry/state.py
+++ b/hyssoptack/entry/state.py
@@ -22,17 +22,17 @@
 OWNERSHIP_VALID_RATIO = 0.5
 """Ownership not renewed for this part of the list's lag is over."""
 
-GONE_LAGS_COUNT = 2.0
+GONE_AFTER_LAGS_COUNT = 2.0
 """Unseen for this many lags while the list is read: gone."""
 
-LATELY_COUNT = 16
+RECENT_SENDER_LIMIT_COUNT = 16
 """Instances heard from last that heartbeats choose from to pass on."""
 
-KEEP_LAGS_COUNT = 10
+RETENTION_LAGS_COUNT = 10
 """Unseen incarnations are forgotten after this many lags."""
 
 
-class State:
+class InstanceState:
     """The shared knowledge of an instance's tasks."""
 
     def __init__(
@@ -44,20 +44,20 @@
         self.chart_state = _CHART.initial
         self.incarnation = f"{settings.instance_id}-{secrets.token_hex(4)}"
         self.catalog = catalog.EMPTY
-        self.in_force_since_ms = 0.0
+        self.catalog_applied_ms = 0.0
         self.roster = membership.Roster()
-        self.awaited = membership.PendingAnswers()
-        self.addresses: dict[str, str] = {}
-        self.lately_heard: collections.deque[member.Member] = collections.deque(
-            maxlen=LATELY_COUNT
+        self.pending_answers = membership.PendingAnswers()
+        self.peer_addresses: dict[str, str] = {}
+        self.recent_senders: collections.deque[member.Member] = (
+            collections.deque(maxlen=RECENT_SENDER_LIMIT_COUNT)
         )
         self.upstream_health = health.HealthTracker()
-        self.budgets = budget.ServiceBudgets()
+        self.retry_budgets = budget.ServiceBudgets()
         self.router = routing.Router(settings.instance_id, self.upstream_health)
-        self.knowledge = queryplan.QueryPlanContext(
+        self.plan_context = queryplan.QueryPlanContext(
             router=self.router,
             upstream_health=self.upstream_health,
-            retry_budgets=self.budgets,
+            retry_budgets=self.retry_budgets,
             hedge_policy=hedges,
             current_service=lambda name: self.catalog.services.get(name),
         )
@@ -66,7 +66,7 @@
         self._view: routing.RoutingView | None = None
         self._owned: frozenset[str] = frozenset()
 
-    def take(self, event: str) -> None:
+    def apply_event(self, event: str) -> None:
         """Steps the instance's state chart and logs the step."""
         before = self.chart_state
         self.chart_state = _CHART.step(before, event)
@@ -83,7 +83,7 @@
         """Tells whether the balancer may send new requests."""
         return self.chart_state == "serving"
 
-    def takes_requests(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Tells whether a request that arrives is still served."""
         return self.chart_state in ("serving", "leaving", "draining")
 
@@ -91,7 +91,7 @@
         """Tells whether this instance has said that it leaves."""
         return self.chart_state in ("leaving", "draining", "stopped")
 
-    def self_member(self) -> member.Member:
+    def own_member(self) -> member.Member:
         """Returns this instance as others should know it."""
         return member.Member(
             instance_id=self.settings.instance_id,
@@ -104,11 +104,11 @@
 
     def peer_address(self, instance_id: str) -> str | None:
         """Finds where to send messages for an instance."""
-        return self.addresses.get(instance_id)
+        return self.peer_addresses.get(instance_id)
 
-    def instance_at(self, peer_address: str) -> str:
+    def instance_id_at(self, peer_address: str) -> str:
         """Finds whose address this is; empty when nobody's."""
-        for name, address in self.addresses.items():
+        for name, address in self.peer_addresses.items():
             if address == peer_address:
                 return name
         return ""
@@ -121,7 +121,7 @@
                 return {lane.instance_id for lane in lanes}
         return set()
 
-    def note_listed(
+    def merge_listed(
         self, members: tuple[member.Member, ...], now_ms: float
     ) -> None:
         """Takes the platform's list."""
@@ -129,26 +129,26 @@
         mine = any(each.incarnation == self.incarnation for each in members)
         if mine and not self.visible_since_ms:
             self.visible_since_ms = now_ms
-        self.addresses = membership.addresses(self.roster)
+        self.peer_addresses = membership.addresses(self.roster)
 
-    def note_heard(self, sender: member.Member, now_ms: float) -> None:
+    def record_message(self, sender: member.Member, now_ms: float) -> None:
         """Takes a sign of life of a peer."""
         if sender.incarnation == self.incarnation:
             return
         known = sender.incarnation in self.roster.sightings
         self.roster = membership.record_message(self.roster, sender, now_ms)
-        self.awaited.record_response(sender.instance_id)
-        self.lately_heard.append(sender)
+        self.pending_answers.record_response(sender.instance_id)
+        self.recent_senders.append(sender)
         if not known:
-            self.addresses = membership.addresses(self.roster)
+            self.peer_addresses = membership.addresses(self.roster)
 
-    def usable(self, now_ms: float) -> dict[str, member.Member]:
+    def usable_members(self, now_ms: float) -> dict[str, member.Member]:
         """Returns the instances that may get new work."""
         return membership.usable(
             self.roster,
-            self.awaited,
+            self.pending_answers,
             self.settings.peers.suspect_after_ms,
-            GONE_LAGS_COUNT * self.settings.platform.instance_list_lag_ms,
+            GONE_AFTER_LAGS_COUNT * self.settings.platform.instance_list_lag_ms,
             now_ms,
         )
 
@@ -166,16 +166,18 @@
             log.write(log.Event.THAWED, paused_ms=paused_ms)
             self.visible_since_ms = now_ms
         self.roster = membership.pruned(
-            self.roster, KEEP_LAGS_COUNT * max(lag_ms, 1.0), now_ms
+            self.roster, RETENTION_LAGS_COUNT * max(lag_ms, 1.0), now_ms
         )
         self._install_view(now_ms)
         settled = bool(self.visible_since_ms) and ownership.may_use_shares(
             self.visible_since_ms, lag_ms, now_ms
         )
         owned = self._owned if settled else frozenset()
-        owner.install(self.catalog, owned, now_ms + max(valid_ms, 100.0))
+        owner.set_owned_upstreams(
+            self.catalog, owned, now_ms + max(valid_ms, 100.0)
+        )
         if settled:
-            self.take("settled")
+            self.apply_event("settled")
 
     def _install_view(self, now_ms: float) -> None:
         lag_ms = self.settings.platform.instance_list_lag_ms
@@ -190,7 +192,7 @@
         view = routing.RoutingView(
             catalog=self.catalog,
             recently_seen=assumed,
-            usable=self.usable(now_ms),
+            usable=self.usable_members(now_ms),
             owner_count=self.settings.relay.owner_count,
             column_size_count=self.settings.relay.column_size_count,
         )
@@ -225,7 +227,7 @@
                     owned.update(column.upstream_ids)
         return frozenset(owned)
 
-    def put_in_force(self, current: catalog.Catalog, now_ms: float) -> None:
+    def apply_catalog(self, current: catalog.Catalog, now_ms: float) -> None:
         """Replaces the configuration by a later revision.
 
         Raises:
@@ -234,8 +236,8 @@
         if current.revision <= self.catalog.revision:
             raise chart.BrokenInvariant("a revision would step down")
         self.catalog = current
-        self.in_force_since_ms = now_ms
-        self.take("configured")
+        self.catalog_applied_ms = now_ms
+        self.apply_event("configured")
 
 
 def _same_view(one: routing.RoutingView, other: routing.RoutingView) -> bool:
--- a/hyssoptack/peers/gossip.py
+++ b/hyssoptack/peers/gossip.py
@@ -26,7 +26,7 @@
 REDRAW_MS = 60_000.0
 
 Send = collections.abc.Callable[[str, message.Message], None]
-OnConfig = collections.abc.Callable[[configuration.InForce], None]
+OnConfig = collections.abc.Callable[[configuration.NewConfiguration], None]
 
 
 class Gossip:
@@ -34,8 +34,8 @@
 
     def __init__(
         self,
-        knowledge: state.State,
-        config: configuration.Configuration,
+        knowledge: state.InstanceState,
+        config: configuration.ActiveConfiguration,
         send: Send,
         on_config: OnConfig,
     ):
@@ -62,7 +62,7 @@
         settings = self._state.settings.peers
         self._beat_number += 1
         beat = message.Heartbeat(
-            sender=self._state.self_member(),
+            sender=self._state.own_member(),
             revision=self._config.revision(),
             beat_number=self._beat_number,
             fresh=self._fresh(),
@@ -73,11 +73,11 @@
     def broadcast_heartbeat(self) -> None:
         """Tells many peers at once, as on leaving; the list tells the rest."""
         beat = message.Heartbeat(
-            sender=self._state.self_member(),
+            sender=self._state.own_member(),
             revision=self._config.revision(),
             beat_number=self._beat_number,
         )
-        addresses = list(self._state.addresses.values())
+        addresses = list(self._state.peer_addresses.values())
         count = min(TOLD_LIMIT_COUNT, len(addresses))
         for address in self._random.sample(addresses, count):
             self._send(address, beat)
@@ -89,7 +89,7 @@
         far more than a message on an old one.
         """
         now_ms = clock.now_ms()
-        addresses = self._state.addresses
+        addresses = self._state.peer_addresses
         known = [each for each in self._partners if each in addresses]
         if now_ms >= self._redraw_ms or len(known) < count:
             own = self._state.settings.instance_id
@@ -104,23 +104,23 @@
 
     def _fresh(self) -> tuple[member.Member, ...]:
         """Returns some of the instances that were heard from last."""
-        lately = {each.incarnation: each for each in self._state.lately_heard}
+        lately = {each.incarnation: each for each in self._state.recent_senders}
         chosen = list(lately.values())
         return tuple(self._random.sample(chosen, min(FRESH_COUNT, len(chosen))))
 
     def on_heartbeat(self, beat: message.Heartbeat) -> None:
         """Takes a peer's heartbeat."""
         now_ms = clock.now_ms()
-        self._state.note_heard(beat.sender, now_ms)
+        self._state.record_message(beat.sender, now_ms)
         for each in beat.fresh:
             if each.incarnation not in self._state.roster.sightings:
-                self._state.note_heard(each, now_ms)
+                self._state.record_message(each, now_ms)
         behind = beat.revision > self._config.revision()
         if behind and now_ms - self._asked_ms > ASK_AGAIN_MS:
             self._asked_ms = now_ms
             wanted = message.ConfigWanted(
-                sender=self._state.self_member(),
-                have_digests=self._config.digests(),
+                sender=self._state.own_member(),
+                have_digests=self._config.part_digests(),
             )
             self._send(self._address_of(beat.sender), wanted)
 
@@ -135,13 +135,13 @@
             return
         offer = message.ConfigOffer(
             manifest_text=configuration.manifest_text(manifest),
-            parts=self._config.parts(wanted.have_digests),
+            parts=self._config.parts_for_peer(wanted.have_digests),
         )
-        self._state.note_heard(wanted.sender, clock.now_ms())
+        self._state.record_message(wanted.sender, clock.now_ms())
         self._send(self._address_of(wanted.sender), offer)
 
     def on_config_offer(self, offer: message.ConfigOffer) -> None:
         """Takes a configuration from a peer."""
-        taken = self._config.offer(offer.manifest_text, offer.parts)
-        if isinstance(taken, configuration.InForce):
+        taken = self._config.merge_offer(offer.manifest_text, offer.parts)
+        if isinstance(taken, configuration.NewConfiguration):
             self._on_config(taken)
--- a/hyssoptack/relay/client.py
+++ b/hyssoptack/relay/client.py
@@ -23,12 +23,12 @@
 STATUS_OK = 200
 STATUS_CONFLICT = 409
 STATUS_UNAVAILABLE = 503
-CONNECT_LIMIT_MS = 250.0
+CONNECT_TIMEOUT_MS = 250.0
 MS_PER_S = 1000.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class SearchBody:
+class SearchRequest:
     """What an upstream is asked, as JSON."""
 
     query_id: str
@@ -69,7 +69,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Ran:
+class DidRun:
     """The upstream ran the action and returned a receipt."""
 
     receipt: str
@@ -90,7 +90,7 @@
     detail: str
 
 
-ActResult = Ran | DidNotRun | MayHaveRun
+ActionResult = DidRun | DidNotRun | MayHaveRun
 
 _ENCODER = msgspec.json.Encoder()
 _SEARCH_DECODER = msgspec.json.Decoder(SearchReply)
@@ -128,7 +128,7 @@
         Returns:
             What became of the call; errors are statuses, not exceptions.
         """
-        body = SearchBody(
+        body = SearchRequest(
             query_id=sub.query_id,
             service=sub.service,
             text=sub.text,
@@ -165,13 +165,13 @@
             reached_upstream=reached,
         )
 
-    async def act(
+    async def send_action(
         self,
         upstream: catalog.Upstream,
         asked: action.Action,
         attempt_id: str,
         remaining_ms: float,
-    ) -> ActResult:
+    ) -> ActionResult:
         """Sends a non-idempotent request once.
 
         Only a failure to connect, or the upstream's own refusal before running,
@@ -193,9 +193,9 @@
             sent.cancel()
         return MayHaveRun(detail="no answer from the upstream in time")
 
-    async def _post_act(self, url: str, body: ActBody) -> ActResult:
+    async def _post_act(self, url: str, body: ActBody) -> ActionResult:
         timeout = aiohttp.ClientTimeout(
-            total=None, sock_connect=CONNECT_LIMIT_MS / MS_PER_S
+            total=None, sock_connect=CONNECT_TIMEOUT_MS / MS_PER_S
         )
         try:
             async with self._session.post(
@@ -212,7 +212,7 @@
 def _timeout(remaining_ms: float) -> aiohttp.ClientTimeout:
     return aiohttp.ClientTimeout(
         total=max(remaining_ms, 1.0) / MS_PER_S,
-        sock_connect=CONNECT_LIMIT_MS / MS_PER_S,
+        sock_connect=CONNECT_TIMEOUT_MS / MS_PER_S,
     )
 
 
@@ -268,7 +268,7 @@
     )
 
 
-def _read_act(response: aiohttp.ClientResponse, raw: bytes) -> ActResult:
+def _read_act(response: aiohttp.ClientResponse, raw: bytes) -> ActionResult:
     draining = response.headers.get(STATE_HEADER, "") == DRAINING
     if response.status == STATUS_UNAVAILABLE:
         return DidNotRun(
@@ -277,6 +277,6 @@
     if response.status != STATUS_OK:
         return MayHaveRun(detail=f"the upstream answered {response.status}")
     try:
-        return Ran(receipt=_ACT_DECODER.decode(raw).receipt)
+        return DidRun(receipt=_ACT_DECODER.decode(raw).receipt)
     except msgspec.DecodeError:
         return MayHaveRun(detail="the upstream's answer can't be read")
--- a/hyssoptack/relay/client_test.py
+++ b/hyssoptack/relay/client_test.py
@@ -39,13 +39,15 @@
         """Writes nothing."""
 
 
-async def _act_beside_a_stall(server) -> client.ActResult:
+async def _act_beside_a_stall(server) -> client.ActionResult:
     """Sends an action; the process stands still until its time is over."""
     upstream = types.SimpleNamespace(
         address=f"127.0.0.1:{server.server_address[1]}"
     )
     called = client.UpstreamClient()
-    call = asyncio.ensure_future(called.act(upstream, ASKED, "a1", LEFT_MS))
+    call = asyncio.ensure_future(
+        called.send_action(upstream, ASKED, "a1", LEFT_MS)
+    )
     while not server.arrived.is_set():
         assert not call.done(), "its time was over before it arrived"
         await asyncio.sleep(0.001)
@@ -64,4 +66,4 @@
     threading.Thread(target=server.handle_request, daemon=True).start()
     result = uvloop.run(_act_beside_a_stall(server))
     server.server_close()
-    assert result == client.Ran(receipt="r-1")
+    assert result == client.DidRun(receipt="r-1")
--- a/hyssoptack/relay/lane.py
+++ b/hyssoptack/relay/lane.py
@@ -25,7 +25,7 @@
         urgency: Its class.
         expires_ms: When its answer is no longer of use.
         run: Makes the call.
-        give_up: Reports that the call was not made, and why.
+        on_dropped: Reports that the call was not made, and why.
         task: The running call, once it holds a slot.
         started: True once the call's own code runs.
         cancelled: True once the answer is no longer wanted.
@@ -36,19 +36,19 @@
     urgency: query.Urgency
     expires_ms: float
     run: collections.abc.Callable[[], collections.abc.Coroutine]
-    give_up: collections.abc.Callable[[message.CallStatus], None]
+    on_dropped: collections.abc.Callable[[message.CallStatus], None]
     task: asyncio.Task | None = None
     started: bool = False
     cancelled: bool = False
 
 
-class Lane:
+class UpstreamQueue:
     """One upstream's slots as far as this relay owns them."""
 
     def __init__(self, slot_count: int, queue_limit_count: int):
         self.slot_count = slot_count
         self.running_count = 0
-        self.peak_count = 0
+        self.peak_running_count = 0
         self._queue_limit_count = queue_limit_count
         self._order = itertools.count()
         self._queue: list[tuple[int, int, Job]] = []
@@ -99,7 +99,9 @@
                 self._expire(job)
                 continue
             self.running_count += 1
-            self.peak_count = max(self.peak_count, self.running_count)
+            self.peak_running_count = max(
+                self.peak_running_count, self.running_count
+            )
             job.task = asyncio.ensure_future(job.run())
             # Not in the call itself: a task that is cancelled before its
             # first step never runs any of its code.
@@ -114,4 +116,4 @@
         """Gives up a call that waited for all of its time."""
         if job.task is None and not job.cancelled:
             job.cancelled = True
-            job.give_up(message.CallStatus.TIMED_OUT)
+            job.on_dropped(message.CallStatus.TIMED_OUT)
--- a/hyssoptack/relay/relay.py
+++ b/hyssoptack/relay/relay.py
@@ -18,15 +18,15 @@
 DEADLINE_MARGIN_MS = 2.0
 """A relay gives up this much before the asker does, so that it still hears."""
 
-Sink = collections.abc.Callable[[tuple[message.UpstreamReply, ...]], None]
-DrainSink = collections.abc.Callable[[str], None]
+OnReplies = collections.abc.Callable[[tuple[message.UpstreamReply, ...]], None]
+OnDraining = collections.abc.Callable[[str], None]
 
 
 @dataclasses.dataclass(kw_only=True)
 class _Batch:
     """Replies of one sub-query that wait to be sent together."""
 
-    sink: Sink
+    sink: OnReplies
     open_count: int
     ready: list[message.UpstreamReply] = dataclasses.field(default_factory=list)
     timer: asyncio.TimerHandle | None = None
@@ -40,7 +40,7 @@
         settings: instance.RelaySettings,
         upstream_client: client.UpstreamClient,
         upstream_health: health.HealthTracker,
-        on_drain: DrainSink,
+        on_drain: OnDraining,
     ):
         self._settings = settings
         self._client = upstream_client
@@ -49,12 +49,12 @@
         self._catalog = catalog.EMPTY
         self._owned: frozenset[str] = frozenset()
         self._owned_until_ms = 0.0
-        self._lanes: dict[str, lane.Lane] = {}
+        self._lanes: dict[str, lane.UpstreamQueue] = {}
         self._jobs: dict[tuple[str, int], lane.Job] = {}
         self.call_count = 0
         self._action_count = 0
 
-    def install(
+    def set_owned_upstreams(
         self,
         current: catalog.Catalog,
         owned: frozenset[str],
@@ -72,26 +72,26 @@
         self._owned = owned
         self._owned_until_ms = until_ms
 
-    def open_count(self) -> int:
+    def open_call_count(self) -> int:
         """Returns the calls that wait or run."""
         return len(self._jobs) + self._action_count
 
-    def lanes(self) -> dict[str, lane.Lane]:
+    def upstream_queues(self) -> dict[str, lane.UpstreamQueue]:
         """Returns the lanes by upstream, for the operator port."""
         return self._lanes
 
-    def _lane(self, upstream: catalog.Upstream) -> lane.Lane:
+    def _lane(self, upstream: catalog.Upstream) -> lane.UpstreamQueue:
         share = ownership.share_of(upstream, self._settings.owner_count)
         found = self._lanes.get(upstream.upstream_id)
         if found is None:
-            found = lane.Lane(
+            found = lane.UpstreamQueue(
                 share.slot_count, self._settings.queue_limit_count
             )
             self._lanes[upstream.upstream_id] = found
         found.slot_count = share.slot_count
         return found
 
-    def handle(self, sub: message.SubQuery, sink: Sink) -> None:
+    def run_sub_query(self, sub: message.SubQuery, sink: OnReplies) -> None:
         """Runs a sub-query; replies reach `sink` in one or more batches."""
         batch = _Batch(sink=sink, open_count=len(sub.asks))
         now_ms = clock.now_ms()
@@ -110,7 +110,7 @@
                 job.task.cancel()
             if not job.started:
                 # An asker that hears nothing takes the relay for lost.
-                job.give_up(message.CallStatus.CANCELLED)
+                job.on_dropped(message.CallStatus.CANCELLED)
 
     def _submit(
         self,
@@ -133,7 +133,7 @@
             urgency=sub.urgency,
             expires_ms=expires_ms,
             run=lambda: self._run(sub, ask, upstream, batch, expires_ms),
-            give_up=lambda status: self._give_up(sub, ask, batch, status),
+            on_dropped=lambda status: self._give_up(sub, ask, batch, status),
         )
         self._jobs[(sub.query_id, ask.call_id)] = job
         service_ms = self._health.expected_ms(
@@ -224,13 +224,13 @@
             batch.ready.clear()
             batch.sink(replies)
 
-    async def act(
+    async def send_action(
         self,
         upstream: catalog.Upstream,
         asked: action.Action,
         attempt_id: str,
         expires_ms: float,
-    ) -> client.ActResult:
+    ) -> client.ActionResult:
         """Sends a non-idempotent request through the upstream's lane, once.
 
         Args:
@@ -242,7 +242,7 @@
         Returns:
             What became of it; `DidNotRun` when it was never sent.
         """
-        done: asyncio.Future[client.ActResult] = (
+        done: asyncio.Future[client.ActionResult] = (
             asyncio.get_running_loop().create_future()
         )
 
@@ -252,7 +252,7 @@
                 late = client.DidNotRun(detail="too late to send")
                 done.set_result(late)
                 return
-            result = await self._client.act(
+            result = await self._client.send_action(
                 upstream, asked, attempt_id, expires_ms - now_ms
             )
             done.set_result(result)
@@ -266,7 +266,7 @@
             urgency=query.Urgency.URGENT,
             expires_ms=expires_ms,
             run=run,
-            give_up=give_up,
+            on_dropped=give_up,
         )
         now_ms = clock.now_ms()
         view = self._health.refresh(upstream.upstream_id, now_ms)
--- a/hyssoptack/reports/burn.py
+++ b/hyssoptack/reports/burn.py
@@ -13,7 +13,7 @@
 from hyssoptack.core import catalog
 from hyssoptack.entry import burn
 
-_DECODER_TYPE = dict[str, dict[str, burn.Slice]]
+_DECODER_TYPE = dict[str, dict[str, burn.ServiceCounts]]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -53,18 +53,18 @@
     extra_load_burn_rate: float
 
 
-def merge(documents: list[object]) -> dict[str, dict[str, burn.Slice]]:
+def merge(documents: list[object]) -> dict[str, dict[str, burn.ServiceCounts]]:
     """Adds up what several instances answered under `/burn`."""
-    totals: dict[str, dict[str, burn.Slice]] = {}
+    totals: dict[str, dict[str, burn.ServiceCounts]] = {}
     for document in documents:
         for service, windows in msgspec.convert(
             document, _DECODER_TYPE, strict=False
         ).items():
             for window, each in windows.items():
                 total = totals.setdefault(service, {}).setdefault(
-                    window, burn.Slice()
+                    window, burn.ServiceCounts()
                 )
-                burn.add(total, each)
+                burn.add_counts(total, each)
     return totals
 
 
@@ -83,7 +83,10 @@
 
 
 def _row(
-    service: str, profile: catalog.Profile, window: str, each: burn.Slice
+    service: str,
+    profile: catalog.Profile,
+    window: str,
+    each: burn.ServiceCounts,
 ) -> Row:
     refused_count = sum(each.refused.values())
     request_count = each.answered_count + refused_count
@@ -113,7 +116,7 @@
 
 
 def rows(
-    totals: dict[str, dict[str, burn.Slice]], current: catalog.Catalog
+    totals: dict[str, dict[str, burn.ServiceCounts]], current: catalog.Catalog
 ) -> list[Row]:
     """Returns the report's rows, by service and then by window."""
     result = []
--- a/hyssoptack/revisions/change.py
+++ b/hyssoptack/revisions/change.py
@@ -34,7 +34,7 @@
         """Returns the head's revision; 0 when there is none."""
         return self.manifest.revision if self.manifest else 0
 
-    def parts(self) -> dict[str, str]:
+    def part_digests(self) -> dict[str, str]:
         """Returns the head's digests by part name."""
         return self.manifest.parts if self.manifest else {}
 
@@ -88,7 +88,7 @@
     return result.map(_head_of)
 
 
-def _head_of(found: store.Found) -> Head:
+def _head_of(found: store.ReadResult) -> Head:
     match found:
         case store.Stored(value=value, version=version):
             manifest = configuration.read_manifest(value)
@@ -129,7 +129,7 @@
     digests = {
         name: catalog_settings.digest_of(text) for name, text in parts.items()
     }
-    names = changed(head.parts(), digests)
+    names = changed(head.part_digests(), digests)
     if expected_revision not in (None, head.revision()):
         return Overtaken(by=head.manifest or _nothing(), changed_parts=names)
     if not names:
@@ -198,7 +198,7 @@
         match written:
             case expression.Result(tag="ok"):
                 return Applied(revision=manifest.revision, changed_parts=names)
-            case expression.Result(error=store.Conflict(found=found)):
+            case expression.Result(error=store.Conflict(current_value=found)):
                 now: Head | None = _head_of(found)
             case expression.Result(error=store.Unreachable(detail=detail)):
                 now = _read_again(client)
@@ -232,7 +232,7 @@
 ) -> expression.Result[dict[str, str], store.Unreachable]:
     """Reads every part of the head, by part name."""
     parts = {}
-    for name, digest in head.parts().items():
+    for name, digest in head.part_digests().items():
         match client.get(configuration.PART_PREFIX + digest):
             case expression.Result(tag="ok", ok=store.Stored(value=value)):
                 parts[name] = value
--- a/hyssoptack/revisions/configuration.py
+++ b/hyssoptack/revisions/configuration.py
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class InForce:
+class NewConfiguration:
     """A new revision to put in force."""
 
     catalog: catalog.Catalog
@@ -45,7 +45,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Lacking:
+class MissingParts:
     """Parts that have to be fetched first."""
 
     digests: tuple[str, ...]
@@ -58,10 +58,10 @@
     reason: str
 
 
-Taken = InForce | Lacking | Ignored
+OfferResult = NewConfiguration | MissingParts | Ignored
 
 
-class Configuration:
+class ActiveConfiguration:
     """The manifest in force and the parts that are known."""
 
     def __init__(self) -> None:
@@ -75,18 +75,18 @@
         """Returns the revision in force; 0 when there is none."""
         return self.manifest.revision if self.manifest else 0
 
-    def digests(self) -> tuple[str, ...]:
+    def part_digests(self) -> tuple[str, ...]:
         """Returns the digests of all known parts."""
         return tuple(sorted(self._parts))
 
-    def parts(self, but: tuple[str, ...]) -> dict[str, str]:
+    def parts_for_peer(self, held_digests: tuple[str, ...]) -> dict[str, str]:
         """Returns the parts in force that an asker lacks, by digest."""
         if self.manifest is None:
             return {}
-        wanted = set(self.manifest.parts.values()) - set(but)
+        wanted = set(self.manifest.parts.values()) - set(held_digests)
         return {digest: self._parts[digest] for digest in wanted}
 
-    def offer(self, text: str, parts: dict[str, str]) -> Taken:
+    def merge_offer(self, text: str, parts: dict[str, str]) -> OfferResult:
         """Takes a head, and whatever parts came with it.
 
         Args:
@@ -117,14 +117,14 @@
                 self._parts[digest] = part
         lacking = tuple(sorted(set(manifest.parts.values()) - set(self._parts)))
         if lacking:
-            return Lacking(digests=lacking)
+            return MissingParts(digests=lacking)
         return self._assemble(manifest)
 
-    def fetch_failed(self) -> None:
+    def on_fetch_failed(self) -> None:
         """Notes that lacking parts could not be had."""
         self._step("fetch_failed")
 
-    def _assemble(self, manifest: catalog.Manifest) -> Taken:
+    def _assemble(self, manifest: catalog.Manifest) -> OfferResult:
         parts = {
             name: self._parts[digest] for name, digest in manifest.parts.items()
         }
@@ -153,7 +153,7 @@
             revision=manifest.revision,
             change_id=manifest.change_id,
         )
-        return InForce(catalog=current, manifest=manifest)
+        return NewConfiguration(catalog=current, manifest=manifest)
 
     def _step(self, event: str) -> None:
         self._state = _CHART.step(self._state, event)
--- a/hyssoptack/revisions/configuration_test.py
+++ b/hyssoptack/revisions/configuration_test.py
@@ -26,7 +26,7 @@
 
 
 def test_later_revisions_come_into_force_and_older_ones_do_not():
-    config = configuration.Configuration()
+    config = configuration.ActiveConfiguration()
     assert _taken(config, *_offer(5)) == "InForce"
     assert _taken(config, *_offer(4)) == "Ignored"
     assert _taken(config, *_offer(5)) == "Ignored"
@@ -35,37 +35,37 @@
 
 
 def test_a_head_without_its_parts_is_not_in_force():
-    config = configuration.Configuration()
+    config = configuration.ActiveConfiguration()
     text, parts = _offer(1)
-    lacking = config.offer(text, {})
-    assert lacking == configuration.Lacking(digests=tuple(parts))
+    lacking = config.merge_offer(text, {})
+    assert lacking == configuration.MissingParts(digests=tuple(parts))
     assert config.revision() == 0
     assert _taken(config, text, parts) == "InForce"
 
 
 def test_a_part_that_does_not_match_its_digest_is_left_out():
-    config = configuration.Configuration()
+    config = configuration.ActiveConfiguration()
     text, parts = _offer(1)
     forged = dict.fromkeys(parts, _PROFILE % 999)
     assert _taken(config, text, forged) == "Lacking"
 
 
 def test_a_revision_with_errors_leaves_the_one_in_force():
-    config = configuration.Configuration()
-    config.offer(*_offer(1))
+    config = configuration.ActiveConfiguration()
+    config.merge_offer(*_offer(1))
     assert _taken(config, *_offer(2, "{profiles: 3}")) == "Ignored"
     assert config.revision() == 1
     assert _taken(config, *_offer(3)) == "InForce"
 
 
 def test_a_head_that_can_not_be_read_is_ignored():
-    config = configuration.Configuration()
+    config = configuration.ActiveConfiguration()
     assert _taken(config, "not a manifest", {}) == "Ignored"
 
 
 def test_a_peer_is_offered_only_what_it_lacks():
-    config = configuration.Configuration()
+    config = configuration.ActiveConfiguration()
     text, parts = _offer(1)
-    config.offer(text, parts)
-    assert config.parts(()) == parts
-    assert config.parts(tuple(parts)) == {}
+    config.merge_offer(text, parts)
+    assert config.parts_for_peer(()) == parts
+    assert config.parts_for_peer(tuple(parts)) == {}
--- a/hyssoptack/revisions/follower.py
+++ b/hyssoptack/revisions/follower.py
@@ -26,16 +26,16 @@
 RETRY = backoff.Backoff(min_ms=100.0, max_ms=3_000.0)
 WATCH_ROLE = "config-watch"
 
-OnConfig = collections.abc.Callable[[configuration.InForce], None]
+OnConfig = collections.abc.Callable[[configuration.NewConfiguration], None]
 
 
-class Follower:
+class PlatformWatcher:
     """Tasks that follow the platform; they run on the event loop."""
 
     def __init__(
         self,
-        knowledge: state.State,
-        config: configuration.Configuration,
+        knowledge: state.InstanceState,
+        config: configuration.ActiveConfiguration,
         store_client: store.StoreClient,
         members_client: members.MembersClient,
         threads: concurrent.futures.Executor,
@@ -52,7 +52,7 @@
         self._random = random.Random()
         self.watch_count = 0
 
-    async def follow_list(self) -> None:
+    async def poll_instances(self) -> None:
         """Reads the instance list for as long as the instance runs."""
         period_ms = self._state.settings.platform.list_period_ms
         while True:
@@ -68,13 +68,13 @@
     def _take_listing(self, listing: members.Listing) -> None:
         now_ms = clock.now_ms()
         self._note_list(False, "")
-        self._state.note_listed(listing.members, now_ms)
+        self._state.merge_listed(listing.members, now_ms)
         for upstream_id in listing.leaving_upstream_ids:
             # The list may only make us more careful, never less.
             view = self._state.upstream_health.upstreams[upstream_id]
             view.apply_event("listed_leaving", now_ms)
 
-    async def follow_config(self) -> None:
+    async def watch_configuration(self) -> None:
         """Keeps the configuration up to date while the instance runs."""
         failures = 0
         while True:
@@ -127,15 +127,15 @@
                 return False
 
     async def _take_head(self, head: store.Stored) -> bool:
-        taken = self._config.offer(head.value, {})
-        if isinstance(taken, configuration.Lacking):
+        taken = self._config.merge_offer(head.value, {})
+        if isinstance(taken, configuration.MissingParts):
             parts = await self._fetch(taken.digests)
             if len(parts) < len(taken.digests):
-                self._config.fetch_failed()
+                self._config.on_fetch_failed()
                 return False
-            taken = self._config.offer(head.value, parts)
+            taken = self._config.merge_offer(head.value, parts)
         self._config.head_version = head.version
-        if isinstance(taken, configuration.InForce):
+        if isinstance(taken, configuration.NewConfiguration):
             self._on_config(taken)
         return True
 
--- a/hyssoptack/revisions/store.py
+++ b/hyssoptack/revisions/store.py
@@ -38,7 +38,7 @@
 class Conflict:
     """The compare failed; nothing was written. Holds what is there instead."""
 
-    found: Stored | Absent
+    current_value: Stored | Absent
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -48,7 +48,7 @@
     detail: str
 
 
-Found = Stored | Absent
+ReadResult = Stored | Absent
 WriteFailure = Conflict | Unreachable
 
 _DECODER = msgspec.json.Decoder(Stored)
@@ -64,13 +64,13 @@
             host, int(port), maxsize=POOL_COUNT, retries=False
         )
 
-    def get(self, key: str) -> expression.Result[Found, Unreachable]:
+    def get(self, key: str) -> expression.Result[ReadResult, Unreachable]:
         """Reads a value."""
         return self._read(f"/kv/{key}", self._settings.timeout_ms)
 
     def watch(
         self, key: str, after_version: int
-    ) -> expression.Result[Found, Unreachable]:
+    ) -> expression.Result[ReadResult, Unreachable]:
         """Waits until a value's version passes one, or the poll's time ends.
 
         Args:
@@ -118,7 +118,7 @@
 
     def _read(
         self, path: str, timeout_ms: float
-    ) -> expression.Result[Found, Unreachable]:
+    ) -> expression.Result[ReadResult, Unreachable]:
         try:
             response = self._pool.request(
                 "GET", path, timeout=_timeout(timeout_ms), retries=False
@@ -148,7 +148,7 @@
     match _decoded(data):
         case expression.Result(tag="ok", ok=found):
             if found.version == ABSENT_VERSION:
-                return expression.Error(Conflict(found=Absent()))
-            return expression.Error(Conflict(found=found))
+                return expression.Error(Conflict(current_value=Absent()))
+            return expression.Error(Conflict(current_value=found))
         case expression.Result(error=error):
             return expression.Error(error)
