--- a/bench/controls.py
+++ b/bench/controls.py
@@ -36,11 +36,11 @@
         """Gets JSON from a stand-in or an operator port."""
         return self.http.request("GET", f"http://{address}{path}").json()
 
-    def behave(self, upstream_id: str, **fields: object) -> None:
+    def set_behaviour(self, upstream_id: str, **fields: object) -> None:
         """Changes an upstream's behaviour."""
         self.post(self.upstream(upstream_id).address, "/behaviour", fields)
 
-    def account(self, upstream_id: str, brief: bool = True) -> dict:
+    def upstream_counters(self, upstream_id: str, brief: bool = True) -> dict:
         """Returns what an upstream counted."""
         path = "/account?brief=1" if brief else "/account"
         return self.get(self.upstream(upstream_id).address, path)
@@ -53,15 +53,15 @@
         """Returns a service's upstreams."""
         return list(self.catalog.services[service].upstreams)
 
-    def store_faults(self, **fields: object) -> None:
+    def set_store_faults(self, **fields: object) -> None:
         """Changes what goes wrong with the store."""
         self.post(self.store_address(self.domains[0]), "/faults", fields)
 
-    def members_faults(self, **fields: object) -> None:
+    def set_instance_list_faults(self, **fields: object) -> None:
         """Changes what goes wrong with the instance list."""
         self.post(self.members_address(self.domains[0]), "/faults", fields)
 
-    def cut(self, pairs: list[tuple[str, str]]) -> None:
+    def set_partitions(self, pairs: list[tuple[str, str]]) -> None:
         """Cuts pairs of domains off from each other; no others."""
         self.post(
             self.wan_address(),
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -46,7 +46,7 @@
     for service, words, urgent in SEARCHES[deployment]:
         class_ = "urgent" if urgent else "browsing"
         body = {"text": words, "limit": 3, "class": class_}
-        url = f"http://{run.balancer}/services/{service}/search"
+        url = f"http://{run.balancer_address}/services/{service}/search"
         answer = run.http.request("POST", url, json=body).json()
         _say(f"\nsearch {service} ({class_}): {words!r}")
         for hit in answer["hits"]:
@@ -64,7 +64,7 @@
     for number in (1, 2):
         _say(f"\naction {service}: {subject}, key demo-1, time {number}")
         words = ("act", service, subject, request, "--key", "demo-1")
-        _say("  " + run.cli(*words).stdout.strip().replace("\n", "\n  "))
+        _say("  " + run.run_cli(*words).stdout.strip().replace("\n", "\n  "))
 
 
 def _show_fault(run: fleet.Fleet, deployment: str) -> None:
@@ -73,7 +73,7 @@
     victim = run.upstream_ids(service)[0]
     run.kill(victim)
     _say(f"\nkilled upstream {victim}; ten more searches of {service}:")
-    url = f"http://{run.balancer}/services/{service}/search"
+    url = f"http://{run.balancer_address}/services/{service}/search"
     body = {"text": SEARCHES[deployment][0][1], "limit": 3}
     coverages = []
     extra = 0
@@ -86,9 +86,9 @@
 
 def _show_operations(run: fleet.Fleet) -> None:
     _say("\nhyssoptack config status")
-    _say(run.cli("config", "status").stdout.rstrip())
+    _say(run.run_cli("config", "status").stdout.rstrip())
     _say("\nhyssoptack report burn")
-    _say(run.cli("report", "burn").stdout.rstrip())
+    _say(run.run_cli("report", "burn").stdout.rstrip())
     operator = run.instances[0]["operator_address"]
     page = run.http.request("GET", f"http://{operator}/metrics")
     lines = page.data.decode().count("\n")
@@ -121,7 +121,7 @@
         _show_fault(run, deployment)
         _show_operations(run)
         if hold_s:
-            _say(f"\nfront: http://{run.balancer}, for {hold_s} s")
+            _say(f"\nfront: http://{run.balancer_address}, for {hold_s} s")
             time.sleep(hold_s)
         statuses = {
             each["instance_id"]: run.terminate(each["instance_id"])
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -79,7 +79,7 @@
         self.domains = sorted(
             {each["failure_domain"] for each in self.instances}
         )
-        self.balancer = self._address(self._plan["balancer_address"])
+        self.balancer_address = self._address(self._plan["balancer_address"])
         self._base = int(self._plan["balancer_address"].rpartition(":")[2])
 
     # Addresses and files.
@@ -190,14 +190,14 @@
         for each in self.instances:
             self.start_instance(each["instance_id"])
         self._wait_for_store()
-        self.cli("config", "apply", str(self.catalog_path))
+        self.run_cli("config", "apply", str(self.catalog_path))
         self._run(
             "balancer", "hyssoptack.standins.balancer", *self._balancer_words()
         )
         self.wait_ready([each["instance_id"] for each in self.instances])
 
     def _balancer_words(self) -> list[str]:
-        words = ["--listen", self.balancer]
+        words = ["--listen", self.balancer_address]
         for each in self.instances:
             words += [
                 "--backend",
@@ -303,7 +303,7 @@
         )
         output.close()
 
-    def cli(
+    def run_cli(
         self, *words: str, check: bool = True
     ) -> subprocess.CompletedProcess:
         """Runs the command line against this fleet."""
@@ -313,7 +313,7 @@
             "PYTHONPATH": str(ROOT),
             "HYSSOPTACK_STORE": self.store_address(domain),
             "HYSSOPTACK_MEMBERS": self.members_address(domain),
-            "HYSSOPTACK_FRONT": self.balancer,
+            "HYSSOPTACK_FRONT": self.balancer_address,
         }
         done = subprocess.run(
             [sys.executable, "-m", "hyssoptack.scripts.main", *words],
@@ -341,11 +341,11 @@
         self.processes[name].kill()
         self.processes[name].wait()
 
-    def freeze(self, name: str) -> None:
+    def pause(self, name: str) -> None:
         """Stops a process where it is."""
         self.processes[name].send_signal(signal.SIGSTOP)
 
-    def thaw(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         """Lets a stopped process go on."""
         self.processes[name].send_signal(signal.SIGCONT)
 
--- a/bench/measures.py
+++ b/bench/measures.py
@@ -44,10 +44,10 @@
     heal: object = None
 
 
-def load(run: fleet.Fleet, rate: float) -> list[dict]:
+def run_load(run: fleet.Fleet, rate: float) -> list[dict]:
     """Sends searches at a rate and returns what came of each."""
     words = {
-        "--front": run.balancer,
+        "--front": run.balancer_address,
         "--service": SERVICE,
         "--rate": rate,
         "--seconds": SECONDS,
@@ -89,25 +89,25 @@
     }
 
 
-def straggle(run: fleet.Fleet) -> None:
+def slow_every_tenth(run: fleet.Fleet) -> None:
     """Makes one upstream in ten ten times as slow."""
     for upstream_id in run.upstream_ids(SERVICE)[::10]:
-        run.behave(upstream_id, slow_factor=10.0)
+        run.set_behaviour(upstream_id, slow_factor=10.0)
 
 
 def _unstraggle(run: fleet.Fleet) -> None:
     for upstream_id in run.upstream_ids(SERVICE)[::10]:
-        run.behave(upstream_id, slow_factor=1.0)
+        run.set_behaviour(upstream_id, slow_factor=1.0)
 
 
 def _shed(run: fleet.Fleet) -> None:
     for upstream_id in run.upstream_ids(SERVICE)[1::10]:
-        run.behave(upstream_id, shed=True)
+        run.set_behaviour(upstream_id, shed=True)
 
 
 def _unshed(run: fleet.Fleet) -> None:
     for upstream_id in run.upstream_ids(SERVICE)[1::10]:
-        run.behave(upstream_id, shed=False)
+        run.set_behaviour(upstream_id, shed=False)
 
 
 def _lose_replicas(run: fleet.Fleet) -> None:
@@ -122,18 +122,18 @@
 
 
 def _outage(run: fleet.Fleet) -> None:
-    run.store_faults(outage=True)
-    run.members_faults(outage=True)
+    run.set_store_faults(outage=True)
+    run.set_instance_list_faults(outage=True)
 
 
 def _end_outage(run: fleet.Fleet) -> None:
-    run.store_faults(outage=False)
-    run.members_faults(outage=False)
+    run.set_store_faults(outage=False)
+    run.set_instance_list_faults(outage=False)
 
 
 def _outage_and_stragglers(run: fleet.Fleet) -> None:
     _outage(run)
-    straggle(run)
+    slow_every_tenth(run)
 
 
 def _end_both(run: fleet.Fleet) -> None:
@@ -145,7 +145,7 @@
 STRAGGLERS = Scenario(
     name="1 upstream in 10 straggles 10 times",
     rate=STEADY_PER_S,
-    harm=straggle,
+    harm=slow_every_tenth,
     heal=_unstraggle,
 )
 OVERLOAD = Scenario(name="3 times capacity", rate=3 * CAPACITY_PER_S)
@@ -203,11 +203,11 @@
     with contextlib.ExitStack() as stack:
         at = stack.enter_context(tempfile.TemporaryDirectory())
         run = stack.enter_context(fleet.Fleet(options, pathlib.Path(at)))
-        load(run, STEADY_PER_S)
+        run_load(run, STEADY_PER_S)
         for scenario in scenarios:
             if scenario.harm:
                 scenario.harm(run)
-            summary = _summary(load(run, scenario.rate))
+            summary = _summary(run_load(run, scenario.rate))
             if scenario.heal:
                 scenario.heal(run)
             time.sleep(1.0)
@@ -223,7 +223,7 @@
     for name in chosen:
         changed, scenarios = POLICIES[name]
         rows += _run_policy(name, changed, scenarios)
-    fit.show("measures", rows, {})
+    fit.report("measures", rows, {})
 
 
 if __name__ == "__main__":
--- a/bench/proofs/actions_test.py
+++ b/bench/proofs/actions_test.py
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def calls(run):
-    yield callers.Callers(run)
+    yield callers.CallerClient(run)
     run.store_faults(
         outage=False,
         slow_ms=0,
@@ -138,7 +138,7 @@
     told: dict[str, list[str]] = {}
     for number in range(10):
         key, subject = f"upstream-lost-{number}", f"Gora {number}"
-        upstream_id = callers.upstream_of(run, SERVICE, subject)
+        upstream_id = callers.upstream_for(run, SERVICE, subject)
         run.behave(upstream_id, lose_act_count=1)
         front = calls.front(run.instances[number % 9]["instance_id"])
         told[key] = [calls.act(front, SERVICE, key, subject).ran()]
@@ -175,8 +175,8 @@
 def _freeze_case(run, calls, number: int, moment_s: float) -> tuple[str, str]:
     """Freezes the executor some time after the ask; returns what was told."""
     upstream_id = run.upstream_ids(SERVICE)[number % 5]
-    subject = callers.subject_on(run, SERVICE, upstream_id, number)
-    owner = callers.owners_of(run, upstream_id, 1)[0]
+    subject = callers.subject_for_upstream(run, SERVICE, upstream_id, number)
+    owner = callers.owners_for(run, upstream_id, 1)[0]
     front = _far_front(run, calls, upstream_id)
     key = f"frozen-{number}"
     run.store_faults(slow_ms=60)
@@ -203,7 +203,9 @@
     time.sleep(3.0)
     for number, key in enumerate(list(told)):
         upstream_id = run.upstream_ids(SERVICE)[number % 5]
-        subject = callers.subject_on(run, SERVICE, upstream_id, number)
+        subject = callers.subject_for_upstream(
+            run, SERVICE, upstream_id, number
+        )
         front = calls.front("pikine-2")
         told[key].append(calls.act(front, SERVICE, key, subject).ran())
     _check(run, told)
@@ -213,8 +215,8 @@
 def test_a_killed_executor_leaves_no_double_and_no_lie(run, calls, moment_s):
     number = int(moment_s * 100)
     upstream_id = run.upstream_ids(SERVICE)[number % 5]
-    subject = callers.subject_on(run, SERVICE, upstream_id, number)
-    owner = callers.owners_of(run, upstream_id, 1)[0]
+    subject = callers.subject_for_upstream(run, SERVICE, upstream_id, number)
+    owner = callers.owners_for(run, upstream_id, 1)[0]
     front = _far_front(run, calls, upstream_id)
     key = f"killed-{number}"
     run.store_faults(slow_ms=60)
--- a/bench/proofs/answers_test.py
+++ b/bench/proofs/answers_test.py
@@ -70,11 +70,11 @@
         covered = keyspace.coverage_ratio(ranges)
         assert abs(covered - body["coverage_ratio"]) < 1e-5
         counts["whole"] += covered == 1.0
-        titles = [title for _, title in callers.answered_hits(body)]
+        titles = [title for _, title in callers.response_hits(body)]
         mark = f"[v{body['index_version']}]"
         assert all(each.endswith(mark) for each in titles), "mixed versions"
         expected = callers.expected_hits(SERVICE, text, body)
-        assert callers.answered_hits(body) == expected
+        assert callers.response_hits(body) == expected
         if not dead:
             logged = logs[(body["query_id"], body["index_version"])]
             for each in ranges:
@@ -89,8 +89,8 @@
     return tuple(taken)
 
 
-def _load(run, **body) -> callers.Load:
-    return callers.Load(run, SERVICE, TEXTS, 6, **body)
+def _load(run, **body) -> callers.LoadGenerator:
+    return callers.LoadGenerator(run, SERVICE, TEXTS, 6, **body)
 
 
 def test_index_versions_roll_under_load(run):
--- a/bench/proofs/callers.py
+++ b/bench/proofs/callers.py
@@ -34,7 +34,7 @@
     retry_after: str = ""
     started_s: float = 0.0
 
-    def ran(self) -> str:
+    def execution_status(self) -> str:
         """Returns what the answer says of the run."""
         return self.body.get("ran", "cut")
 
@@ -58,7 +58,7 @@
     )
 
 
-class Callers:
+class CallerClient:
     """Calls a fleet's fronts."""
 
     def __init__(self, run: fleet.Fleet):
@@ -80,12 +80,12 @@
         document = {"subject": subject, "request": {"for": subject}, **body}
         return _call(self._pool, url, document, {"Idempotency-Key": key})
 
-    def front(self, instance_id: str) -> str:
+    def front_address(self, instance_id: str) -> str:
         """Returns an instance's callers' address."""
         return self._run.instance(instance_id)["front_address"]
 
 
-class Load:
+class LoadGenerator:
     """Searches through the balancer from several threads until stopped."""
 
     def __init__(
@@ -115,7 +115,7 @@
 
     def _loop(self) -> None:
         pool = urllib3.PoolManager(retries=False)
-        url = f"http://{self._run.balancer}/services/{self._service}/search"
+        url = f"http://{self._run.balancer_address}/services/{self._service}/search"
         while not self._stopping.is_set():
             with self._lock:
                 text = next(self._texts)
@@ -134,7 +134,7 @@
         return self.replies
 
 
-def upstream_of(run: fleet.Fleet, service: str, subject: str) -> str:
+def upstream_for(run: fleet.Fleet, service: str, subject: str) -> str:
     """Returns the upstream that an action on a subject goes to."""
     key = keyspace.key_of(subject)
     for shard in run.catalog.services[service].shards:
@@ -143,7 +143,7 @@
     raise AssertionError(f"no shard for {subject}")
 
 
-def owners_of(
+def owners_for(
     run: fleet.Fleet, upstream_id: str, owner_count: int
 ) -> list[str]:
     """Returns the instances that own an upstream."""
@@ -163,13 +163,13 @@
     raise AssertionError(f"no column for {upstream_id}")
 
 
-def subject_on(
+def subject_for_upstream(
     run: fleet.Fleet, service: str, upstream_id: str, number: int
 ) -> str:
     """Returns a subject whose actions go to an upstream."""
     for tried in itertools.count():
         subject = f"subject {number}.{tried}"
-        if upstream_of(run, service, subject) == upstream_id:
+        if upstream_for(run, service, subject) == upstream_id:
             return subject
     raise AssertionError
 
@@ -189,6 +189,6 @@
     return [(key, title) for key, _, title in hits[:limit]]
 
 
-def answered_hits(body: dict) -> list[tuple[int, str]]:
+def response_hits(body: dict) -> list[tuple[int, str]]:
     """Returns an answer's hits in the same form."""
     return [(hit["key"], hit["title"]) for hit in body["hits"]]
--- a/bench/proofs/front_test.py
+++ b/bench/proofs/front_test.py
@@ -124,7 +124,7 @@
 
 def test_a_slow_sender_is_told_and_harms_nobody(run, front):
     head = f"POST {SEARCH} HTTP/1.1\r\nHost: a\r\nContent-Length: 100\r\n\r\n"
-    calls = callers.Callers(run)
+    calls = callers.CallerClient(run)
     host, _, port = front.rpartition(":")
     slow = []
     for _ in range(20):
--- a/bench/proofs/leaving_test.py
+++ b/bench/proofs/leaving_test.py
@@ -48,7 +48,7 @@
 
 def test_a_draining_upstream_gets_no_new_work_though_the_list_lags(run):
     victim = run.upstream_ids(SERVICE)[0]
-    load = callers.Load(run, SERVICE, TEXTS, 8)
+    load = callers.LoadGenerator(run, SERVICE, TEXTS, 8)
     time.sleep(1.0)
     run.behave(victim, draining=True)
     time.sleep(DRAIN_LIMIT_S)
@@ -64,7 +64,7 @@
 
 def test_only_a_few_calls_reach_an_upstream_that_says_it_leaves(run):
     victim = run.upstream_ids(SERVICE)[5]
-    load = callers.Load(run, SERVICE, TEXTS, 8)
+    load = callers.LoadGenerator(run, SERVICE, TEXTS, 8)
     time.sleep(0.5)
     before = run.account(victim)["new_work_while_draining_count"]
     run.behave(victim, draining=True)
@@ -80,7 +80,7 @@
 
 @pytest.mark.parametrize("keep_alive", [True, False])
 def test_a_planned_stop_of_each_instance_in_turn_cuts_nothing(run, keep_alive):
-    load = callers.Load(run, SERVICE, TEXTS, 8, keep_alive=keep_alive)
+    load = callers.LoadGenerator(run, SERVICE, TEXTS, 8, keep_alive=keep_alive)
     statuses = []
     for each in run.instances[:5]:
         statuses.append(run.terminate(each["instance_id"]))
@@ -101,9 +101,9 @@
 
 def test_a_domain_cut_off_serves_on_and_rejoins_without_a_stampede(run):
     others = [("pikine", "plateau"), ("pikine", "almadies")]
-    calls = callers.Callers(run)
-    inside = calls.front("pikine-1")
-    load = callers.Load(run, SERVICE, TEXTS, 4)
+    calls = callers.CallerClient(run)
+    inside = calls.front_address("pikine-1")
+    load = callers.LoadGenerator(run, SERVICE, TEXTS, 4)
     time.sleep(1.5)
     steady = _calls_in(run, 1.5)
     run.cut(others)
--- a/bench/slopes/charts.py
+++ b/bench/slopes/charts.py
@@ -43,8 +43,10 @@
             {"way": name, "steps": count, "us_a_step": round(value / count, 2)}
             for count, value in zip(STEP_COUNTS, values, strict=True)
         ]
-        lines[f"cpu us by steps, {name}"] = fit.line(list(STEP_COUNTS), values)
-    fit.show("charts", rows, lines)
+        lines[f"cpu us by steps, {name}"] = fit.fit_line(
+            list(STEP_COUNTS), values
+        )
+    fit.report("charts", rows, lines)
 
 
 if __name__ == "__main__":
--- a/bench/slopes/claims.py
+++ b/bench/slopes/claims.py
@@ -41,12 +41,12 @@
 
 
 def _each_key(run: fleet.Fleet, rate: int) -> dict:
-    calls = callers.Callers(run)
+    calls = callers.CallerClient(run)
 
     def act(number: int) -> bool:
-        front = calls.front(run.instances[number % 9]["instance_id"])
+        front = calls.front_address(run.instances[number % 9]["instance_id"])
         key = f"{rate}-{number}"
-        return calls.act(front, SERVICE, key, key).ran() == "yes"
+        return calls.act(front, SERVICE, key, key).execution_status() == "yes"
 
     before = _account(run)
     well = _paced(rate, act)
@@ -117,8 +117,8 @@
             row |= {f"grouped_{name}": grouped[name] for name in grouped}
             rows.append(row)
     writes = [row["writes_per_action"] * row["actions_per_s"] for row in rows]
-    lines = {"writes a second by actions a second": fit.line(RATES, writes)}
-    fit.show("claims", rows, lines)
+    lines = {"writes a second by actions a second": fit.fit_line(RATES, writes)}
+    fit.report("claims", rows, lines)
 
 
 if __name__ == "__main__":
--- a/bench/slopes/fit.py
+++ b/bench/slopes/fit.py
@@ -29,7 +29,7 @@
         return self.base + self.slope * size
 
 
-def line(sizes: list[float], values: list[float]) -> Line:
+def fit_line(sizes: list[float], values: list[float]) -> Line:
     """Fits a line by least squares of relative errors."""
     weights = [1.0 / max(abs(value), 1e-12) for value in values]
     slope, base = numpy.polyfit(sizes, values, 1, w=weights)
@@ -53,14 +53,14 @@
         self.cpu_ms = (time.process_time() - self._cpu_s) * 1000
 
 
-def cpu_of(pid: int) -> float:
+def process_cpu_s(pid: int) -> float:
     """Returns the processor seconds that a process has used."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2]
     words = fields.split()
     return (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def memory_of(pid: int) -> float:
+def process_memory_mb(pid: int) -> float:
     """Returns the resident megabytes of a process."""
     text = pathlib.Path(f"/proc/{pid}/statm").read_text().split()[1]
     return int(text) * resource.getpagesize() / 1e6
@@ -72,7 +72,7 @@
     return ordered[min(len(ordered) - 1, int(ratio * len(ordered)))]
 
 
-def show(name: str, rows: list[dict], lines: dict[str, Line]) -> None:
+def report(name: str, rows: list[dict], lines: dict[str, Line]) -> None:
     """Prints rows and lines, and keeps them under run/slopes."""
     print(f"\n{name}")
     for row in rows:
--- a/bench/slopes/gossip.py
+++ b/bench/slopes/gossip.py
@@ -205,11 +205,13 @@
         for process in processes:
             process.line()
         time.sleep(4.0)
-        cpu_s = sum(fit.cpu_of(each.popen.pid) for each in processes)
+        cpu_s = sum(fit.process_cpu_s(each.popen.pid) for each in processes)
         before = _reports(processes)
         time.sleep(REST_S)
         after = _reports(processes)
-        used_s = sum(fit.cpu_of(each.popen.pid) for each in processes) - cpu_s
+        used_s = (
+            sum(fit.process_cpu_s(each.popen.pid) for each in processes) - cpu_s
+        )
         spreads = [
             _spread_ms(processes, revision)
             for revision in range(1, SPREAD_COUNT + 1)
@@ -241,7 +243,7 @@
         return
     rows = [_measure(size) for size in SIZES]
     lines = {
-        name: fit.line(list(SIZES), [row[name] for row in rows])
+        name: fit.fit_line(list(SIZES), [row[name] for row in rows])
         for name in (
             "cpu_percent_of_core",
             "bytes_per_s",
@@ -249,7 +251,7 @@
             "spread_ms_median",
         )
     }
-    fit.show("gossip", rows, lines)
+    fit.report("gossip", rows, lines)
 
 
 if __name__ == "__main__":
--- a/bench/slopes/memory.py
+++ b/bench/slopes/memory.py
@@ -59,9 +59,9 @@
 def _child(kind: str, count: int) -> None:
     import os
 
-    before = fit.memory_of(os.getpid())
+    before = fit.process_memory_mb(os.getpid())
     kept = _KINDS[kind](count)
-    print(fit.memory_of(os.getpid()) - before)
+    print(fit.process_memory_mb(os.getpid()) - before)
     del kept
 
 
@@ -87,8 +87,8 @@
             {"of": kind, "count": count, "megabytes": round(value, 2)}
             for count, value in zip(counts, values, strict=True)
         ]
-        lines[f"megabytes by {kind}"] = fit.line(list(counts), values)
-    fit.show("memory", rows, lines)
+        lines[f"megabytes by {kind}"] = fit.fit_line(list(counts), values)
+    fit.report("memory", rows, lines)
 
 
 if __name__ == "__main__":
--- a/bench/slopes/peer_message.py
+++ b/bench/slopes/peer_message.py
@@ -166,10 +166,10 @@
         rows.append(_row("threads", 0, batch, walls))
         batch_cpus.append(walls[-1] * 1000 / ROUNDS)
     lines = {
-        "cpu us a round trip by bytes": fit.line(sizes, cpus),
-        "cpu us a batch by messages": fit.line(list(BATCHES), batch_cpus),
+        "cpu us a round trip by bytes": fit.fit_line(sizes, cpus),
+        "cpu us a batch by messages": fit.fit_line(list(BATCHES), batch_cpus),
     }
-    fit.show("peer_message", rows, lines)
+    fit.report("peer_message", rows, lines)
 
 
 if __name__ == "__main__":
--- a/bench/slopes/plan.py
+++ b/bench/slopes/plan.py
@@ -54,8 +54,8 @@
                 "cpu_us_an_upstream": round(cpu_ms * 1000 / size, 1),
             }
         )
-    lines = {"cpu ms a query": fit.line(list(SIZES), cpus)}
-    fit.show("plan", rows, lines)
+    lines = {"cpu ms a query": fit.fit_line(list(SIZES), cpus)}
+    fit.report("plan", rows, lines)
 
 
 if __name__ == "__main__":
--- a/bench/slopes/stages.py
+++ b/bench/slopes/stages.py
@@ -31,8 +31,8 @@
 
 
 def _measure(run: fleet.Fleet, size: int, count: int) -> dict:
-    calls = callers.Callers(run)
-    front = calls.front("plateau-1")
+    calls = callers.CallerClient(run)
+    front = calls.front_address("plateau-1")
 
     def one(_number: int) -> callers.Reply:
         return calls.search(front, "wide", "record", limit=10)
@@ -43,9 +43,12 @@
         each["instance_id"]: run.processes[each["instance_id"]].pid
         for each in run.instances
     }
-    before = {name: fit.cpu_of(pid) for name, pid in pids.items()}
+    before = {name: fit.process_cpu_s(pid) for name, pid in pids.items()}
     replies = [one(number) for number in range(QUERY_COUNT)]
-    used = {name: fit.cpu_of(pid) - before[name] for name, pid in pids.items()}
+    used = {
+        name: fit.process_cpu_s(pid) - before[name]
+        for name, pid in pids.items()
+    }
     assert all(each.status == 200 for each in replies), replies[-1]
     elapsed = [each.body["elapsed_ms"] for each in replies]
     started_s = time.monotonic()
@@ -84,8 +87,10 @@
         chosen = [row for row in rows if row["instances"] == count]
         for name in ("coordinator_cpu_ms", "relays_cpu_ms", "p50_ms"):
             values = [max(row[name], 0.01) for row in chosen]
-            lines[f"{name}, {count} instances"] = fit.line(list(SIZES), values)
-    fit.show("stages", rows, lines)
+            lines[f"{name}, {count} instances"] = fit.fit_line(
+                list(SIZES), values
+            )
+    fit.report("stages", rows, lines)
 
 
 if __name__ == "__main__":
--- a/bench/slopes/upstream_client.py
+++ b/bench/slopes/upstream_client.py
@@ -135,10 +135,10 @@
                     }
                 )
     lines = {
-        f"cpu ms a query, {way}": fit.line(list(SIZES), values)
+        f"cpu ms a query, {way}": fit.fit_line(list(SIZES), values)
         for way, values in cpus.items()
     }
-    fit.show("upstream_client", rows, lines)
+    fit.report("upstream_client", rows, lines)
 
 
 if __name__ == "__main__":
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -49,7 +49,7 @@
     upstream_ms: tuple[tuple[float, ...], ...]
 
 
-def load(name: str) -> Trace:
+def read_trace(name: str) -> Trace:
     """Reads a trace."""
     document = json.loads((FOLDER / f"{name}.json").read_text("utf-8"))
     upstream_ms = tuple(tuple(each) for each in document["upstream_ms"])
@@ -161,9 +161,9 @@
     ):
         if harm:
             harm(run)
-        measures.load(run, measures.STEADY_PER_S)
+        measures.run_load(run, measures.STEADY_PER_S)
         upstream_ms = [
-            run.account(upstream_id)["taken_ms"][:KEEP_COUNT]
+            run.upstream_counters(upstream_id)["taken_ms"][:KEEP_COUNT]
             for upstream_id in run.upstream_ids(measures.SERVICE)
         ]
     # An upstream routed around early has few times: repeat what it has.
@@ -181,11 +181,11 @@
                 hedging.HedgeAfterDelay(delay_ms=100.0),
                 hedging.NoHedge(),
             ):
-                outcome = Replay(load(name), hedges).run()
+                outcome = Replay(read_trace(name), hedges).run()
                 print(name, type(hedges).__name__, outcome)
         return
     _record("healthy", None)
-    _record("stragglers", measures.straggle)
+    _record("stragglers", measures.slow_every_tenth)
 
 
 if __name__ == "__main__":
--- a/bench/traces_test.py
+++ b/bench/traces_test.py
@@ -14,7 +14,7 @@
 
 @functools.cache
 def _outcome(name, hedges) -> traces.Outcome:
-    return traces.Replay(traces.load(name), hedges).run()
+    return traces.Replay(traces.read_trace(name), hedges).run()
 
 
 @pytest.mark.parametrize("name", ["healthy", "stragglers"])
@@ -46,6 +46,6 @@
 
 
 def test_a_replay_comes_out_the_same_every_time():
-    trace = traces.load("stragglers")
+    trace = traces.read_trace("stragglers")
     one = traces.Replay(trace, _PRODUCT).run()
     assert one == traces.Replay(trace, _PRODUCT).run()
--- a/hyssoptack/gateway/attempts_test.py
+++ b/hyssoptack/gateway/attempts_test.py
@@ -107,12 +107,12 @@
         async with harness.Site() as site:
             narrow, wide = await _pair(site, route_type="unsafe")
             for each in site.services.values():
-                each.manners.delay_ms = 60.0
+                each.behaviour.delay_ms = 60.0
             _delay(narrow, notice.DelegationStatus, LATE_S)
             _delay(wide, notice.DelegationCancel, LATE_S)
             await site.get("/all/x", "r1", name="narrow", method="POST")
             await asyncio.sleep(0.2)
-            runs = [each.runs[b"r1"] for each in site.services.values()]
+            runs = [each.run_counts[b"r1"] for each in site.services.values()]
             assert sum(runs) == SHARD_COUNT
 
     asyncio.run(test())
--- a/hyssoptack/gateway/crashing_test.py
+++ b/hyssoptack/gateway/crashing_test.py
@@ -50,9 +50,9 @@
         self.arrivals: list[_Arrival] = []
         self.crash_ms: list[float] = []
         for each in site.services.values():
-            each.manners.delay_ms = WORK_MS
-            each.manners.return_ms = RETURN_MS
-            each.manners.crashes_on = bad_path
+            each.behaviour.delay_ms = WORK_MS
+            each.behaviour.return_ms = RETURN_MS
+            each.behaviour.crashes_on = bad_path
             each.on_run = self._note_run
             each.on_crash = lambda: self.crash_ms.append(clock.now_ms())
 
--- a/hyssoptack/gateway/delegating_test.py
+++ b/hyssoptack/gateway/delegating_test.py
@@ -32,7 +32,7 @@
             assert first.status == 200
             assert first.headers["x-missing-parts"] == "0"
             assert first.body[:16] == bytes([200]) * 16
-            assert sum(s.runs[b"r1"] for s in site.services.values()) == 4
+            assert sum(s.run_counts[b"r1"] for s in site.services.values()) == 4
             # Nothing was gathered over the narrow link.
             assert narrow._pools.opened_count < wide._pools.opened_count
             assert not narrow._delegating.pending
@@ -65,7 +65,7 @@
             got = await site.get("/all/x", "r1", name="narrow")
             table.route_table = held
             assert got.status == 200
-            assert sum(s.runs[b"r1"] for s in site.services.values()) == 4
+            assert sum(s.run_counts[b"r1"] for s in site.services.values()) == 4
             assert not narrow._delegating.pending
 
     asyncio.run(test())
@@ -76,7 +76,7 @@
         async with harness.Site() as site:
             await _pair(site)
             for each in site.services.values():
-                each.manners.delay_ms = 150.0
+                each.behaviour.delay_ms = 150.0
             begun = asyncio.create_task(site.get("/all/x", "r1", name="narrow"))
             await asyncio.sleep(0.05)
             site.gateways["wide"].stop()
@@ -85,7 +85,7 @@
             assert (got.status, later.status) == (200, 200)
             for name in ("r1", "r2"):
                 key = name.encode()
-                runs = [s.runs[key] for s in site.services.values()]
+                runs = [s.run_counts[key] for s in site.services.values()]
                 assert runs == [1, 1, 1, 1]
 
     asyncio.run(test())
@@ -96,7 +96,7 @@
         async with harness.Site() as site:
             await _pair(site)
             for each in site.services.values():
-                each.manners.never = True
+                each.behaviour.never = True
             address = site.settings["narrow"].callers_address
             host, _, port = address.rpartition(":")
             _, writer = await asyncio.open_connection(host, int(port))
@@ -120,7 +120,7 @@
             # It takes messages and says nothing: a frozen process.
             site.gateways["wide"]._peering.on_message = lambda _: None
             for each in site.services.values():
-                each.manners.delay_ms = 20.0
+                each.behaviour.delay_ms = 20.0
             started_s = asyncio.get_running_loop().time()
             got = await site.get("/all/x", "r1", name="narrow")
             took_s = asyncio.get_running_loop().time() - started_s
@@ -167,7 +167,7 @@
             assert got.status == 200
             # Asked again after its answer, it would run the query once more.
             assert asked.count(notice.DelegationRequest) == 1
-            runs = [s.runs[b"r1"] for s in site.services.values()]
+            runs = [s.run_counts[b"r1"] for s in site.services.values()]
             assert runs == [1, 1, 1, 1]
 
     asyncio.run(test())
@@ -252,10 +252,10 @@
         async with harness.Site() as site:
             await _pair(site)
             for each in site.services.values():
-                each.manners.delay_ms = 700.0
+                each.behaviour.delay_ms = 700.0
             got = await site.get("/all/x", "r1", name="narrow")
             assert got.status == 200
-            runs = [s.runs[b"r1"] for s in site.services.values()]
+            runs = [s.run_counts[b"r1"] for s in site.services.values()]
             assert runs == [1, 1, 1, 1]
 
     asyncio.run(test())
@@ -266,14 +266,14 @@
         async with harness.Site() as site:
             await _pair(site)
             for each in site.services.values():
-                each.manners.delay_ms = 700.0
+                each.behaviour.delay_ms = 700.0
             begun = asyncio.create_task(site.get("/all/x", "r1", name="narrow"))
             await asyncio.sleep(0.1)
             site.kill("wide")
             async with asyncio.timeout(0.7):
                 got = await begun
             assert got.status == 502
-            runs = [s.runs[b"r1"] for s in site.services.values()]
+            runs = [s.run_counts[b"r1"] for s in site.services.values()]
             assert runs == [1, 1, 1, 1]
 
     asyncio.run(test())
--- a/hyssoptack/gateway/evacuation_test.py
+++ b/hyssoptack/gateway/evacuation_test.py
@@ -35,7 +35,7 @@
 
 def _southern_heads(site: harness.Site) -> int:
     return sum(
-        len(each.heads)
+        len(each.request_heads)
         for name, each in site.services.items()
         if name.startswith("s")
     )
@@ -143,7 +143,7 @@
             gateway.view.load_balancer.upstream_states[
                 "n3"
             ].ejected_until_ms = 1e15
-            site.services["s3"].manners.delay_ms = 700.0
+            site.services["s3"].behaviour.delay_ms = 700.0
             calls = [
                 asyncio.create_task(
                     site.get("/once/x", f"r{index}", method="POST", body=b"b")
@@ -158,7 +158,7 @@
                 200,
                 200,
             ]
-            assert len(site.services["s3"].heads) == 1
+            assert len(site.services["s3"].request_heads) == 1
 
     asyncio.run(test())
 
--- a/hyssoptack/gateway/gateway_test.py
+++ b/hyssoptack/gateway/gateway_test.py
@@ -46,7 +46,7 @@
             assert got.status == 200
             assert got.body == b"booked" * 4
             assert got.headers["x-server-stamp"].endswith(".r1")
-            heads = [h for s in site.services.values() for h in s.heads]
+            heads = [h for s in site.services.values() for h in s.request_heads]
             assert heads[0].startswith(b"GET /one/x?q=1 HTTP/1.1\r\n")
             assert b"X-Request-Deadline: " in heads[0]
             assert site.run_count("r1") == 1
@@ -71,7 +71,7 @@
     async def test():
         async with harness.Site() as site:
             await _index(site)
-            site.services["i-3"].manners.never = True
+            site.services["i-3"].behaviour.never = True
             started = asyncio.get_running_loop().time()
             got = await site.get("/all/", "r1")
             took_s = asyncio.get_running_loop().time() - started
@@ -87,7 +87,7 @@
         async with harness.Site() as site:
             await _index(site)
             for each in ("i-2", "i-3"):
-                site.services[each].manners.fail_count = 9
+                site.services[each].behaviour.fail_count = 9
             got = await site.get("/all/", "r1")
             assert got.status == 502
             assert "retry-after" not in got.headers
@@ -100,7 +100,7 @@
         async with harness.Site() as site:
             await _desk(site)
             for each in site.services.values():
-                each.manners.reset_count = 1
+                each.behaviour.reset_count = 1
             got = await site.get("/once/x", "r1", method="POST", body=b"book")
             assert got.status == 502
             assert site.run_count("r1") == 1
@@ -113,7 +113,7 @@
         async with harness.Site() as site:
             await _desk(site)
             for each in site.services.values():
-                each.manners.shed_count = 1
+                each.behaviour.shed_count = 1
             got = await site.get("/once/x", "r1", method="POST", body=b"book")
             assert got.status == 200
             assert site.run_count("r1") == 1
@@ -126,7 +126,7 @@
         async with harness.Site() as site:
             await _desk(site)
             for each in site.services.values():
-                each.manners.shed_count = 9
+                each.behaviour.shed_count = 9
             got = await site.get("/once/x", "r1", method="POST", body=b"book")
             assert got.status == 503
             assert float(got.headers["retry-after"]) > 0
@@ -140,11 +140,11 @@
         async with harness.Site() as site:
             await _desk(site)
             for each in site.services.values():
-                each.manners.reset_count = 1
+                each.behaviour.reset_count = 1
             first = await site.get("/one/x", "r1")
             assert first.status == 502
-            site.services["i-0"].manners.reset_count = 1
-            site.services["i-1"].manners.reset_count = 0
+            site.services["i-0"].behaviour.reset_count = 1
+            site.services["i-1"].behaviour.reset_count = 0
             for number in range(4):
                 got = await site.get("/one/x", f"r1{number}")
                 assert got.status == 200
@@ -157,7 +157,7 @@
     async def test():
         async with harness.Site() as site:
             await _desk(site, 1)
-            setattr(site.services["i-0"].manners, fault, True)
+            setattr(site.services["i-0"].behaviour, fault, True)
             for number in range(6):
                 got = await site.get("/one/x", f"r{number}")
                 assert got.status == 200
@@ -172,7 +172,7 @@
     async def test():
         async with harness.Site() as site:
             await _desk(site, 1)
-            setattr(site.services["i-0"].manners, fault, True)
+            setattr(site.services["i-0"].behaviour, fault, True)
             got = await site.get("/one/x", "r1")
             assert got.status == 502
 
@@ -195,7 +195,7 @@
     async def test():
         async with harness.Site() as site:
             await _desk(site, 1)
-            site.services["i-0"].manners.never = True
+            site.services["i-0"].behaviour.never = True
             address = site.settings["gateway-1"].callers_address
             host, _, port = address.rpartition(":")
             _, writer = await asyncio.open_connection(host, int(port))
@@ -255,7 +255,9 @@
             address = site.settings["gateway-1"].callers_address
             got = await harness.send_raw(address, data)
             assert got.status == status
-            assert not sum(map(len, (s.runs for s in site.services.values())))
+            assert not sum(
+                map(len, (s.run_counts for s in site.services.values()))
+            )
 
     run(test())
 
@@ -272,7 +274,7 @@
             )
             got = await harness.send_raw(address, data)
             assert got.status == 200
-            head = site.services["i-0"].heads[0].lower()
+            head = site.services["i-0"].request_heads[0].lower()
             assert b"content-length: 7\r\n" in head
             assert b"transfer-encoding" not in head
 
@@ -318,11 +320,11 @@
             await _desk(site)
             site.put_upstream_entry("i-0", "desk", state="draining")
             await asyncio.sleep(1.5)
-            before = sum(site.services["i-0"].runs.values())
+            before = sum(site.services["i-0"].run_counts.values())
             for number in range(10):
                 got = await site.get("/one/x", f"r{number}")
                 assert got.status == 200
-            assert sum(site.services["i-0"].runs.values()) == before
+            assert sum(site.services["i-0"].run_counts.values()) == before
 
     run(test())
 
@@ -376,7 +378,7 @@
             await site.start()
             for number in range(20):
                 await site.get("/one/x", f"r{number}")
-            assert sum(site.services["i-0"].runs.values()) == 14
+            assert sum(site.services["i-0"].run_counts.values()) == 14
 
     run(test())
 
@@ -385,7 +387,7 @@
     async def test():
         async with harness.Site() as site:
             await _desk(site, 1)
-            site.services["i-0"].manners.delay_ms = 500
+            site.services["i-0"].behaviour.delay_ms = 500
             asked = asyncio.create_task(site.get("/one/x", "r1"))
             await asyncio.sleep(0.1)
             site.gateways["gateway-1"].stop()
--- a/hyssoptack/gateway/harness.py
+++ b/hyssoptack/gateway/harness.py
@@ -42,7 +42,7 @@
 
     def __init__(self) -> None:
         self.store = kvstore.Store()
-        self.services: dict[str, service.Service] = {}
+        self.services: dict[str, service.FakeUpstream] = {}
         self.gateways: dict[str, daemon.Gateway] = {}
         self.settings: dict[str, gateway.GatewaySettings] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
@@ -67,9 +67,9 @@
         service_name: str,
         body: bytes = b"x" * 16,
         zone: str = "north",
-    ) -> service.Service:
+    ) -> service.FakeUpstream:
         """Starts an upstream and lists it."""
-        added = service.Service(upstream_id, body)
+        added = service.FakeUpstream(upstream_id, body)
         await added.start()
         self.services[upstream_id] = added
         self.put_upstream_entry(upstream_id, service_name, zone)
@@ -229,7 +229,7 @@
     def run_count(self, request_id: str) -> int:
         """Returns how often a request ran on all upstreams."""
         key = request_id.encode()
-        return sum(each.runs[key] for each in self.services.values())
+        return sum(each.run_counts[key] for each in self.services.values())
 
 
 def _route(index: int, given: dict[str, object]) -> dict[str, object]:
--- a/hyssoptack/gateway/peering_test.py
+++ b/hyssoptack/gateway/peering_test.py
@@ -19,9 +19,9 @@
     async def test():
         async with harness.Site() as site:
             await _three(site)
-            site.store.calls.clear()
+            site.store.call_names.clear()
             await asyncio.sleep(3.0)
-            reads = site.store.calls.count("kv-range")
+            reads = site.store.call_names.count("kv-range")
             # One reader: about one reading a second, and one of the instances.
             assert reads <= 5
             site.configure({**gateway_test.SINGLE, "prefix": "/new/"})
@@ -64,11 +64,11 @@
             await site.start("g-1", lease_ms=300.0, lease_min_ms=100.0)
             await asyncio.sleep(0.3)
             key = "hyssoptack/peers/g-1"
-            assert key in site.store.listed()
-            site.store.end_all_leases()
-            assert key not in site.store.listed()
+            assert key in site.store.sorted_keys()
+            site.store.revoke_all_leases()
+            assert key not in site.store.sorted_keys()
             await asyncio.sleep(0.5)
-            assert key in site.store.listed()
+            assert key in site.store.sorted_keys()
 
     asyncio.run(test())
 
--- a/hyssoptack/gateway/relaying_test.py
+++ b/hyssoptack/gateway/relaying_test.py
@@ -76,8 +76,8 @@
             got = await site.get("/all/x", "r1", name="north")
             assert got.status == 200
             shard_runs = [
-                site.services[f"i-{index}"].runs[b"r1"]
-                + site.services[f"w-{index}"].runs[b"r1"]
+                site.services[f"i-{index}"].run_counts[b"r1"]
+                + site.services[f"w-{index}"].run_counts[b"r1"]
                 for index in range(SHARD_COUNT)
             ]
             assert max(shard_runs) <= 2
@@ -125,7 +125,7 @@
             got = await site.get("/all/x", "r1", name="north")
             assert got.status == 200
             runs = [
-                site.services[f"i-{index}"].runs[b"r1"]
+                site.services[f"i-{index}"].run_counts[b"r1"]
                 for index in range(SHARD_COUNT)
             ]
             assert not any(runs)
@@ -138,7 +138,7 @@
         async with harness.Site() as site:
             await _across(site)
             for each in site.services.values():
-                each.manners.never = True
+                each.behaviour.never = True
             address = site.settings["north"].callers_address
             host, _, port = address.rpartition(":")
             _, writer = await asyncio.open_connection(host, int(port))
@@ -161,7 +161,7 @@
         async with harness.Site() as site:
             await _across(site, both=True)
             for index in range(SHARD_COUNT):
-                site.services[f"i-{index}"].manners.delay_ms = 700.0
+                site.services[f"i-{index}"].behaviour.delay_ms = 700.0
             begun = asyncio.create_task(site.get("/all/x", "r1", name="north"))
             await asyncio.sleep(0.05)
             site.kill("south")
@@ -183,7 +183,7 @@
                 sender_address="127.0.0.1:1", ask_id=1, outcomes=(told,)
             )
             for each in site.services.values():
-                each.manners.delay_ms = 150.0
+                each.behaviour.delay_ms = 150.0
             begun = asyncio.create_task(site.get("/all/x", "r1", name="north"))
             await asyncio.sleep(0.05)
             north._relaying.on_batch(batch)
--- a/hyssoptack/gateway/suspecting_test.py
+++ b/hyssoptack/gateway/suspecting_test.py
@@ -153,7 +153,7 @@
                 # domain would pass for a cut, whatever else is believed.
                 for each in site.services.values():
                     if int(each.upstream_id[-1]) // 2 == turn % 2:
-                        each.manners.return_ms = 300.0
+                        each.behaviour.return_ms = 300.0
                         each.crash()
                 statuses += [got.status for got in await asyncio.gather(*asked)]
                 await asyncio.sleep(0.5)
@@ -173,7 +173,7 @@
             await _wait_blocked(site, "n1", "n2", "s1")
             await asyncio.sleep(crashing_test.RETURN_MS / message.MS_PER_S)
             for each in site.services.values():
-                each.manners.crashes_on = b""
+                each.behaviour.crashes_on = b""
             crashes = len(watch.crash_ms)
             # Its time is over at the instance that is asked.
             entry = next(iter(_suspicions(site, "n2")._blocked.values()))
--- a/hyssoptack/gateway/warmup_test.py
+++ b/hyssoptack/gateway/warmup_test.py
@@ -46,9 +46,11 @@
     async def test():
         async with harness.Site() as site:
             await _cold_desk(site, warm=True)
-            before = len(site.services["cold"].heads)
+            before = len(site.services["cold"].request_heads)
             assert await _press(site, 30) == [200] * 30
-            assert len(site.services["cold"].heads) - before <= ALL_COUNT
+            assert (
+                len(site.services["cold"].request_heads) - before <= ALL_COUNT
+            )
 
     asyncio.run(test())
 
@@ -57,10 +59,10 @@
     async def test():
         async with harness.Site() as site:
             await _cold_desk(site, warm=False)
-            before = len(site.services["cold"].heads)
+            before = len(site.services["cold"].request_heads)
             statuses = await _press(site, 20)
             served = statuses.count(200)
-            assert len(site.services["cold"].heads) - before == served
+            assert len(site.services["cold"].request_heads) - before == served
             assert 0 < served <= ALL_COUNT
             assert statuses.count(503) == 20 - served
             runs = [site.run_count(f"r{index}") for index in range(20)]
--- a/hyssoptack/standins/kvstore.py
+++ b/hyssoptack/standins/kvstore.py
@@ -38,7 +38,7 @@
 
     def __init__(self, page_count: int = 50):
         self.faults = Faults()
-        self.calls: list[str] = []
+        self.call_names: list[str] = []
         self.address = ""
         self._page_count = page_count
         self._revision = 0
@@ -84,7 +84,7 @@
         self._items.pop(key, None)
         self._note({"key": key, "revision": self._revision, "removed": True})
 
-    def listed(self) -> list[str]:
+    def sorted_keys(self) -> list[str]:
         """Returns the keys that are there."""
         return sorted(self._items)
 
@@ -103,7 +103,7 @@
         target = urllib.parse.urlsplit(request.target.decode())
         query = dict(urllib.parse.parse_qsl(target.query))
         name = target.path.removeprefix("/hyssoptack/")
-        self.calls.append(name)
+        self.call_names.append(name)
         await asyncio.sleep(self.faults.lag_ms / 1000)
         if self.faults.silent:
             return
@@ -205,7 +205,7 @@
                 self.remove(key)
         return 200, {}
 
-    def end_all_leases(self) -> None:
+    def revoke_all_leases(self) -> None:
         """Ends every lease at once, as the store may for those it cuts off."""
         for lease in tuple(self._leases):
             self._end(lease)
--- a/hyssoptack/standins/members.py
+++ b/hyssoptack/standins/members.py
@@ -105,7 +105,7 @@
     async def _list(self, request: web.Request) -> web.Response:
         domain = request.app["domain"]
         if self._faults.outage or domain in self._faults.cut_domains:
-            return standin_web.lose(request)
+            return standin_web.abort_connection(request)
         self.read_count += 1
         view = self._views[domain]
         members = [
@@ -125,14 +125,14 @@
         etag = hashlib.sha256(text.encode()).hexdigest()[:16]
         if request.headers.get("If-None-Match") == etag:
             return web.Response(status=304)
-        return standin_web.answer(listing, ETag=etag)
+        return standin_web.json_response(listing, ETag=etag)
 
     async def _change(self, request: web.Request) -> web.Response:
         for name, value in (await request.json()).items():
             if not hasattr(self._faults, name):
-                return standin_web.answer({"unknown": name}, status=400)
+                return standin_web.json_response({"unknown": name}, status=400)
             setattr(self._faults, name, value)
-        return standin_web.answer(dataclasses.asdict(self._faults))
+        return standin_web.json_response(dataclasses.asdict(self._faults))
 
 
 application = cyclopts.App(name="hyssoptack-standin-members")
@@ -156,7 +156,7 @@
     """
     members = Members(operator, json.loads(views), lag_ms)
     pairs = [each.split("=", 1) for each in listen]
-    standin_web.run(
+    standin_web.serve_forever(
         [(members.runner(domain), address) for domain, address in pairs]
     )
 
--- a/hyssoptack/standins/ports_test.py
+++ b/hyssoptack/standins/ports_test.py
@@ -16,7 +16,7 @@
 
 def test_no_outgoing_connection_takes_the_port_of_an_upstream_that_is_down():
     async def test():
-        started = service.Service("i-0")
+        started = service.FakeUpstream("i-0")
         await started.start()
         started.stop()
         port = int(started.address.rpartition(":")[2])
--- a/hyssoptack/standins/service.py
+++ b/hyssoptack/standins/service.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Manners:
+class Behaviour:
     """How an upstream treats requests.
 
     Attributes:
@@ -48,15 +48,15 @@
     return_ms: float = 2_000.0
 
 
-class Service:
+class FakeUpstream:
     """One upstream on loopback."""
 
     def __init__(self, upstream_id: str, body: bytes = b"x" * 16):
         self.upstream_id = upstream_id
         self.body = body
-        self.manners = Manners()
-        self.runs: collections.Counter[bytes] = collections.Counter()
-        self.heads: list[bytes] = []
+        self.behaviour = Behaviour()
+        self.run_counts: collections.Counter[bytes] = collections.Counter()
+        self.request_heads: list[bytes] = []
         self.connection_count = 0
         self.cancelled_count = 0
         self.address = ""
@@ -93,7 +93,7 @@
         self._return = loop.create_task(self._come_back())
 
     async def _come_back(self) -> None:
-        await asyncio.sleep(self.manners.return_ms / message.MS_PER_S)
+        await asyncio.sleep(self.behaviour.return_ms / message.MS_PER_S)
         self._return = None
         await self.start()
 
@@ -116,23 +116,23 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
         head = await reader.readuntil(b"\r\n\r\n")
-        self.heads.append(head)
+        self.request_heads.append(head)
         fields = _fields(head)
         await reader.readexactly(int(fields.get(b"content-length", b"0")))
         request_id = fields.get(b"x-request-id", b"")
         if fields.get(b"x-expected-instance") != self.upstream_id.encode():
             writer.write(_reply(421, b"Misdirected", b"", request_id, b""))
             return True
-        if self.manners.shed_count:
-            self.manners.shed_count -= 1
+        if self.behaviour.shed_count:
+            self.behaviour.shed_count -= 1
             writer.write(_reply(503, b"Full", NOT_RUN, request_id, b""))
             return True
-        self.runs[request_id] += 1
+        self.run_counts[request_id] += 1
         self.on_run(request_id)
         if await self._left(reader):
             self.cancelled_count += 1
             return False
-        crashes_on = self.manners.crashes_on
+        crashes_on = self.behaviour.crashes_on
         if crashes_on and head.split(b" ", 2)[1].startswith(crashes_on):
             self.crash()
             return False
@@ -140,7 +140,7 @@
 
     async def _left(self, reader: asyncio.StreamReader) -> bool:
         """Works for a while; tells whether the caller left meanwhile."""
-        delay_ms = 60_000.0 if self.manners.never else self.manners.delay_ms
+        delay_ms = 60_000.0 if self.behaviour.never else self.behaviour.delay_ms
         if not delay_ms:
             return False
         try:
@@ -150,7 +150,7 @@
             return False
 
     def _answer(self, writer: asyncio.StreamWriter, request_id: bytes) -> bool:
-        manners = self.manners
+        manners = self.behaviour
         signature = b"" if manners.unsigned else self._signature(request_id)
         reply = _reply(200, b"OK", signature, request_id, self.body)
         if manners.reset_count:
--- a/hyssoptack/standins/store.py
+++ b/hyssoptack/standins/store.py
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Account:
+class Counters:
     """Calls since the start."""
 
     read_count: int = 0
@@ -71,7 +71,7 @@
         self._entries: dict[str, Entry] = {}
         self._last_version = 0
         self._faults = Faults()
-        self._account = Account()
+        self._account = Counters()
         self._changed: dict[str, asyncio.Event] = {}
         self._random = random.Random(7)
 
@@ -99,20 +99,20 @@
 
     async def _get(self, request: web.Request) -> web.Response:
         if await self._is_cut(request):
-            return standin_web.lose(request)
+            return standin_web.abort_connection(request)
         key = request.match_info["key"]
         if "after" in request.query:
             self._account.watch_count += 1
             await self._wait(request, key)
             if await self._is_cut(request):
-                return standin_web.lose(request)
+                return standin_web.abort_connection(request)
         else:
             self._account.read_count += 1
         entry = self._find(key)
         if entry is None:
-            return standin_web.answer({}, status=404)
+            return standin_web.json_response({}, status=404)
         self._account.bytes_out += len(entry.value)
-        return standin_web.answer(_shown(entry))
+        return standin_web.json_response(_shown(entry))
 
     async def _wait(self, request: web.Request, key: str) -> None:
         after = int(request.query["after"])
@@ -140,12 +140,12 @@
     async def _put(self, request: web.Request) -> web.Response:
         value = await request.text()
         if await self._is_cut(request):
-            return standin_web.lose(request)
+            return standin_web.abort_connection(request)
         if self._faults.swallow_write_count > 0:
             self._faults.swallow_write_count -= 1
-            return standin_web.lose(request)
+            return standin_web.abort_connection(request)
         if len(value.encode()) > VALUE_LIMIT_BYTES:
-            return standin_web.answer({}, status=413)
+            return standin_web.json_response({}, status=413)
         key = request.match_info["key"]
         self._account.write_count += 1
         entry = self._find(key)
@@ -153,12 +153,14 @@
         if int(request.query["expect"]) != found_version:
             self._account.conflict_count += 1
             shown = _shown(entry) if entry else {"value": "", "version": 0}
-            return standin_web.answer(shown, status=409)
+            return standin_web.json_response(shown, status=409)
         entry = self._write(key, value, int(request.query.get("ttl_ms", "0")))
         if self._loses():
             await asyncio.sleep(self._faults.hold_write_ms / MS_PER_S)
-            return standin_web.lose(request)
-        return standin_web.answer({"value": "", "version": entry.version})
+            return standin_web.abort_connection(request)
+        return standin_web.json_response(
+            {"value": "", "version": entry.version}
+        )
 
     def _write(self, key: str, value: str, ttl_ms: int) -> Entry:
         self._last_version += 1
@@ -183,12 +185,12 @@
     async def _change(self, request: web.Request) -> web.Response:
         for name, value in (await request.json()).items():
             if not hasattr(self._faults, name):
-                return standin_web.answer({"unknown": name}, status=400)
+                return standin_web.json_response({"unknown": name}, status=400)
             setattr(self._faults, name, value)
-        return standin_web.answer(dataclasses.asdict(self._faults))
+        return standin_web.json_response(dataclasses.asdict(self._faults))
 
     async def _show(self, _request: web.Request) -> web.Response:
-        return standin_web.answer(dataclasses.asdict(self._account))
+        return standin_web.json_response(dataclasses.asdict(self._account))
 
 
 def _shown(entry: Entry) -> dict[str, object]:
@@ -207,7 +209,7 @@
     """
     store = Store()
     pairs = [each.split("=", 1) for each in listen]
-    standin_web.run(
+    standin_web.serve_forever(
         [(store.runner(domain), address) for domain, address in pairs]
     )
 
--- a/hyssoptack/standins/upstream.py
+++ b/hyssoptack/standins/upstream.py
@@ -50,7 +50,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Account:
+class Counters:
     """What happened, for the referee."""
 
     search_count: int = 0
@@ -85,7 +85,7 @@
         self._connection_limit_count = connection_limit_count
         self._connect_cost_ms = connect_cost_ms
         self._behaviour = behaviour
-        self._account = Account()
+        self._account = Counters()
         self._slots = asyncio.Semaphore(slot_count)
         self._running_count = 0
         self._waiting_count = 0
@@ -128,7 +128,7 @@
             self._account.new_work_while_draining_count += 1
         if behaviour.draining or behaviour.shed or full:
             self._account.shed_count += 1
-            return standin_web.answer(
+            return standin_web.json_response(
                 {"shed": True}, status=503, **self._headers()
             )
         return None
@@ -158,7 +158,7 @@
         began_s = asyncio.get_running_loop().time()
         body = await request.json()
         if not await self._greet(request):
-            return standin_web.answer({}, status=503)
+            return standin_web.json_response({}, status=503)
         refused = self._refusal()
         if refused is not None:
             return refused
@@ -167,7 +167,9 @@
         version = body["version"] or held[-1]
         if version not in held:
             reply = {"query_id": body["query_id"], "held": held}
-            return standin_web.answer(reply, status=409, **self._headers())
+            return standin_web.json_response(
+                reply, status=409, **self._headers()
+            )
         low, high = behaviour.low, behaviour.high
         varying = behaviour.spread_ratio * self._random.expovariate(1.0)
         fixed = 1.0 - behaviour.spread_ratio
@@ -191,12 +193,12 @@
             "high": high,
             "hits": hits,
         }
-        return standin_web.answer(reply, **self._headers())
+        return standin_web.json_response(reply, **self._headers())
 
     async def _act(self, request: web.Request) -> web.Response:
         body = await request.json()
         if not await self._greet(request):
-            return standin_web.answer({}, status=503)
+            return standin_web.json_response({}, status=503)
         refused = self._refusal()
         if refused is not None:
             return refused
@@ -208,26 +210,28 @@
         await asyncio.shield(self._take_slot(self._behaviour.act_ms))
         if self._behaviour.lose_act_count > 0:
             self._behaviour.lose_act_count -= 1
-            return standin_web.lose(request)
+            return standin_web.abort_connection(request)
         receipt = f"{self._upstream_id}/{key}/{runs[key]}"
-        return standin_web.answer({"receipt": receipt}, **self._headers())
+        return standin_web.json_response(
+            {"receipt": receipt}, **self._headers()
+        )
 
     async def _change(self, request: web.Request) -> web.Response:
         for name, value in (await request.json()).items():
             if not hasattr(self._behaviour, name):
-                return standin_web.answer({"unknown": name}, status=400)
+                return standin_web.json_response({"unknown": name}, status=400)
             setattr(self._behaviour, name, value)
-        return standin_web.answer(dataclasses.asdict(self._behaviour))
+        return standin_web.json_response(dataclasses.asdict(self._behaviour))
 
     async def _show_account(self, request: web.Request) -> web.Response:
         account = dataclasses.asdict(self._account)
         if "brief" in request.query:
             del account["answered"]
-        return standin_web.answer(account)
+        return standin_web.json_response(account)
 
     async def _health(self, _request: web.Request) -> web.Response:
         well = self._behaviour.health_lie or not self._behaviour.shed
-        return standin_web.answer({"well": well}, 200 if well else 503)
+        return standin_web.json_response({"well": well}, 200 if well else 503)
 
 
 application = cyclopts.App(name="hyssoptack-standin-upstream")
@@ -259,7 +263,7 @@
         connect_cost_ms,
         behaviour,
     )
-    standin_web.run([(upstream.runner, address)])
+    standin_web.serve_forever([(upstream.runner, address)])
 
 
 if __name__ == "__main__":
--- a/hyssoptack/standins/wan.py
+++ b/hyssoptack/standins/wan.py
@@ -82,7 +82,9 @@
             for writer in self._writers.get(pair, ()):
                 writer.transport.abort()
         self._cut = pairs
-        return standin_web.answer({"cut": [sorted(each) for each in pairs]})
+        return standin_web.json_response(
+            {"cut": [sorted(each) for each in pairs]}
+        )
 
 
 def _write(writer: asyncio.StreamWriter, data: bytes) -> None:
--- a/hyssoptack/standins/web.py
+++ b/hyssoptack/standins/web.py
@@ -7,14 +7,16 @@
 from aiohttp import web
 
 
-def lose(request: web.Request) -> web.Response:
+def abort_connection(request: web.Request) -> web.Response:
     """Closes the connection of a request in place of an answer."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response(status=500)
 
 
-def answer(value: object, status: int = 200, **headers: str) -> web.Response:
+def json_response(
+    value: object, status: int = 200, **headers: str
+) -> web.Response:
     """Returns a JSON answer."""
     return web.Response(
         text=json.dumps(value),
@@ -33,6 +35,6 @@
     await asyncio.Event().wait()
 
 
-def run(runners: list[tuple[web.AppRunner, str]]) -> None:
+def serve_forever(runners: list[tuple[web.AppRunner, str]]) -> None:
     """Serves applications on their addresses until the process ends."""
     uvloop.run(_serve(runners))
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -22,11 +22,17 @@
 BAD_PAUSE_RANGE_S = (0.05, 0.5)
 """Between two of a caller that does not wait for upstreams' return (2 s)."""
 
-PATHS = (world.SINGLE, world.MOVED, world.ONCE, world.ALL, world.ALL)
+PATHS = (
+    world.SINGLE_PATH,
+    world.MOVED_PATH,
+    world.NON_IDEMPOTENT_PATH,
+    world.FANOUT_PATH,
+    world.FANOUT_PATH,
+)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Asked:
+class RequestRecord:
     """One request and what became of it.
 
     Attributes:
@@ -35,8 +41,8 @@
         path: The route.
         sent_ms: When its last byte left.
         ended_ms: When the answer, or the connection's end, came.
-        ended: `answered`, `cut`, `unanswered`, `left` or `unconnected`.
-        got: The answer; a status of 0 without one.
+        outcome: `answered`, `cut`, `unanswered`, `left` or `unconnected`.
+        response: The answer; a status of 0 without one.
     """
 
     request_id: str
@@ -44,8 +50,8 @@
     path: str
     sent_ms: float
     ended_ms: float
-    ended: str
-    got: harness.Response
+    outcome: str
+    response: harness.Response
 
 
 _NOTHING = harness.Response(status=0, headers={}, body=b"")
@@ -61,9 +67,9 @@
         self._kept: dict[
             str, tuple[asyncio.StreamReader, asyncio.StreamWriter]
         ] = {}
-        self.asked: list[Asked] = []
+        self.sent_requests: list[RequestRecord] = []
 
-    async def ask_until(self, over: asyncio.Event) -> None:
+    async def send_until(self, over: asyncio.Event) -> None:
         """Asks until told that the run is over."""
         for serial in itertools.count():
             if over.is_set():
@@ -75,12 +81,12 @@
 
     async def _ask(self, request_id: str) -> None:
         path = self._dice.choice(PATHS)
-        await self._send(request_id, path, world.GOOD_TAIL)
+        await self._send(request_id, path, world.NORMAL_SUFFIX)
 
     async def _send(self, request_id: str, path: str, tail: bytes) -> None:
         gateway = self._dice.choice(tuple(self._gateways))
-        method = "POST" if path == world.ONCE else "GET"
-        body = b"book" if path == world.ONCE else b""
+        method = "POST" if path == world.NON_IDEMPOTENT_PATH else "GET"
+        body = b"book" if path == world.NON_IDEMPOTENT_PATH else b""
         data = message.request_bytes(
             method.encode(),
             path.encode() + tail,
@@ -150,20 +156,20 @@
         ended: str,
         got: harness.Response = _NOTHING,
     ) -> None:
-        self.asked.append(
-            Asked(
+        self.sent_requests.append(
+            RequestRecord(
                 request_id=request_id,
                 gateway=gateway,
                 path=path,
                 sent_ms=sent_ms,
                 ended_ms=clock.now_ms(),
-                ended=ended,
-                got=got,
+                outcome=ended,
+                response=got,
             )
         )
 
 
-class BadCaller(Caller):
+class CrashingCaller(Caller):
     """A caller that sends a request time and again that crashes upstreams."""
 
     def __init__(self, path: str, seed: int, gateways: dict[str, str]):
@@ -172,4 +178,4 @@
 
     async def _ask(self, request_id: str) -> None:
         await asyncio.sleep(self._dice.uniform(*BAD_PAUSE_RANGE_S))
-        await self._send(request_id, self._path, world.BAD_TAIL)
+        await self._send(request_id, self._path, world.CRASHING_SUFFIX)
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -20,13 +20,13 @@
 """Mean time between two gateways' becoming slow."""
 
 SLOW_RANGE_MS = (1_000.0, 3_000.0)
-SLOW_STOP_MS = 50.0
-SLOW_RUN_MS = 12.0
+THROTTLE_STOP_MS = 50.0
+THROTTLE_RUN_MS = 12.0
 """A slow gateway stands still and runs by turns: longer than a neighbour waits
 for its word, shorter than what counts as a stop."""
 
 
-class Manner(enum.Enum):
+class LinkMode(enum.Enum):
     """How a link treats its connections."""
 
     PASS = "pass"
@@ -37,70 +37,70 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Link:
+class LinkFault:
     """A link is harmed.
 
     Attributes:
         name: A gateway's, for its way to the store, or a service's, for the
             way of all gateways to its first upstream.
-        manner: How connections are treated.
-        for_ms: How long.
+        mode: How connections are treated.
+        duration_ms: How long.
         delay_ms: Added to each chunk where the manner is a delay.
     """
 
     name: str
-    manner: Manner
-    for_ms: float
+    mode: LinkMode
+    duration_ms: float
     delay_ms: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class StoreOut:
+class StoreFault:
     """The store answers nobody, or with 503, or loses the answers of writes."""
 
-    how: str
-    for_ms: float
+    fault_name: str
+    duration_ms: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Pause:
+class PauseGateway:
     """A gateway is stopped and goes on (SIGSTOP, SIGCONT)."""
 
     gateway: str
-    for_ms: float
+    duration_ms: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Slow:
+class ThrottleGateway:
     """A gateway gets little processor: it stops and runs by turns."""
 
     gateway: str
-    for_ms: float
+    duration_ms: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Restart:
+class RestartGateway:
     """A gateway is killed, or asked to stop, and starts again."""
 
     gateway: str
-    planned: bool
+    is_planned: bool
     down_ms: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Reload:
+class ReloadGateway:
     """A gateway gets SIGHUP."""
 
     gateway: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Configure:
+class ChangeConfiguration:
     """The operator writes a configuration: one route goes elsewhere."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Replace:
+class ReplaceUpstream:
     """An upstream of a service leaves, with a word or without; one comes."""
 
     service: str
@@ -108,48 +108,48 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Spoil:
+class UpstreamFault:
     """An upstream treats its next requests badly (see `service.Manners`)."""
 
     service: str
-    how: str
+    fault_name: str
     count: int
 
 
 Fault = (
-    Link
-    | StoreOut
-    | Pause
-    | Slow
-    | Restart
-    | Reload
-    | Configure
-    | Replace
-    | Spoil
+    LinkFault
+    | StoreFault
+    | PauseGateway
+    | ThrottleGateway
+    | RestartGateway
+    | ReloadGateway
+    | ChangeConfiguration
+    | ReplaceUpstream
+    | UpstreamFault
 )
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Timed:
+class ScheduledFault:
     """A fault and the time since the start at which it comes."""
 
     at_ms: float
     fault: Fault
 
 
-def plan(
+def draw_schedule(
     seed: int,
     length_ms: float,
     gateways: tuple[str, ...],
     services: tuple[str, ...],
-) -> tuple[Timed, ...]:
+) -> tuple[ScheduledFault, ...]:
     """Draws the faults of a run."""
     dice = random.Random(seed)
     timed = []
     at_ms = 500.0
     while at_ms < length_ms:
         fault = _draw(dice, gateways, services)
-        timed.append(Timed(at_ms=at_ms, fault=fault))
+        timed.append(ScheduledFault(at_ms=at_ms, fault=fault))
         at_ms += dice.expovariate(1.0 / MEAN_GAP_MS)
     timed.extend(_slow_times(seed, length_ms, gateways))
     return tuple(sorted(timed, key=lambda each: each.at_ms))
@@ -157,16 +157,17 @@
 
 def _slow_times(
     seed: int, length_ms: float, gateways: tuple[str, ...]
-) -> list[Timed]:
+) -> list[ScheduledFault]:
     """Draws when gateways become slow, apart from all other faults."""
     dice = random.Random(f"slow-{seed}")
     timed = []
     at_ms = dice.expovariate(1.0 / SLOW_GAP_MS)
     while at_ms < length_ms:
-        fault = Slow(
-            gateway=dice.choice(gateways), for_ms=dice.uniform(*SLOW_RANGE_MS)
+        fault = ThrottleGateway(
+            gateway=dice.choice(gateways),
+            duration_ms=dice.uniform(*SLOW_RANGE_MS),
         )
-        timed.append(Timed(at_ms=at_ms, fault=fault))
+        timed.append(ScheduledFault(at_ms=at_ms, fault=fault))
         at_ms += dice.expovariate(1.0 / SLOW_GAP_MS)
     return timed
 
@@ -180,31 +181,37 @@
     often = ("link", "configure", "replace", "replace", *3 * ("spoil",))
     match dice.choice((*kinds, *often)):
         case "link":
-            return Link(
+            return LinkFault(
                 name=dice.choice((gateway, service)),
-                manner=dice.choice(tuple(Manner)[1:]),
-                for_ms=dice.uniform(*LINK_RANGE_MS),
+                mode=dice.choice(tuple(LinkMode)[1:]),
+                duration_ms=dice.uniform(*LINK_RANGE_MS),
                 delay_ms=dice.uniform(*DELAY_RANGE_MS),
             )
         case "store":
             how = dice.choice(("down", "silent", "lose_writes", "compacted"))
-            return StoreOut(how=how, for_ms=dice.uniform(*LINK_RANGE_MS))
+            return StoreFault(
+                fault_name=how, duration_ms=dice.uniform(*LINK_RANGE_MS)
+            )
         case "pause":
-            return Pause(gateway=gateway, for_ms=dice.uniform(*PAUSE_RANGE_MS))
+            return PauseGateway(
+                gateway=gateway, duration_ms=dice.uniform(*PAUSE_RANGE_MS)
+            )
         case "restart":
-            return Restart(
+            return RestartGateway(
                 gateway=gateway,
-                planned=dice.random() < 0.6,
+                is_planned=dice.random() < 0.6,
                 down_ms=dice.uniform(*DOWN_RANGE_MS),
             )
         case "reload":
-            return Reload(gateway=gateway)
+            return ReloadGateway(gateway=gateway)
         case "replace":
-            return Replace(service=service, drains=dice.random() < 0.7)
+            return ReplaceUpstream(service=service, drains=dice.random() < 0.7)
         case "spoil":
             how = dice.choice(
                 ("shed_count", *3 * ("reset_count",), "twice", "cut")
             )
-            return Spoil(service=service, how=how, count=dice.randint(4, 30))
+            return UpstreamFault(
+                service=service, fault_name=how, count=dice.randint(4, 30)
+            )
         case _:
-            return Configure()
+            return ChangeConfiguration()
--- a/soak/main.py
+++ b/soak/main.py
@@ -38,23 +38,23 @@
         run_folder.mkdir(parents=True, exist_ok=True)
         settings = play.Settings(
             seed=seed,
-            length_ms=seconds * 1000.0,
+            fault_phase_ms=seconds * 1000.0,
             gateway_count=gateways,
             caller_count=callers,
             folder=run_folder,
         )
         report = play.run(settings)
-        total = sum(report.counts.values())
-        stalls = report.counts["stalls of the soak"]
-        crashes = report.counts["crashes of upstreams"]
+        total = sum(report.outcome_counts.values())
+        stalls = report.outcome_counts["stalls of the soak"]
+        crashes = report.outcome_counts["crashes of upstreams"]
         print(
             f"seed {seed}: {total - stalls - crashes} requests, "
-            f"{crashes} crashes of upstreams, {len(report.broken)} broken, "
+            f"{crashes} crashes of upstreams, {len(report.violations)} broken, "
             f"{stalls} stalls of the soak itself"
         )
-        for line in report.broken[:12]:
+        for line in report.violations[:12]:
             print(f"  {line}")
-        if report.broken:
+        if report.violations:
             failed.append(seed)
             print(f"  logs: {run_folder}")
     print(f"{seeds} runs, failed: {failed or 'none'}")
--- a/soak/play.py
+++ b/soak/play.py
@@ -21,7 +21,7 @@
 """From here on the soak's own process counts as stalled: its upstreams did not
 answer and its clock ran on, so that promises in time can't be judged."""
 
-HARMED_SERVICES = (*world.SERVICES, *5 * world.DESKS)
+FAULT_TARGET_SERVICES = (*world.SERVICES, *5 * world.UNSHARDED_SERVICES)
 """Services that faults choose from: more often those whose requests may run
 once only, or move with the configuration."""
 
@@ -45,30 +45,30 @@
 
     Attributes:
         seed: Everything drawn follows from it.
-        length_ms: Until the last fault begins.
+        fault_phase_ms: Until the last fault begins.
         gateway_count: Processes of the product.
         caller_count: Callers at a time.
         folder: Where settings and logs go.
     """
 
     seed: int
-    length_ms: float
+    fault_phase_ms: float
     gateway_count: int
     caller_count: int
     folder: pathlib.Path
 
 
-class Play:
+class SoakRun:
     """One run in progress."""
 
     def __init__(self, settings: Settings):
         self._settings = settings
-        self._world = world.World(settings.seed)
+        self._world = world.Environment(settings.seed)
         self._processes: dict[str, asyncio.subprocess.Process] = {}
         self._addresses: dict[str, dict[str, str]] = {}
         self._busy: set[str] = set()
-        self._harms: list[referee.Harm] = []
-        self._stops: list[referee.Harm] = []
+        self._harms: list[referee.FaultWindow] = []
+        self._stops: list[referee.FaultWindow] = []
         self._ended: list[str] = []
         self._started_ms = 0.0
         self._stall_count = 0
@@ -96,19 +96,22 @@
     async def _play(self, names: tuple[str, ...]) -> referee.Report:
         settings = self._settings
         self._started_ms = clock.now_ms()
-        planned = faults.plan(
-            settings.seed, settings.length_ms, names, HARMED_SERVICES
+        planned = faults.draw_schedule(
+            settings.seed, settings.fault_phase_ms, names, FAULT_TARGET_SERVICES
         )
         entrances = {n: self._addresses[n]["callers_address"] for n in names}
         asking = [
             callers.Caller(number, settings.seed, entrances)
             for number in range(settings.caller_count)
         ]
-        bad = callers.BadCaller(self._world.bad_path, settings.seed, entrances)
+        bad = callers.CrashingCaller(
+            self._world.crashing_path, settings.seed, entrances
+        )
         over = asyncio.Event()
         stalls = asyncio.create_task(self._watch_stalls())
         tasks = [
-            asyncio.create_task(each.ask_until(over)) for each in (*asking, bad)
+            asyncio.create_task(each.send_until(over))
+            for each in (*asking, bad)
         ]
         await asyncio.gather(*(self._carry_out(each) for each in planned))
         calm_ms = clock.now_ms() + SETTLE_CALM_MS
@@ -118,16 +121,18 @@
         # What was cut off may still run for a moment.
         await asyncio.sleep(1.0)
         stalls.cancel()
-        judge = referee.Referee(self._world, self._harms, self._stops, calm_ms)
-        asked = [each for one in asking for each in one.asked]
-        report = judge.judge(asked, bad.asked)
-        broken = (*report.broken, *self._ended)
+        judge = referee.InvariantChecker(
+            self._world, self._harms, self._stops, calm_ms
+        )
+        asked = [each for one in asking for each in one.sent_requests]
+        report = judge.check(asked, bad.sent_requests)
+        broken = (*report.violations, *self._ended)
         counts = {
-            **report.counts,
+            **report.outcome_counts,
             "stalls of the soak": self._stall_count,
-            "crashes of upstreams": len(self._world.crash_ms),
+            "crashes of upstreams": len(self._world.crash_times_ms),
         }
-        return referee.Report(broken=broken, counts=counts)
+        return referee.Report(violations=broken, outcome_counts=counts)
 
     async def _watch_stalls(self) -> None:
         """Notes when this process itself did not run."""
@@ -147,7 +152,7 @@
             f"{each}_address": f"127.0.0.1:{ports.free_port()}"
             for each in names
         }
-        address = await self._world.link(name, self._world.store.address)
+        address = await self._world.add_link(name, self._world.store.address)
         self._addresses[name] = addresses
         document = {
             "instance_id": name,
@@ -199,94 +204,96 @@
 
     # Faults.
 
-    async def _carry_out(self, timed: faults.Timed) -> None:
+    async def _carry_out(self, timed: faults.ScheduledFault) -> None:
         due_ms = self._started_ms + timed.at_ms
         await asyncio.sleep(max(0.0, due_ms - clock.now_ms()) / MS_PER_S)
         match timed.fault:
-            case faults.Link():
+            case faults.LinkFault():
                 await self._harm_link(timed.fault)
-            case faults.StoreOut():
+            case faults.StoreFault():
                 await self._harm_store(timed.fault)
-            case faults.Configure():
-                self._world.configure()
-            case faults.Replace(service=service, drains=drains):
-                await self._world.replace(service, drains)
-            case faults.Spoil(service=service, how=how, count=count):
+            case faults.ChangeConfiguration():
+                self._world.write_configuration()
+            case faults.ReplaceUpstream(service=service, drains=drains):
+                await self._world.replace_upstream(service, drains)
+            case faults.UpstreamFault(
+                service=service, fault_name=how, count=count
+            ):
                 await self._spoil(service, how, count)
             case _:
                 await self._harm_gateway(timed.fault)
 
     async def _harm_gateway(self, fault: faults.Fault) -> None:
         match fault:
-            case faults.Pause():
+            case faults.PauseGateway():
                 await self._pause(fault)
-            case faults.Slow():
+            case faults.ThrottleGateway():
                 await self._slow(fault)
-            case faults.Restart():
+            case faults.RestartGateway():
                 await self._restart(fault)
-            case faults.Reload(gateway=gateway) if gateway in self._busy:
+            case faults.ReloadGateway(gateway=gateway) if gateway in self._busy:
                 # Its interpreter may not have come to ignore the signal yet.
                 pass
-            case faults.Reload(gateway=gateway):
+            case faults.ReloadGateway(gateway=gateway):
                 self._signal(gateway, signal.SIGHUP)
 
-    def _note_harm(self, gateway: str, start_ms: float) -> referee.Harm:
-        harm = referee.Harm(
+    def _note_harm(self, gateway: str, start_ms: float) -> referee.FaultWindow:
+        harm = referee.FaultWindow(
             gateway=gateway, start_ms=start_ms, end_ms=clock.now_ms()
         )
         self._harms.append(harm)
         return harm
 
-    async def _harm_link(self, fault: faults.Link) -> None:
+    async def _harm_link(self, fault: faults.LinkFault) -> None:
         name = fault.name
         if name not in self._addresses:
-            name = self._world.of_service(name)[0].upstream_id
+            name = self._world.active_upstreams(name)[0].upstream_id
         start_ms = clock.now_ms()
         link = self._world.links[name]
-        link.harm(fault.manner, fault.delay_ms)
-        await asyncio.sleep(fault.for_ms / MS_PER_S)
-        link.harm(faults.Manner.PASS)
+        link.set_mode(fault.mode, fault.delay_ms)
+        await asyncio.sleep(fault.duration_ms / MS_PER_S)
+        link.set_mode(faults.LinkMode.PASS)
         if name in self._addresses:
             # What befalls an upstream is no excuse for a gateway's beliefs.
             self._note_harm(name, start_ms)
 
-    async def _harm_store(self, fault: faults.StoreOut) -> None:
+    async def _harm_store(self, fault: faults.StoreFault) -> None:
         start_ms = clock.now_ms()
-        setattr(self._world.store.faults, fault.how, True)
-        await asyncio.sleep(fault.for_ms / MS_PER_S)
-        setattr(self._world.store.faults, fault.how, False)
+        setattr(self._world.store.faults, fault.fault_name, True)
+        await asyncio.sleep(fault.duration_ms / MS_PER_S)
+        setattr(self._world.store.faults, fault.fault_name, False)
         self._note_harm("", start_ms)
 
-    async def _pause(self, fault: faults.Pause) -> None:
+    async def _pause(self, fault: faults.PauseGateway) -> None:
         if fault.gateway in self._busy:
             return
         start_ms = clock.now_ms()
         self._signal(fault.gateway, signal.SIGSTOP)
-        await asyncio.sleep(fault.for_ms / MS_PER_S)
+        await asyncio.sleep(fault.duration_ms / MS_PER_S)
         self._signal(fault.gateway, signal.SIGCONT)
         self._note_harm(fault.gateway, start_ms)
 
-    async def _slow(self, fault: faults.Slow) -> None:
+    async def _slow(self, fault: faults.ThrottleGateway) -> None:
         name = fault.gateway
         if name in self._busy:
             return
         start_ms = clock.now_ms()
-        while clock.now_ms() < start_ms + fault.for_ms:
+        while clock.now_ms() < start_ms + fault.duration_ms:
             if name in self._busy:
                 break
             self._signal(name, signal.SIGSTOP)
-            await asyncio.sleep(faults.SLOW_STOP_MS / MS_PER_S)
+            await asyncio.sleep(faults.THROTTLE_STOP_MS / MS_PER_S)
             self._signal(name, signal.SIGCONT)
-            await asyncio.sleep(faults.SLOW_RUN_MS / MS_PER_S)
+            await asyncio.sleep(faults.THROTTLE_RUN_MS / MS_PER_S)
         self._note_harm(name, start_ms)
 
-    async def _restart(self, fault: faults.Restart) -> None:
+    async def _restart(self, fault: faults.RestartGateway) -> None:
         name = fault.gateway
         if name in self._busy:
             return
         self._busy.add(name)
         start_ms = clock.now_ms()
-        number = signal.SIGTERM if fault.planned else signal.SIGKILL
+        number = signal.SIGTERM if fault.is_planned else signal.SIGKILL
         self._signal(name, number)
         try:
             async with asyncio.timeout(KILL_AFTER_S):
@@ -296,7 +303,7 @@
             self._signal(name, signal.SIGKILL)
             await self._processes[name].wait()
         stop = self._note_harm(name, start_ms)
-        if fault.planned:
+        if fault.is_planned:
             self._stops.append(stop)
         await asyncio.sleep(fault.down_ms / MS_PER_S)
         await self._launch(name)
@@ -305,7 +312,7 @@
         self._busy.discard(name)
 
     async def _spoil(self, service: str, how: str, count: int) -> None:
-        manners = self._world.of_service(service)[0].manners
+        manners = self._world.active_upstreams(service)[0].behaviour
         lasting = how in ("twice", "cut")
         setattr(manners, how, True if lasting else count)
         if lasting:
@@ -322,6 +329,6 @@
         for number in (signal.SIGTERM, signal.SIGHUP):
             # Else the gateways would live on.
             loop.add_signal_handler(number, task.cancel)
-        return await Play(settings).run()
+        return await SoakRun(settings).run()
 
     return asyncio.run(main())
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -19,7 +19,7 @@
     def __init__(self, target: str):
         self.target = target
         self.address = ""
-        self.manner = faults.Manner.PASS
+        self.mode = faults.LinkMode.PASS
         self.delay_ms = 0.0
         self._writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
@@ -37,11 +37,11 @@
             self._server.close()
         self._abort_all()
 
-    def harm(self, manner: faults.Manner, delay_ms: float = 0.0) -> None:
+    def set_mode(self, mode: faults.LinkMode, delay_ms: float = 0.0) -> None:
         """Changes how connections are treated."""
-        self.manner = manner
+        self.mode = mode
         self.delay_ms = delay_ms
-        if manner is faults.Manner.RESET:
+        if mode is faults.LinkMode.RESET:
             self._abort_all()
 
     def _abort_all(self) -> None:
@@ -51,7 +51,7 @@
     async def _join(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if self.manner is faults.Manner.RESET:
+        if self.mode is faults.LinkMode.RESET:
             writer.transport.abort()
             return
         host, _, port = self.target.rpartition(":")
@@ -79,7 +79,7 @@
         deaf = False
         try:
             while data := await reader.read(CHUNK_BYTES):
-                if self.manner is faults.Manner.DELAY:
+                if self.mode is faults.LinkMode.DELAY:
                     await asyncio.sleep(self.delay_ms / MS_PER_S)
                 deaf = deaf or self._drops(answers)
                 if not deaf:
@@ -91,10 +91,10 @@
             writer.close()
 
     def _drops(self, answers: bool) -> bool:
-        match self.manner:
-            case faults.Manner.SILENT:
+        match self.mode:
+            case faults.LinkMode.SILENT:
                 return True
-            case faults.Manner.ANSWERS_LOST:
+            case faults.LinkMode.ANSWERS_LOST:
                 return answers
             case _:
                 return False
--- a/soak/soak_test.py
+++ b/soak/soak_test.py
@@ -19,44 +19,52 @@
 def test_a_short_run_breaks_no_promise(seed, tmp_path):
     settings = play.Settings(
         seed=seed,
-        length_ms=5_000.0,
+        fault_phase_ms=5_000.0,
         gateway_count=3,
         caller_count=10,
         folder=pathlib.Path(tmp_path),
     )
     report = play.run(settings)
-    assert not report.broken
-    assert sum(report.counts.values()) > 300
+    assert not report.violations
+    assert sum(report.outcome_counts.values()) > 300
 
 
 def test_slow_gateways_send_no_query_to_more_upstreams_than_allowed(tmp_path):
     settings = play.Settings(
         seed=1,
-        length_ms=20_000.0,
+        fault_phase_ms=20_000.0,
         gateway_count=4,
         caller_count=16,
         folder=pathlib.Path(tmp_path),
     )
-    assert not play.run(settings).broken
+    assert not play.run(settings).violations
 
 
 def test_a_seed_always_gives_the_same_faults():
     names = ("g-0", "g-1")
-    planned = faults.plan(7, 20_000.0, names, play.HARMED_SERVICES)
-    assert planned == faults.plan(7, 20_000.0, names, play.HARMED_SERVICES)
-    assert planned != faults.plan(8, 20_000.0, names, play.HARMED_SERVICES)
+    planned = faults.draw_schedule(
+        7, 20_000.0, names, play.FAULT_TARGET_SERVICES
+    )
+    assert planned == faults.draw_schedule(
+        7, 20_000.0, names, play.FAULT_TARGET_SERVICES
+    )
+    assert planned != faults.draw_schedule(
+        8, 20_000.0, names, play.FAULT_TARGET_SERVICES
+    )
     assert len({type(each.fault) for each in planned}) >= 5
 
 
 def _asked(path, status=200, headers=None, body=b"", sent_ms=10_000.0):
-    return callers.Asked(
+    return callers.RequestRecord(
         request_id="r1",
         gateway="g-0",
         path=path,
         sent_ms=sent_ms,
         ended_ms=sent_ms + 20.0,
-        ended="answered",
-        got=harness.Response(status=status, headers=headers or {}, body=body),
+        outcome="answered",
+        response=harness.Response(
+            status=status, headers=headers or {}, body=body
+        ),
     )
 
 
@@ -66,37 +74,65 @@
 
 
 def _broken(asked, runs=(), harms=(), left_ms=None, versions=()):
-    seen = world.World(1)
+    seen = world.Environment(1)
     for name in world.SERVICES:
         upstream_id = f"i-{name}-0"
-        seen.upstreams[upstream_id] = world.Upstream(seen, upstream_id, name)
-    seen.runs["r1"] = list(runs)
-    seen.left_ms = left_ms or {}
-    seen.versions = list(versions)
-    judge = referee.Referee(seen, list(harms), [], 0.0)
-    lines = judge.judge([asked]).broken
+        seen.upstreams[upstream_id] = world.RecordingUpstream(
+            seen, upstream_id, name
+        )
+    seen.runs_by_request["r1"] = list(runs)
+    seen.departure_ms = left_ms or {}
+    seen.config_versions = list(versions)
+    judge = referee.InvariantChecker(seen, list(harms), [], 0.0)
+    lines = judge.check([asked]).violations
     return [each for each in lines if not each.startswith("not recovered")]
 
 
-_DESK = world.DESKS[1]
+_DESK = world.UNSHARDED_SERVICES[1]
 
 
 @pytest.mark.parametrize(
     ("asked", "found"),
     [
-        (_asked(world.ONCE, status=502), {"runs": [_run(_DESK)] * 2}),
-        (_asked(world.ONCE, status=503), {"runs": [_run(_DESK)]}),
-        (_asked(world.ONCE, status=404), {}),
-        (_asked(world.ONCE, status=502), {"runs": [_run(world.DESKS[0])]}),
-        (_asked(world.ONCE, headers={"x-server-stamp": "i-desk-b-0.r2"}), {}),
-        (_asked(world.ONCE, headers={"x-server-stamp": "i-desk-b-0.r1"}), {}),
-        (_asked(world.ALL, headers={"x-part-stamps": "i-shard-0-0.r1"}), {}),
         (
-            _asked(world.ONCE, status=502),
+            _asked(world.NON_IDEMPOTENT_PATH, status=502),
+            {"runs": [_run(_DESK)] * 2},
+        ),
+        (
+            _asked(world.NON_IDEMPOTENT_PATH, status=503),
+            {"runs": [_run(_DESK)]},
+        ),
+        (_asked(world.NON_IDEMPOTENT_PATH, status=404), {}),
+        (
+            _asked(world.NON_IDEMPOTENT_PATH, status=502),
+            {"runs": [_run(world.UNSHARDED_SERVICES[0])]},
+        ),
+        (
+            _asked(
+                world.NON_IDEMPOTENT_PATH,
+                headers={"x-server-stamp": "i-desk-b-0.r2"},
+            ),
+            {},
+        ),
+        (
+            _asked(
+                world.NON_IDEMPOTENT_PATH,
+                headers={"x-server-stamp": "i-desk-b-0.r1"},
+            ),
+            {},
+        ),
+        (
+            _asked(
+                world.FANOUT_PATH, headers={"x-part-stamps": "i-shard-0-0.r1"}
+            ),
+            {},
+        ),
+        (
+            _asked(world.NON_IDEMPOTENT_PATH, status=502),
             {"runs": [_run(_DESK)], "left_ms": {"i-desk-b-0": 1_000.0}},
         ),
         (
-            _asked(world.ALL, status=502),
+            _asked(world.FANOUT_PATH, status=502),
             {"runs": [_run("shard-0", copy=copy) for copy in range(3)]},
         ),
     ],
@@ -106,14 +142,16 @@
 
 
 def test_the_referee_lets_pass_what_is_right():
-    assert not _broken(_asked(world.ONCE, status=502), runs=[_run(_DESK)])
-    assert not _broken(_asked(world.ONCE, status=503))
+    assert not _broken(
+        _asked(world.NON_IDEMPOTENT_PATH, status=502), runs=[_run(_DESK)]
+    )
+    assert not _broken(_asked(world.NON_IDEMPOTENT_PATH, status=503))
     twice = [_run("shard-0", copy=copy) for copy in range(2)]
-    assert not _broken(_asked(world.ALL, status=502), runs=twice)
+    assert not _broken(_asked(world.FANOUT_PATH, status=502), runs=twice)
     # A gateway that was harmed a second before may not know who leaves.
-    harm = referee.Harm(gateway="g-0", start_ms=8_000.0, end_ms=9_000.0)
+    harm = referee.FaultWindow(gateway="g-0", start_ms=8_000.0, end_ms=9_000.0)
     assert not _broken(
-        _asked(world.ONCE, status=502),
+        _asked(world.NON_IDEMPOTENT_PATH, status=502),
         runs=[_run(_DESK)],
         harms=[harm],
         left_ms={"i-desk-b-0": 1_000.0},
@@ -122,27 +160,37 @@
 
 def test_the_referee_sees_an_older_configuration():
     versions = (
-        world.Version(at_ms=0.0, number=1, moved_to=world.DESKS[0]),
-        world.Version(at_ms=2_000.0, number=4, moved_to=world.DESKS[1]),
+        world.ConfigVersion(
+            at_ms=0.0, number=1, moved_route_service=world.UNSHARDED_SERVICES[0]
+        ),
+        world.ConfigVersion(
+            at_ms=2_000.0,
+            number=4,
+            moved_route_service=world.UNSHARDED_SERVICES[1],
+        ),
+    )
+    asked = _asked(world.MOVED_PATH, status=502)
+    assert _broken(
+        asked, runs=[_run(world.UNSHARDED_SERVICES[0])], versions=versions
+    )
+    assert not _broken(
+        asked, runs=[_run(world.UNSHARDED_SERVICES[1])], versions=versions
     )
-    asked = _asked(world.MOVED, status=502)
-    assert _broken(asked, runs=[_run(world.DESKS[0])], versions=versions)
-    assert not _broken(asked, runs=[_run(world.DESKS[1])], versions=versions)
 
 
 def test_recovery_is_not_judged_across_a_stop_of_the_soak_itself():
-    stop = referee.Harm(gateway="", start_ms=9_000.0, end_ms=10_010.0)
+    stop = referee.FaultWindow(gateway="", start_ms=9_000.0, end_ms=10_010.0)
     served = [
         _asked(
-            world.SINGLE,
+            world.SINGLE_PATH,
             headers={"x-server-stamp": "i-desk-a-0.r1"},
             sent_ms=20_000.0 + number,
         )
         for number in range(30)
     ]
-    late = [_asked(world.SINGLE, status=504) for _ in range(3)]
+    late = [_asked(world.SINGLE_PATH, status=504) for _ in range(3)]
     for harms, broken in (([stop], False), ([], True)):
-        judge = referee.Referee(world.World(1), harms, [], 0.0)
-        lines = judge.judge([*served, *late]).broken
+        judge = referee.InvariantChecker(world.Environment(1), harms, [], 0.0)
+        lines = judge.check([*served, *late]).violations
         found = any(each.startswith("not recovered") for each in lines)
         assert found is broken
--- a/soak/world.py
+++ b/soak/world.py
@@ -13,25 +13,25 @@
 
 HOST = "soak.example"
 SHARD_COUNT = 6
-SINGLE, ONCE, ALL = "/single/", "/once/", "/all/"
-MOVED = "/moved/"
-GOOD_TAIL, BAD_TAIL = b"x", b"bad"
+SINGLE_PATH, NON_IDEMPOTENT_PATH, FANOUT_PATH = "/single/", "/once/", "/all/"
+MOVED_PATH = "/moved/"
+NORMAL_SUFFIX, CRASHING_SUFFIX = b"x", b"bad"
 """What follows a route's prefix in requests, and in those that crash."""
 
-COPY_COUNT = 3
+REPLICA_COUNT = 3
 """Upstreams of a service at first: one more than a request may be sent to."""
 
-ATTEMPTS_COUNT = 2
+MAX_ATTEMPTS_COUNT = 2
 TOP_COUNT = 4
-FLOOR_RATIO = 0.6
+COVERAGE_FLOOR_RATIO = 0.6
 UPSTREAM_MS = (2.0, 25.0)
 LEAVE_MS = 6_000.0
 """From an upstream's word that it leaves to its end: longer than the gateways
 have to heed it."""
 
-SHARDS = tuple(f"shard-{number}" for number in range(SHARD_COUNT))
-DESKS = ("desk-a", "desk-b")
-SERVICES = (*SHARDS, *DESKS)
+SHARD_SERVICES = tuple(f"shard-{number}" for number in range(SHARD_COUNT))
+UNSHARDED_SERVICES = ("desk-a", "desk-b")
+SERVICES = (*SHARD_SERVICES, *UNSHARDED_SERVICES)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -44,23 +44,25 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Version:
+class ConfigVersion:
     """A configuration as it was written, for the referee."""
 
     at_ms: float
     number: int
-    moved_to: str
+    moved_route_service: str
 
 
-class Upstream(service.Service):
+class RecordingUpstream(service.FakeUpstream):
     """A stand-in whose runs are kept with their times."""
 
-    def __init__(self, world: "World", upstream_id: str, service_name: str):
+    def __init__(
+        self, world: "Environment", upstream_id: str, service_name: str
+    ):
         dice = random.Random(upstream_id)
         records = b"".join(dice.randbytes(16) for _ in range(5))
         super().__init__(upstream_id, records)
         self.service_name = service_name
-        self.on_run = lambda request_id: world.note_run(
+        self.on_run = lambda request_id: world.record_run(
             request_id.decode(),
             Run(
                 at_ms=clock.now_ms(),
@@ -68,24 +70,26 @@
                 service=service_name,
             ),
         )
-        self.manners.delay_ms = dice.uniform(*UPSTREAM_MS)
-        self.manners.crashes_on = world.bad_target
-        self.on_crash = lambda: world.note_crash(self)
+        self.behaviour.delay_ms = dice.uniform(*UPSTREAM_MS)
+        self.behaviour.crashes_on = world.crashing_target
+        self.on_crash = lambda: world.record_crash(self)
 
 
-class World:
+class Environment:
     """All stand-ins of one run, in the soak's own process."""
 
     def __init__(self, seed: int) -> None:
         self.store = kvstore.Store()
-        self.upstreams: dict[str, Upstream] = {}
+        self.upstreams: dict[str, RecordingUpstream] = {}
         self.links: dict[str, proxy.Proxy] = {}
-        self.runs: dict[str, list[Run]] = {}
-        self.versions: list[Version] = []
-        self.left_ms: dict[str, float] = {}
-        self.crash_ms: list[float] = []
+        self.runs_by_request: dict[str, list[Run]] = {}
+        self.config_versions: list[ConfigVersion] = []
+        self.departure_ms: dict[str, float] = {}
+        self.crash_times_ms: list[float] = []
         self._dice = random.Random(seed)
-        self.bad_path = self._dice.choice((SINGLE, ONCE, ALL, ALL))
+        self.crashing_path = self._dice.choice(
+            (SINGLE_PATH, NON_IDEMPOTENT_PATH, FANOUT_PATH, FANOUT_PATH)
+        )
         self._tasks: set[asyncio.Task[None]] = set()
         self._counts: dict[str, int] = {}
 
@@ -93,22 +97,22 @@
         """Starts the store and the upstreams of each service."""
         await self.store.start()
         for name in SERVICES:
-            for _ in range(COPY_COUNT):
+            for _ in range(REPLICA_COUNT):
                 await self.add_upstream(name)
-        self.configure()
+        self.write_configuration()
 
     @property
-    def bad_target(self) -> bytes:
+    def crashing_target(self) -> bytes:
         """The path of the request that crashes the upstreams that run it."""
-        return self.bad_path.encode() + BAD_TAIL
+        return self.crashing_path.encode() + CRASHING_SUFFIX
 
-    def note_crash(self, crashed: Upstream) -> None:
+    def record_crash(self, crashed: RecordingUpstream) -> None:
         """Keeps a crash for the referee; its port refuses meanwhile."""
-        self.crash_ms.append(clock.now_ms())
+        self.crash_times_ms.append(clock.now_ms())
         link = self.links[crashed.upstream_id]
         link.stop()
         task = asyncio.create_task(
-            _reopen(link, crashed.manners.return_ms / 1000.0)
+            _reopen(link, crashed.behaviour.return_ms / 1000.0)
         )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -121,11 +125,11 @@
             each.stop()
         self.store.stop()
 
-    def note_run(self, request_id: str, run: Run) -> None:
+    def record_run(self, request_id: str, run: Run) -> None:
         """Keeps a run for the referee."""
-        self.runs.setdefault(request_id, []).append(run)
+        self.runs_by_request.setdefault(request_id, []).append(run)
 
-    async def link(self, name: str, target: str) -> str:
+    async def add_link(self, name: str, target: str) -> str:
         """Puts a proxy before a target; returns the proxy's address."""
         made = self.links[name] = proxy.Proxy(target)
         await made.start()
@@ -136,10 +140,10 @@
         number = self._counts.get(service_name, 0)
         self._counts[service_name] = number + 1
         upstream_id = f"i-{service_name}-{number}"
-        added = Upstream(self, upstream_id, service_name)
+        added = RecordingUpstream(self, upstream_id, service_name)
         await added.start()
         self.upstreams[upstream_id] = added
-        address = await self.link(upstream_id, added.address)
+        address = await self.add_link(upstream_id, added.address)
         self._enter(upstream_id, address, "ready")
         return upstream_id
 
@@ -156,46 +160,59 @@
         }
         self.store.put(f"servers/{upstream_id}", json.dumps(entry).encode())
 
-    def of_service(self, service_name: str) -> list[Upstream]:
+    def active_upstreams(self, service_name: str) -> list[RecordingUpstream]:
         """Returns the upstreams of a service that have not left."""
         return [
             each
             for name, each in self.upstreams.items()
-            if each.service_name == service_name and name not in self.left_ms
+            if each.service_name == service_name
+            and name not in self.departure_ms
         ]
 
-    async def replace(self, service_name: str, drains: bool) -> None:
+    async def replace_upstream(self, service_name: str, drains: bool) -> None:
         """Lets a new upstream come, then the oldest one leave."""
-        oldest = self.of_service(service_name)[0].upstream_id
+        oldest = self.active_upstreams(service_name)[0].upstream_id
         await self.add_upstream(service_name)
-        self.left_ms[oldest] = clock.now_ms()
+        self.departure_ms[oldest] = clock.now_ms()
         if drains:
             self._enter(oldest, self.links[oldest].address, "draining")
             await asyncio.sleep(LEAVE_MS / 1000.0)
         self.store.remove(f"servers/{oldest}")
         if not drains:
             await asyncio.sleep(LEAVE_MS / 1000.0)
-        self.links[oldest].harm(faults.Manner.RESET)
+        self.links[oldest].set_mode(faults.LinkMode.RESET)
 
-    def configure(self) -> None:
+    def write_configuration(self) -> None:
         """Writes a configuration that sends one route elsewhere."""
-        last = self.versions[-1] if self.versions else None
-        moved_to = DESKS[1] if last and last.moved_to == DESKS[0] else DESKS[0]
+        last = self.config_versions[-1] if self.config_versions else None
+        moved_to = (
+            UNSHARDED_SERVICES[1]
+            if last and last.moved_route_service == UNSHARDED_SERVICES[0]
+            else UNSHARDED_SERVICES[0]
+        )
         number = (last.number if last else 0) + self._dice.randint(1, 9)
-        self.versions.append(
-            Version(at_ms=clock.now_ms(), number=number, moved_to=moved_to)
+        self.config_versions.append(
+            ConfigVersion(
+                at_ms=clock.now_ms(),
+                number=number,
+                moved_route_service=moved_to,
+            )
         )
         body = {
             "version": number,
             "routes": [
-                _route(SINGLE, service=DESKS[0]),
-                _route(MOVED, service=moved_to),
-                _route(ONCE, service=DESKS[1], route_type="non_idempotent"),
+                _route(SINGLE_PATH, service=UNSHARDED_SERVICES[0]),
+                _route(MOVED_PATH, service=moved_to),
+                _route(
+                    NON_IDEMPOTENT_PATH,
+                    service=UNSHARDED_SERVICES[1],
+                    route_type="non_idempotent",
+                ),
                 _route(
-                    ALL,
-                    fanout_services=list(SHARDS),
+                    FANOUT_PATH,
+                    fanout_services=list(SHARD_SERVICES),
                     top_k=TOP_COUNT,
-                    min_shard_fraction=FLOOR_RATIO,
+                    min_shard_fraction=COVERAGE_FLOOR_RATIO,
                 ),
             ],
             "services": [
@@ -225,6 +242,6 @@
         "timeout_ms": 1_500,
         "target_latency_ms": 200,
         "priority": 1,
-        "max_attempts": ATTEMPTS_COUNT,
+        "max_attempts": MAX_ATTEMPTS_COUNT,
         **fields,
     }
