--- a/hyssoptack/gateway/daemon.py
+++ b/hyssoptack/gateway/daemon.py
@@ -15,25 +15,25 @@
 from hyssoptack.core import notice
 from hyssoptack.core import traffic
 from hyssoptack.events import log
-from hyssoptack.gateway import beliefs
-from hyssoptack.gateway import blocklist
 from hyssoptack.gateway import budgetshare
 from hyssoptack.gateway import delegating
 from hyssoptack.gateway import earlyport
 from hyssoptack.gateway import faults
-from hyssoptack.gateway import following
 from hyssoptack.gateway import gathering
 from hyssoptack.gateway import metrics
 from hyssoptack.gateway import pages
+from hyssoptack.gateway import partitionmonitor
 from hyssoptack.gateway import parts
 from hyssoptack.gateway import peering
 from hyssoptack.gateway import pool
 from hyssoptack.gateway import ports
-from hyssoptack.gateway import reaching
+from hyssoptack.gateway import quarantinestore
 from hyssoptack.gateway import relaying
+from hyssoptack.gateway import replicatedview
 from hyssoptack.gateway import serving
+from hyssoptack.gateway import storewatch
 from hyssoptack.gateway import suspecting
-from hyssoptack.http1 import callerside
+from hyssoptack.http1 import httpserver
 from hyssoptack.http1 import message
 from hyssoptack.platform import headers
 from hyssoptack.platform import keyvalue
@@ -97,7 +97,7 @@
         self._placing = placing.LoadBalancer(
             parts.load_balancer_settings(settings), self._warmups
         )
-        self.view = beliefs.ReplicatedView(
+        self.view = replicatedview.ReplicatedView(
             load_balancer=self._placing,
             pools=self._pools,
             on_configuration=self._on_configuration,
@@ -125,13 +125,13 @@
             settings.failure_domain,
             self._metrics,
         )
-        self._callers = callerside.Server(
+        self._callers = httpserver.Server(
             handler=self._serving.handle,
             on_refused=serving.log_unreadable_request,
         )
         shown = pages.StatusPages(self._metrics, self._is_ready, self._facts)
-        self._probes = callerside.Server(handler=shown.answer_readiness)
-        self._readings = callerside.Server(handler=shown.answer_metrics)
+        self._probes = httpserver.Server(handler=shown.answer_readiness)
+        self._readings = httpserver.Server(handler=shown.answer_metrics)
         # Connections to the store outlast any change of upstreams.
         self._store_pools = pool.Pools(headers.REQUEST_ID)
         self._store = keyvalue.Client(settings.store_address, self._store_pools)
@@ -176,14 +176,14 @@
             self._serving.on_quarantined,
             self._metrics,
         )
-        self._blocklist = blocklist.QuarantineStore(
+        self._blocklist = quarantinestore.QuarantineStore(
             self._suspicions, self._store, wire.BLOCKED_PREFIX
         )
         self._pools.on_upstream_exit = self._suspecting.on_upstream_exit
         self._peering.on_message = self._on_query
         self._peering.on_undelivered = self._on_undelivered
         self._peering.on_link_lost = self._on_link_lost
-        self._reaching = reaching.PartitionMonitor(
+        self._reaching = partitionmonitor.PartitionMonitor(
             self.view,
             self._reach,
             settings.failure_domain,
@@ -300,7 +300,7 @@
 
     async def _serve_until_stopped(self, callers_port: socket.socket) -> None:
         loop = asyncio.get_running_loop()
-        follower = following.StoreWatcher(
+        follower = storewatch.StoreWatcher(
             self._settings,
             self.view,
             self._store,
--- a/hyssoptack/gateway/gathering.py
+++ b/hyssoptack/gateway/gathering.py
@@ -12,10 +12,10 @@
 from hyssoptack.core import clock
 from hyssoptack.core import notice
 from hyssoptack.core import traffic
-from hyssoptack.gateway import beliefs
 from hyssoptack.gateway import pool
+from hyssoptack.gateway import replicatedview
+from hyssoptack.http1 import httpclient
 from hyssoptack.http1 import message
-from hyssoptack.http1 import upstreamside
 from hyssoptack.platform import headers
 from hyssoptack.policy import callcommand
 from hyssoptack.policy import calllearning
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        believed: beliefs.ReplicatedView,
+        believed: replicatedview.ReplicatedView,
         own_address: str,
         send: Send,
         limit_count: LimitCount,
@@ -162,7 +162,7 @@
         remaining_ms = self._ask.remaining_ms - spent_ms
         return headers.upstream_request(self._common, upstream, remaining_ms)
 
-    def _on_outcome(self, call_id: int, outcome: upstreamside.Outcome) -> None:
+    def _on_outcome(self, call_id: int, outcome: httpclient.Outcome) -> None:
         now_ms = clock.now_ms()
         self._calls.pop(call_id, None)
         upstream_id = self._open.pop(call_id)
--- a/hyssoptack/gateway/pages.py
+++ b/hyssoptack/gateway/pages.py
@@ -5,7 +5,7 @@
 from hyssoptack.core import clock
 from hyssoptack.events import log
 from hyssoptack.gateway import metrics
-from hyssoptack.http1 import callerside
+from hyssoptack.http1 import httpserver
 from hyssoptack.http1 import message
 from hyssoptack.platform import headers
 
@@ -34,7 +34,7 @@
         self._facts = facts
         self._said_ready = False
 
-    def answer_readiness(self, exchange: callerside.Exchange) -> None:
+    def answer_readiness(self, exchange: httpserver.Exchange) -> None:
         """Tells the balancer whether to send callers."""
         if exchange.request.path != headers.READINESS_PATH:
             exchange.answer(message.problem_reply(404, "unknown_path"))
@@ -47,7 +47,7 @@
             reply = message.problem_reply(503, "not_ready")
         exchange.answer(reply)
 
-    def answer_metrics(self, exchange: callerside.Exchange) -> None:
+    def answer_metrics(self, exchange: httpserver.Exchange) -> None:
         """Shows the metrics, at any path."""
         for name, value in self._facts(clock.now_ms()).items():
             self._metrics.instance_facts.set({"name": name}, value)
--- a/hyssoptack/gateway/reaching.py
+++ b/hyssoptack/gateway/partitionmonitor.py
@@ -7,8 +7,8 @@
 from hyssoptack.core import clock
 from hyssoptack.core import traffic
 from hyssoptack.events import log
-from hyssoptack.gateway import beliefs
 from hyssoptack.gateway import pool
+from hyssoptack.gateway import replicatedview
 from hyssoptack.http1 import message
 from hyssoptack.policy import reach
 
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        believed: beliefs.ReplicatedView,
+        believed: replicatedview.ReplicatedView,
         known: reach.PartitionDetector,
         failure_domain: str,
         store_address: collections.abc.Callable[[], str],
--- a/hyssoptack/gateway/reaching_test.py
+++ b/hyssoptack/gateway/partitionmonitor_test.py
@@ -4,7 +4,7 @@
 
 from hyssoptack.gateway import gateway_test
 from hyssoptack.gateway import harness
-from hyssoptack.gateway import reaching
+from hyssoptack.gateway import partitionmonitor
 from hyssoptack.policy import reach
 from hyssoptack.standins import ports
 
@@ -25,7 +25,7 @@
             running._reaching._probe = probe
             assert await site.readiness_status() == 200
             running._reach.state = reach.PartitionState.SUSPECTED
-            await asyncio.sleep(4 * reaching.CHECK_PERIOD_S)
+            await asyncio.sleep(4 * partitionmonitor.CHECK_PERIOD_S)
             assert running._reach.is_partitioned
             assert await site.readiness_status() == 503
             got = await site.get("/near/x", "r1")
@@ -38,7 +38,7 @@
             assert float(got.headers["retry-after"]) > 1.5
             assert site.run_count("r1") == 1
             alive = True
-            await asyncio.sleep(2 * reaching.PARTITIONED_CHECK_PERIOD_S)
+            await asyncio.sleep(2 * partitionmonitor.PARTITIONED_CHECK_PERIOD_S)
             assert await site.readiness_status() == 200
             got = await site.get("/one/x", "r2")
             assert "connection" not in got.headers
@@ -49,7 +49,7 @@
 def test_a_refused_connection_is_no_sign_of_life():
     # A cut may refuse all connections: it went unnoticed for all of its 5.6 s.
     address = f"127.0.0.1:{ports.free_port()}"
-    assert not asyncio.run(reaching.accepts_connection(address))
+    assert not asyncio.run(partitionmonitor.accepts_connection(address))
 
 
 def test_neighbours_hear_of_a_cut_and_look_for_themselves():
--- a/hyssoptack/gateway/peering.py
+++ b/hyssoptack/gateway/peering.py
@@ -11,7 +11,7 @@
 from hyssoptack.core import member
 from hyssoptack.core import notice
 from hyssoptack.events import log
-from hyssoptack.gateway import beliefs
+from hyssoptack.gateway import replicatedview
 from hyssoptack.peers import codec
 from hyssoptack.peers import link
 from hyssoptack.platform import wire
@@ -52,7 +52,7 @@
     def __init__(
         self,
         settings: gateway.GatewaySettings,
-        believed: beliefs.ReplicatedView,
+        believed: replicatedview.ReplicatedView,
         readers: readership.ReaderElection,
         on_instances: OnInstances,
         on_cut: collections.abc.Callable[[], None],
--- a/hyssoptack/gateway/pool.py
+++ b/hyssoptack/gateway/pool.py
@@ -8,8 +8,8 @@
 
 from hyssoptack.core import clock
 from hyssoptack.core import traffic
+from hyssoptack.http1 import httpclient
 from hyssoptack.http1 import message
-from hyssoptack.http1 import upstreamside
 
 CONNECT_TIMEOUT_MS = 150.0
 """Longest wait for a connection: 6 ms of handshake, 4 ms of network, and some
@@ -70,7 +70,7 @@
     is_head: bool
     needs_new_connection: bool
     needs_recent_connection: bool
-    on_outcome: upstreamside.Sink
+    on_outcome: httpclient.Sink
     fingerprint: str = ""
 
 
@@ -90,7 +90,7 @@
     def __init__(self, lane: "_Lane", job: Job):
         self.job = job
         self._lane = lane
-        self.connection: upstreamside.UpstreamConnection | None = None
+        self.connection: httpclient.UpstreamConnection | None = None
         self.task: asyncio.Task[None] | None = None
         self.is_over = False
 
@@ -105,7 +105,7 @@
             self.connection.close()
         self._lane.released()
 
-    def complete(self, outcome: upstreamside.Outcome) -> None:
+    def complete(self, outcome: httpclient.Outcome) -> None:
         """Hands the outcome over."""
         if self.is_over:
             return
@@ -161,11 +161,11 @@
         host, _, port = upstream.address.rpartition(":")
         self._host = host
         self._port = int(port)
-        self._idle: list[upstreamside.UpstreamConnection] = []
+        self._idle: list[httpclient.UpstreamConnection] = []
         self._waiting: collections.deque[Call] = collections.deque()
         self._open_count = 0
         self.limit_count = 1
-        self._broken: list[tuple[Call, upstreamside.BrokenCall]] = []
+        self._broken: list[tuple[Call, httpclient.BrokenCall]] = []
         self._check: asyncio.Task[None] | None = None
 
     @property
@@ -189,9 +189,7 @@
             self._waiting.append(call)
         return call
 
-    def _take_idle(
-        self, proven: bool
-    ) -> upstreamside.UpstreamConnection | None:
+    def _take_idle(self, proven: bool) -> httpclient.UpstreamConnection | None:
         now_ms = clock.now_ms()
         while self._idle:
             connection = self._idle[-1]
@@ -218,24 +216,20 @@
         connection = await self._connected(CONNECT_TIMEOUT_MS)
         call.task = None
         match connection:
-            case upstreamside.UpstreamConnection():
+            case httpclient.UpstreamConnection():
                 self._use(call, connection)
             case int(error):
                 reason = f"connect_failed_{error}"
-                call.complete(
-                    upstreamside.BrokenCall(reason=reason, sent=False)
-                )
+                call.complete(httpclient.BrokenCall(reason=reason, sent=False))
                 self.released()
             case None:
                 reason = "connect_timeout"
-                call.complete(
-                    upstreamside.BrokenCall(reason=reason, sent=False)
-                )
+                call.complete(httpclient.BrokenCall(reason=reason, sent=False))
                 self.released()
 
     async def _connected(
         self, limit_ms: float
-    ) -> upstreamside.UpstreamConnection | int | None:
+    ) -> httpclient.UpstreamConnection | int | None:
         """Opens a connection that was counted as open already.
 
         Args:
@@ -250,7 +244,7 @@
         try:
             async with asyncio.timeout(limit_ms / message.MS_PER_S):
                 _, connection = await loop.create_connection(
-                    lambda: upstreamside.UpstreamConnection(self._id_header),
+                    lambda: httpclient.UpstreamConnection(self._id_header),
                     self._host,
                     self._port,
                 )
@@ -268,17 +262,15 @@
     # An upstream's end.
 
     async def _is_lost(
-        self, found: upstreamside.UpstreamConnection | int | None
+        self, found: httpclient.UpstreamConnection | int | None
     ) -> bool:
         """Whether a connection ends at once: its process ended under it."""
-        if not isinstance(found, upstreamside.UpstreamConnection):
+        if not isinstance(found, httpclient.UpstreamConnection):
             return False
         await asyncio.sleep(SETTLED_MS / message.MS_PER_S)
         return found.lost
 
-    def _note_broken(
-        self, call: Call, outcome: upstreamside.BrokenCall
-    ) -> None:
+    def _note_broken(self, call: Call, outcome: httpclient.BrokenCall) -> None:
         """Looks whether an upstream that broke a call off has ended.
 
         Its outcome waits for that, as what is sent next depends on it.
@@ -311,14 +303,14 @@
                     outcome, upstream_exited=ended, was_only_call=alone
                 )
             )
-        if isinstance(found, upstreamside.UpstreamConnection):
+        if isinstance(found, httpclient.UpstreamConnection):
             # It lives: only the connection had ended.
             self._keep(found)
         else:
             self.released()
 
     def _on_lost(
-        self, connection: upstreamside.UpstreamConnection
+        self, connection: httpclient.UpstreamConnection
     ) -> collections.abc.Callable[[], None]:
         def lost() -> None:
             self._open_count -= 1
@@ -329,18 +321,18 @@
         return lost
 
     def _use(
-        self, call: Call, connection: upstreamside.UpstreamConnection
+        self, call: Call, connection: httpclient.UpstreamConnection
     ) -> None:
         if call.is_over:
             connection.close()
             return
         call.connection = connection
 
-        def ended(outcome: upstreamside.Outcome) -> None:
+        def ended(outcome: httpclient.Outcome) -> None:
             call.connection = None
             self._give_back(connection)
             match outcome:
-                case upstreamside.BrokenCall(sent=True) if call.job.fingerprint:
+                case httpclient.BrokenCall(sent=True) if call.job.fingerprint:
                     self._note_broken(call, outcome)
                 case _:
                     call.complete(outcome)
@@ -348,12 +340,12 @@
         job = call.job
         connection.send(job.build_request(), job.request_id, job.is_head, ended)
 
-    def _give_back(self, connection: upstreamside.UpstreamConnection) -> None:
+    def _give_back(self, connection: httpclient.UpstreamConnection) -> None:
         # The parser may still be inside the bytes that brought the reply, and
         # may find more of them: look again when it is done.
         asyncio.get_running_loop().call_soon(self._keep, connection)
 
-    def _keep(self, connection: upstreamside.UpstreamConnection) -> None:
+    def _keep(self, connection: httpclient.UpstreamConnection) -> None:
         if connection.lost:
             return
         if not connection.reusable:
@@ -367,7 +359,7 @@
         waiting = tuple(self._waiting)
         self._waiting.clear()
         for call in waiting:
-            call.complete(upstreamside.BrokenCall(reason=WITHDRAWN, sent=False))
+            call.complete(httpclient.BrokenCall(reason=WITHDRAWN, sent=False))
 
     def released(self) -> None:
         """Starts a call that waited for a connection."""
@@ -402,7 +394,7 @@
                 connection.close()
 
 
-def _idle_limit_ms(connection: upstreamside.UpstreamConnection) -> float:
+def _idle_limit_ms(connection: httpclient.UpstreamConnection) -> float:
     return min(
         IDLE_DEFAULT_MS
         if connection.idle_limit_ms == float("inf")
--- a/hyssoptack/gateway/pool_test.py
+++ b/hyssoptack/gateway/pool_test.py
@@ -4,8 +4,8 @@
 
 from hyssoptack.core import traffic
 from hyssoptack.gateway import pool
+from hyssoptack.http1 import httpclient
 from hyssoptack.http1 import message
-from hyssoptack.http1 import upstreamside
 from hyssoptack.standins import service
 
 WAIT_S = 2.0
@@ -28,7 +28,7 @@
             cold_ms=0.0,
         )
 
-    async def call(self, path: bytes) -> upstreamside.Outcome:
+    async def call(self, path: bytes) -> httpclient.Outcome:
         """Makes a call and returns what became of it."""
         future = asyncio.get_running_loop().create_future()
         headers = [
@@ -107,7 +107,7 @@
         await called.start()
         caller = _Caller(called)
         broken = await caller.call(b"/one/1")
-        assert isinstance(broken, upstreamside.BrokenCall)
+        assert isinstance(broken, httpclient.BrokenCall)
         await asyncio.sleep(0.1)
         assert not caller.ended
         # The look's own connection carries the next call.
--- a/hyssoptack/gateway/ports.py
+++ b/hyssoptack/gateway/ports.py
@@ -4,9 +4,9 @@
 import socket
 
 from hyssoptack.core import clock
-from hyssoptack.gateway import beliefs
 from hyssoptack.gateway import earlyport
-from hyssoptack.http1 import callerside
+from hyssoptack.gateway import replicatedview
+from hyssoptack.http1 import httpserver
 
 FIRST_VIEWS_WAIT_MS = 100.0
 """Longest that callers wait for the first configuration and list after the
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self._servers: list[asyncio.Server] = []
 
-    async def listen(self, address: str, server: callerside.Server) -> None:
+    async def listen(self, address: str, server: httpserver.Server) -> None:
         """Opens a port and accepts what comes.
 
         Raises:
@@ -33,8 +33,8 @@
     async def accept_callers(
         self,
         port: socket.socket,
-        server: callerside.Server,
-        believed: beliefs.ReplicatedView,
+        server: httpserver.Server,
+        believed: replicatedview.ReplicatedView,
     ) -> None:
         """Accepts callers once there is something to serve them from.
 
@@ -51,7 +51,7 @@
         await self._accept(port, server)
 
     async def _accept(
-        self, port: socket.socket, server: callerside.Server
+        self, port: socket.socket, server: httpserver.Server
     ) -> None:
         loop = asyncio.get_running_loop()
         made = await loop.create_server(
--- a/hyssoptack/gateway/running.py
+++ b/hyssoptack/gateway/running.py
@@ -11,8 +11,8 @@
 from hyssoptack.gateway import pool
 from hyssoptack.gateway import received
 from hyssoptack.gateway import relaying
+from hyssoptack.http1 import httpclient
 from hyssoptack.http1 import message
-from hyssoptack.http1 import upstreamside
 from hyssoptack.platform import headers
 from hyssoptack.policy import callcommand
 from hyssoptack.policy import callplan
@@ -219,7 +219,7 @@
             trace.service, outcome, trace.took_ms if answered else None
         )
 
-    def _on_outcome(self, call_id: int, outcome: upstreamside.Outcome) -> None:
+    def _on_outcome(self, call_id: int, outcome: httpclient.Outcome) -> None:
         self._now_ms = clock.now_ms()
         self._calls.pop(call_id, None)
         if isinstance(outcome, message.Reply):
--- a/hyssoptack/gateway/serving.py
+++ b/hyssoptack/gateway/serving.py
@@ -8,13 +8,13 @@
 from hyssoptack.core import notice
 from hyssoptack.core import traffic
 from hyssoptack.events import log
-from hyssoptack.gateway import beliefs
 from hyssoptack.gateway import delegating
 from hyssoptack.gateway import metrics
 from hyssoptack.gateway import received
 from hyssoptack.gateway import relaying
+from hyssoptack.gateway import replicatedview
 from hyssoptack.gateway import running
-from hyssoptack.http1 import callerside
+from hyssoptack.http1 import httpserver
 from hyssoptack.http1 import message
 from hyssoptack.platform import headers
 from hyssoptack.policy import callcommand
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        believed: beliefs.ReplicatedView,
+        believed: replicatedview.ReplicatedView,
         knowledge: knowing.PlanContext,
         failure_domain: str,
         counted: metrics.Metrics,
@@ -51,7 +51,7 @@
         self.delegator: delegating.Delegator | None = None
         self.call_relay: relaying.CallRelay | None = None
 
-    def handle(self, exchange: callerside.Exchange) -> None:
+    def handle(self, exchange: httpserver.Exchange) -> None:
         """Serves a caller's request."""
         self._serve(exchange, None)
 
@@ -203,7 +203,7 @@
                 each.on_quarantined()
 
     @property
-    def view(self) -> beliefs.ReplicatedView:
+    def view(self) -> replicatedview.ReplicatedView:
         """What requests are served from."""
         return self._beliefs
 
--- a/hyssoptack/gateway/following.py
+++ b/hyssoptack/gateway/storewatch.py
@@ -17,8 +17,8 @@
 from hyssoptack.core import position
 from hyssoptack.core import traffic
 from hyssoptack.events import log
-from hyssoptack.gateway import beliefs
 from hyssoptack.gateway import peering
+from hyssoptack.gateway import replicatedview
 from hyssoptack.http1 import message
 from hyssoptack.platform import keyvalue
 from hyssoptack.platform import wire
@@ -72,7 +72,7 @@
     def __init__(
         self,
         settings: gateway.GatewaySettings,
-        believed: beliefs.ReplicatedView,
+        believed: replicatedview.ReplicatedView,
         store: keyvalue.Client,
         peers: peering.Peering,
         on_instances: peering.OnInstances,
--- a/hyssoptack/gateway/following_test.py
+++ b/hyssoptack/gateway/storewatch_test.py
@@ -11,10 +11,10 @@
 from hyssoptack.core import clock
 from hyssoptack.core import notice
 from hyssoptack.events import log
-from hyssoptack.gateway import beliefs
-from hyssoptack.gateway import following
 from hyssoptack.gateway import peering
 from hyssoptack.gateway import pool
+from hyssoptack.gateway import replicatedview
+from hyssoptack.gateway import storewatch
 from hyssoptack.platform import keyvalue
 from hyssoptack.policy import callplan_test
 from hyssoptack.policy import listing
@@ -28,7 +28,7 @@
     placed = placing.LoadBalancer(
         placing.LoadBalancerSettings(failure_domain="north", crossing_ratio=1.5)
     )
-    believed = beliefs.ReplicatedView(
+    believed = replicatedview.ReplicatedView(
         load_balancer=placed,
         pools=pool.Pools(b""),
         on_configuration=lambda _: None,
@@ -37,7 +37,7 @@
         "g", "north", readership.read_timings(3_000.0)
     )
     peers = types.SimpleNamespace(reader_election=readers)
-    made = following.StoreWatcher(
+    made = storewatch.StoreWatcher(
         settings, believed, None, peers, lambda _: None, None
     )
     now_ms = clock.now_ms()
@@ -93,12 +93,17 @@
     # had lapsed and told its neighbours; one whose own answer came 10 ms later
     # took its list for one kept fresh, dropped 121 upstreams and said so.
     made, believed = follower(list_age_ms=5_000.0)
-    hear(made, believed, believed.upstreams, beliefs.REREGISTRATION_GRACE_MS)
+    hear(
+        made,
+        believed,
+        believed.upstreams,
+        replicatedview.REREGISTRATION_GRACE_MS,
+    )
     made._note_back()
     believed.apply_list({}, 3, clock.now_ms())
     assert "a" in believed.upstreams
     believed.apply_list(
-        {}, 4, clock.now_ms() + beliefs.REREGISTRATION_GRACE_MS + 1.0
+        {}, 4, clock.now_ms() + replicatedview.REREGISTRATION_GRACE_MS + 1.0
     )
     assert not believed.upstreams
 
@@ -117,8 +122,8 @@
     believed.apply_list({}, 2, clock.now_ms())
     assert "a" in believed.upstreams
     pause_ms = made._list_pause_ms(clock.now_ms())
-    assert pause_ms <= beliefs.REREGISTRATION_GRACE_MS
-    later_ms = clock.now_ms() + beliefs.REREGISTRATION_GRACE_MS + 1.0
+    assert pause_ms <= replicatedview.REREGISTRATION_GRACE_MS
+    later_ms = clock.now_ms() + replicatedview.REREGISTRATION_GRACE_MS + 1.0
     believed.apply_list({}, 3, later_ms)
     assert not believed.upstreams
 
@@ -126,7 +131,7 @@
 def test_a_reading_is_due_when_the_grace_ends():
     made, believed = follower(list_age_ms=9_000.0)
     believed.store_recovered_ms = 1_000.0
-    ends_ms = 1_000.0 + beliefs.REREGISTRATION_GRACE_MS
+    ends_ms = 1_000.0 + replicatedview.REREGISTRATION_GRACE_MS
     assert made._list_pause_ms(ends_ms - 300.0) <= 310.0
     assert made._list_pause_ms(ends_ms + 1.0) == 1_000.0
 
--- a/hyssoptack/platform/headers.py
+++ b/hyssoptack/platform/headers.py
@@ -6,8 +6,8 @@
 import dataclasses
 
 from hyssoptack.core import traffic
+from hyssoptack.http1 import httpclient
 from hyssoptack.http1 import message
-from hyssoptack.http1 import upstreamside
 from hyssoptack.policy import callcommand
 
 READINESS_PATH = b"/hyssoptack/readiness"
@@ -112,7 +112,7 @@
 
 
 def call_outcome(
-    seen: upstreamside.Outcome, is_part: bool
+    seen: httpclient.Outcome, is_part: bool
 ) -> callcommand.Outcome:
     """Reads what became of a call.
 
@@ -121,13 +121,13 @@
         is_part: Whether its reply is to be part of a merged answer.
     """
     match seen:
-        case upstreamside.BrokenCall(reason=reason, sent=False):
+        case httpclient.BrokenCall(reason=reason, sent=False):
             return callcommand.Outcome(
                 kind=callcommand.OutcomeKind.NOT_RUN,
                 reason=reason,
                 reached=False,
             )
-        case upstreamside.BrokenCall():
+        case httpclient.BrokenCall():
             return callcommand.Outcome(
                 kind=callcommand.OutcomeKind.FAILED,
                 reason=seen.reason,
--- a/hyssoptack/platform/keyvalue.py
+++ b/hyssoptack/platform/keyvalue.py
@@ -18,8 +18,8 @@
 from hyssoptack.core import position
 from hyssoptack.core import traffic
 from hyssoptack.gateway import pool
+from hyssoptack.http1 import httpclient
 from hyssoptack.http1 import message
-from hyssoptack.http1 import upstreamside
 
 T = typing.TypeVar("T")
 
@@ -288,34 +288,32 @@
         took_ms = clock.now_ms() - started_ms
         if took_ms > timeout_ms + STALL_THRESHOLD_MS:
             # The process was stopped meanwhile: what came is as old as that.
-            outcome = upstreamside.BrokenCall(
-                reason="answer_too_old", sent=True
-            )
+            outcome = httpclient.BrokenCall(reason="answer_too_old", sent=True)
         match outcome:
             case message.Reply(status=200):
                 return expression.Ok(outcome)
             case message.Reply(status=status):
                 trouble = _TROUBLES.get(status, FailureKind.REFUSED)
                 detail = f"{method} {name}: status {status}"
-            case upstreamside.BrokenCall(reason=reason):
+            case httpclient.BrokenCall(reason=reason):
                 trouble = FailureKind.UNREACHABLE
                 detail = f"{method} {name}: {reason}"
         return expression.Error(Failure(kind=trouble, detail=detail))
 
     async def _exchange(
         self, method: str, path: str, timeout_ms: float, body: bytes
-    ) -> upstreamside.Outcome:
+    ) -> httpclient.Outcome:
         headers = [(b"Host", self._host)]
         if body:
             headers.append((b"Content-Type", b"application/json"))
         data = message.request_bytes(
             method.encode(), path.encode(), headers, body
         )
-        done: asyncio.Future[upstreamside.Outcome] = (
+        done: asyncio.Future[httpclient.Outcome] = (
             asyncio.get_running_loop().create_future()
         )
 
-        def sink(outcome: upstreamside.Outcome) -> None:
+        def sink(outcome: httpclient.Outcome) -> None:
             if not done.done():
                 done.set_result(outcome)
 
@@ -333,7 +331,7 @@
             async with asyncio.timeout(timeout_ms / message.MS_PER_S):
                 return await done
         except TimeoutError:
-            return upstreamside.BrokenCall(reason="timeout", sent=True)
+            return httpclient.BrokenCall(reason="timeout", sent=True)
         finally:
             call.cancel()
 
--- a/hyssoptack/policy/readership_test.py
+++ b/hyssoptack/policy/readership_test.py
@@ -3,7 +3,7 @@
 import pytest
 
 from hyssoptack.core import member
-from hyssoptack.gateway import following
+from hyssoptack.gateway import storewatch
 from hyssoptack.policy import readership
 
 NAMES = ("g1", "g2", "g3", "g4")
@@ -102,7 +102,7 @@
     # Found by a hunted day: three requests reached a leaving upstream 4 ms
     # past the bound of 5 s.
     found = readership.read_timings(bound_ms)
-    again_ms = following.RETRY.wait_ms(1) * (1.0 + readership.JITTER_RATIO)
+    again_ms = storewatch.RETRY.wait_ms(1) * (1.0 + readership.JITTER_RATIO)
     heeded_ms = slowest_ms(found) + found.list_timeout_ms + again_ms
     assert heeded_ms + READING_MS < bound_ms
 
--- a/hyssoptack/standins/kvstore.py
+++ b/hyssoptack/standins/kvstore.py
@@ -10,7 +10,7 @@
 import urllib.parse
 
 from hyssoptack.core import clock
-from hyssoptack.http1 import callerside
+from hyssoptack.http1 import httpserver
 from hyssoptack.http1 import message
 
 
@@ -52,7 +52,7 @@
 
     async def start(self) -> None:
         """Opens a port on loopback."""
-        server = callerside.Server(handler=self._handle)
+        server = httpserver.Server(handler=self._handle)
         self._server = await asyncio.get_running_loop().create_server(
             server.new_connection, "127.0.0.1", 0
         )
@@ -93,12 +93,12 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _handle(self, exchange: callerside.Exchange) -> None:
+    def _handle(self, exchange: httpserver.Exchange) -> None:
         task = asyncio.get_running_loop().create_task(self._serve(exchange))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _serve(self, exchange: callerside.Exchange) -> None:
+    async def _serve(self, exchange: httpserver.Exchange) -> None:
         request = exchange.request
         target = urllib.parse.urlsplit(request.target.decode())
         query = dict(urllib.parse.parse_qsl(target.query))
