--- a/hyssoptack/gateway/budgetshare.py
+++ b/hyssoptack/gateway/budgetshare.py
@@ -1,6 +1,6 @@
 """One instance's part of the extra calls that all may make together."""
 
-from hyssoptack.gateway import parts
+from hyssoptack.gateway import derivedsettings
 from hyssoptack.policy import extrawindow
 from hyssoptack.policy import readership
 from hyssoptack.settings import gateway
@@ -70,7 +70,7 @@
     """Gives an instance its parts, from the instances that it knows of."""
     even = even_share(settings.budget, readers.peak_instance_count)
     book.share = book.gather_share = even
-    own_mbps = parts.delegation_link_mbps(settings)
+    own_mbps = derivedsettings.delegation_link_mbps(settings)
     if own_mbps and readers.peak_neighbour_mbps:
         book.gather_share = gather_share(
             settings.budget,
--- a/hyssoptack/gateway/relaying.py
+++ b/hyssoptack/gateway/callrelay.py
@@ -12,7 +12,7 @@
 from hyssoptack.core import member
 from hyssoptack.core import notice
 from hyssoptack.events import log
-from hyssoptack.gateway import askids
+from hyssoptack.gateway import correlationids
 from hyssoptack.platform import headers
 from hyssoptack.policy import callcommand
 from hyssoptack.policy import callresult
@@ -77,7 +77,7 @@
         self.send = send
         self._enabled = enabled
         self.pending: dict[int, PendingRelay] = {}
-        self._ask_ids = askids.new_sequence()
+        self._ask_ids = correlationids.new_sequence()
 
     def choose_gatherer(self, failure_domain: str) -> member.Peer | None:
         """Returns who makes calls in a domain; None to make them from here."""
--- a/hyssoptack/gateway/daemon.py
+++ b/hyssoptack/gateway/daemon.py
@@ -16,23 +16,23 @@
 from hyssoptack.core import traffic
 from hyssoptack.events import log
 from hyssoptack.gateway import budgetshare
-from hyssoptack.gateway import delegating
+from hyssoptack.gateway import callrelay
+from hyssoptack.gateway import derivedsettings
 from hyssoptack.gateway import earlyport
-from hyssoptack.gateway import faults
-from hyssoptack.gateway import gathering
+from hyssoptack.gateway import exceptionlog
+from hyssoptack.gateway import gathererservice
+from hyssoptack.gateway import listeners
 from hyssoptack.gateway import metrics
-from hyssoptack.gateway import pages
 from hyssoptack.gateway import partitionmonitor
-from hyssoptack.gateway import parts
 from hyssoptack.gateway import peering
 from hyssoptack.gateway import pool
-from hyssoptack.gateway import ports
 from hyssoptack.gateway import quarantinestore
-from hyssoptack.gateway import relaying
+from hyssoptack.gateway import quarantinesync
+from hyssoptack.gateway import querydelegation
 from hyssoptack.gateway import replicatedview
-from hyssoptack.gateway import serving
+from hyssoptack.gateway import requesthandler
+from hyssoptack.gateway import statuspages
 from hyssoptack.gateway import storewatch
-from hyssoptack.gateway import suspecting
 from hyssoptack.http1 import httpserver
 from hyssoptack.http1 import message
 from hyssoptack.platform import headers
@@ -90,12 +90,12 @@
         self._path = path
         self._pools = pool.Pools(headers.REQUEST_ID)
         self._warmups = warmup.WarmupLimiter(
-            parts.own_peer(settings),
+            derivedsettings.own_peer(settings),
             settings.warmup,
             clock.now_ms(),
         )
         self._placing = placing.LoadBalancer(
-            parts.load_balancer_settings(settings), self._warmups
+            derivedsettings.load_balancer_settings(settings), self._warmups
         )
         self.view = replicatedview.ReplicatedView(
             load_balancer=self._placing,
@@ -119,7 +119,7 @@
             settings.trusted_fingerprints, clock.now_ms()
         )
         self._metrics = metrics.Metrics()
-        self._serving = serving.RequestHandler(
+        self._serving = requesthandler.RequestHandler(
             self.view,
             self._knowledge(),
             settings.failure_domain,
@@ -127,9 +127,11 @@
         )
         self._callers = httpserver.Server(
             handler=self._serving.handle,
-            on_refused=serving.log_unreadable_request,
+            on_refused=requesthandler.log_unreadable_request,
+        )
+        shown = statuspages.StatusPages(
+            self._metrics, self._is_ready, self._facts
         )
-        shown = pages.StatusPages(self._metrics, self._is_ready, self._facts)
         self._probes = httpserver.Server(handler=shown.answer_readiness)
         self._readings = httpserver.Server(handler=shown.answer_metrics)
         # Connections to the store outlast any change of upstreams.
@@ -142,9 +144,9 @@
             self._on_instances,
             self._reach.on_neighbour_suspicion,
         )
-        self._delegating = delegating.Delegator(
+        self._delegating = querydelegation.Delegator(
             delegation.DelegateSelector(
-                parts.delegation_link_mbps(settings), random.Random()
+                derivedsettings.delegation_link_mbps(settings), random.Random()
             ),
             settings.peer_address,
             self._peering.send,
@@ -152,14 +154,14 @@
             self._serving.can_rerun_locally,
         )
         self._serving.delegator = self._delegating
-        self._relaying = relaying.CallRelay(
+        self._relaying = callrelay.CallRelay(
             gatherers.GathererSelector(random.Random()),
             settings.peer_address,
             self._peering.send,
             settings.mechanisms.relaying,
         )
         self._serving.call_relay = self._relaying
-        self._gathering = gathering.GathererService(
+        self._gathering = gathererservice.GathererService(
             self.view,
             settings.peer_address,
             self._peering.send,
@@ -167,9 +169,9 @@
             self._delegating.messages_may_be_stale,
             self._suspicions,
         )
-        self._suspecting = suspecting.QuarantineSync(
+        self._suspecting = quarantinesync.QuarantineSync(
             self._suspicions,
-            parts.own_peer(settings),
+            derivedsettings.own_peer(settings),
             self.reader_election.neighbours,
             self._relaying.selector.peers,
             self._peering.send,
@@ -191,7 +193,7 @@
             self._on_reach,
         )
         self._stop = asyncio.Event()
-        self._ports = ports.Listeners()
+        self._ports = listeners.Listeners()
 
     def _knowledge(self) -> knowing.PlanContext:
         return knowing.PlanContext(
@@ -273,7 +275,7 @@
             callers_port: The callers' port, where it is open already.
         """
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(faults.log_callback_exception)
+        loop.set_exception_handler(exceptionlog.log_callback_exception)
         loop.add_signal_handler(signal.SIGTERM, self.stop)
         loop.add_signal_handler(signal.SIGINT, self.stop)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
@@ -384,11 +386,13 @@
         self.reader_election.read_timings = readership.read_timings(
             settings.propagation_bound_ms
         )
-        self._placing.settings = parts.load_balancer_settings(settings)
-        self._warmups.limits = settings.warmup
-        self._delegating.selector.link_mbps = parts.delegation_link_mbps(
+        self._placing.settings = derivedsettings.load_balancer_settings(
             settings
         )
+        self._warmups.limits = settings.warmup
+        self._delegating.selector.link_mbps = (
+            derivedsettings.delegation_link_mbps(settings)
+        )
         budgetshare.update_shares(
             self._extra_calls, self._settings, self.reader_election
         )
--- a/hyssoptack/gateway/quarantinestore_test.py
+++ b/hyssoptack/gateway/quarantinestore_test.py
@@ -3,9 +3,9 @@
 import asyncio
 
 from hyssoptack.core import clock
-from hyssoptack.gateway import crashing_test
+from hyssoptack.gateway import gateway_crash_test
 from hyssoptack.gateway import harness
-from hyssoptack.gateway import suspecting_test
+from hyssoptack.gateway import quarantinesync_test
 from hyssoptack.platform import wire
 
 STORED_S = 8.0
@@ -26,10 +26,10 @@
 
 async def _blocked(site):
     """A site on which one request is blocked, and stored."""
-    await crashing_test.start_sharded_site(site)
-    watch = crashing_test.CrashWatch(site, b"/all/bad")
+    await gateway_crash_test.start_sharded_site(site)
+    watch = gateway_crash_test.CrashWatch(site, b"/all/bad")
     await site.get("/all/bad", "bad-1", name="n1")
-    await suspecting_test._wait_blocked(site, "n1", "n2", "s1")
+    await quarantinesync_test._wait_blocked(site, "n1", "n2", "s1")
     await _wait(lambda: _stored(site))
     return watch
 
@@ -44,7 +44,7 @@
             site.gateways.clear()
             await site.start("n4")
             await site.start("s4", failure_domain="south")
-            await suspecting_test._wait_blocked(site, "n4", "s4")
+            await quarantinesync_test._wait_blocked(site, "n4", "s4")
             count = len(watch.arrivals)
             for name in site.gateways:
                 got = await site.get("/all/bad", f"bad-{name}", name=name)
@@ -59,12 +59,12 @@
         async with harness.Site() as site:
             await _blocked(site)
             for name in site.gateways:
-                known = suspecting_test._suspicions(site, name)
+                known = quarantinesync_test._suspicions(site, name)
                 (fingerprint,) = known._blocked
                 known.record_answer(fingerprint, clock.now_ms())
             await _wait(lambda: not _stored(site))
             for name in site.gateways:
-                known = suspecting_test._suspicions(site, name)
+                known = quarantinesync_test._suspicions(site, name)
                 assert not known.has_entries
 
     asyncio.run(test())
--- a/hyssoptack/gateway/suspecting_test.py
+++ b/hyssoptack/gateway/quarantinesync_test.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from hyssoptack.core import notice
-from hyssoptack.gateway import crashing_test
+from hyssoptack.gateway import gateway_crash_test
 from hyssoptack.gateway import gateway_test
 from hyssoptack.gateway import harness
 from hyssoptack.http1 import message
@@ -70,10 +70,10 @@
 def test_all_know_of_it_soon_though_messages_are_lost_at_first():
     async def test():
         async with harness.Site() as site:
-            await crashing_test.start_sharded_site(site)
-            crashing_test.CrashWatch(site, b"/all/bad")
+            await gateway_crash_test.start_sharded_site(site)
+            gateway_crash_test.CrashWatch(site, b"/all/bad")
             heal = _cut(site, "s1")
-            await crashing_test.send_repeatedly(
+            await gateway_crash_test.send_repeatedly(
                 site, "/all/bad", 0.6, 0.2, "bad"
             )
             await _wait_blocked(site, "n1", "n2")
@@ -86,8 +86,8 @@
 def test_a_cut_off_instance_finds_out_alone_and_both_sides_agree_later():
     async def test():
         async with harness.Site() as site:
-            await crashing_test.start_sharded_site(site)
-            watch = crashing_test.CrashWatch(site, b"/all/bad")
+            await gateway_crash_test.start_sharded_site(site)
+            watch = gateway_crash_test.CrashWatch(site, b"/all/bad")
             heal = _cut(site, "s1")
             await site.get("/all/bad", "bad-1", name="s1")
             await _wait_blocked(site, "s1")
@@ -104,8 +104,8 @@
 def test_it_goes_on_while_the_store_is_away():
     async def test():
         async with harness.Site() as site:
-            await crashing_test.start_sharded_site(site)
-            crashing_test.CrashWatch(site, b"/all/bad")
+            await gateway_crash_test.start_sharded_site(site)
+            gateway_crash_test.CrashWatch(site, b"/all/bad")
             site.store.stop()
             await site.get("/all/bad", "bad-1", name="n1")
             await _wait_blocked(site, "n1", "n2", "s1")
@@ -119,8 +119,8 @@
     async def test():
         async with harness.Site() as site:
             await _desk(site, 12)
-            await crashing_test.start_gateways(site)
-            crashing_test.CrashWatch(site, b"/one/bad")
+            await gateway_crash_test.start_gateways(site)
+            gateway_crash_test.CrashWatch(site, b"/one/bad")
             beside = [
                 asyncio.create_task(_get_twice(site, f"/one/ok-{index}", name))
                 for index, name in enumerate(("n1", "n2", "s1") * 6)
@@ -138,8 +138,8 @@
 def test_upstreams_that_crash_by_chance_bar_no_request():
     async def test():
         async with harness.Site() as site:
-            await crashing_test.start_sharded_site(site, budget=BUDGET)
-            crashing_test.CrashWatch(site, b"/none")
+            await gateway_crash_test.start_sharded_site(site, budget=BUDGET)
+            gateway_crash_test.CrashWatch(site, b"/none")
             statuses = []
             for turn in range(6):
                 asked = [
@@ -148,7 +148,7 @@
                     )
                     for n, name in enumerate(("n1", "n2", "s1") * 3)
                 ]
-                await asyncio.sleep(crashing_test.WORK_MS / 2 / 1_000.0)
+                await asyncio.sleep(gateway_crash_test.WORK_MS / 2 / 1_000.0)
                 # Half of all copies at once, by turns; all copies of a failure
                 # domain would pass for a cut, whatever else is believed.
                 for each in site.services.values():
@@ -167,11 +167,11 @@
 def test_what_has_become_harmless_is_served_again_everywhere():
     async def test():
         async with harness.Site() as site:
-            await crashing_test.start_sharded_site(site)
-            watch = crashing_test.CrashWatch(site, b"/all/bad")
+            await gateway_crash_test.start_sharded_site(site)
+            watch = gateway_crash_test.CrashWatch(site, b"/all/bad")
             await site.get("/all/bad", "bad-1", name="n1")
             await _wait_blocked(site, "n1", "n2", "s1")
-            await asyncio.sleep(crashing_test.RETURN_MS / message.MS_PER_S)
+            await asyncio.sleep(gateway_crash_test.RETURN_MS / message.MS_PER_S)
             for each in site.services.values():
                 each.behaviour.crashes_on = b""
             crashes = len(watch.crash_ms)
@@ -192,7 +192,7 @@
 def test_nothing_is_sent_while_nothing_is_held():
     async def test():
         async with harness.Site() as site:
-            await crashing_test.start_sharded_site(site)
+            await gateway_crash_test.start_sharded_site(site)
             told = []
             for each in site.gateways.values():
                 kept = each._suspecting._send
@@ -222,7 +222,7 @@
                     await site.add_upstream(name, f"s{shard}")
             site.configure(gateway_test.SHARDS)
             narrow, wide = await site.start_delegating_pair()
-            watch = crashing_test.CrashWatch(site, b"/all/bad")
+            watch = gateway_crash_test.CrashWatch(site, b"/all/bad")
             got = await site.get("/all/bad", "bad-1", name="narrow")
             assert got.status == 502
             await _wait_blocked(site, "narrow", "wide")
@@ -239,8 +239,8 @@
 def test_a_neighbour_that_runs_queries_for_others_refuses_it_too():
     async def test():
         async with harness.Site() as site:
-            await crashing_test.start_sharded_site(site)
-            crashing_test.CrashWatch(site, b"/all/bad")
+            await gateway_crash_test.start_sharded_site(site)
+            gateway_crash_test.CrashWatch(site, b"/all/bad")
             await site.get("/all/bad", "bad-1", name="n1")
             await _wait_blocked(site, "n2", "s1")
             name = next(iter(_suspicions(site, "s1")._blocked))
--- a/hyssoptack/gateway/delegating.py
+++ b/hyssoptack/gateway/querydelegation.py
@@ -19,8 +19,8 @@
 from hyssoptack.core import notice
 from hyssoptack.core import traffic
 from hyssoptack.events import log
-from hyssoptack.gateway import askids
-from hyssoptack.gateway import received
+from hyssoptack.gateway import correlationids
+from hyssoptack.gateway import inbound
 from hyssoptack.http1 import message
 from hyssoptack.platform import headers
 from hyssoptack.policy import delegation
@@ -69,11 +69,11 @@
     BEGUN = "begun"
 
 
-RunLocally = collections.abc.Callable[[received.Request, bool], None]
+RunLocally = collections.abc.Callable[[inbound.Request, bool], None]
 """Runs a query here; told whether a neighbour may have run some of it."""
 
 
-CanRerunLocally = collections.abc.Callable[[received.Request], bool]
+CanRerunLocally = collections.abc.Callable[[inbound.Request], bool]
 
 
 class Delegator:
@@ -102,12 +102,12 @@
         self.send = send
         self.run_locally = run_here
         self.pending: dict[int, DelegatedQuery] = {}
-        self._ask_ids = askids.new_sequence()
+        self._ask_ids = correlationids.new_sequence()
         self._taken: dict[tuple[str, int], PeerExchange] = {}
         self._ticked_ms = clock.now_ms()
         self._woke_ms = -math.inf
 
-    def try_delegate(self, query: received.Request, version: int) -> bool:
+    def try_delegate(self, query: inbound.Request, version: int) -> bool:
         """Hands a query over if that is better; tells whether it did."""
         now_ms = clock.now_ms()
         route = query.route_match.route
@@ -269,7 +269,7 @@
     def __init__(
         self,
         owner: Delegator,
-        query: received.Request,
+        query: inbound.Request,
         peer: member.Peer,
         ask_id: int,
     ):
--- a/hyssoptack/gateway/delegating_test.py
+++ b/hyssoptack/gateway/querydelegation_test.py
@@ -6,10 +6,10 @@
 import types
 
 from hyssoptack.core import notice
-from hyssoptack.gateway import delegating
 from hyssoptack.gateway import gateway_test
 from hyssoptack.gateway import harness
-from hyssoptack.gateway import received
+from hyssoptack.gateway import inbound
+from hyssoptack.gateway import querydelegation
 from hyssoptack.policy import delegation
 
 
@@ -189,17 +189,17 @@
 
 def test_who_stood_still_takes_no_query_that_may_have_waited_as_long():
     sent = []
-    held = delegating.Delegator(
+    held = querydelegation.Delegator(
         delegation.DelegateSelector(0.0, random.Random(1)),
         "w:1",
         lambda _, each: sent.append(each),
         None,
         None,
     )
-    held._ticked_ms -= 2 * delegating.STALL_MS
+    held._ticked_ms -= 2 * querydelegation.STALL_MS
     assert held.accept(_ask(), can_serve=True) is None
     assert [each.begun for each in sent] == [False]
-    held._ticked_ms += 2 * delegating.STALL_MS
+    held._ticked_ms += 2 * querydelegation.STALL_MS
     exchange = held.accept(_ask(), can_serve=True)
     assert exchange is not None
     assert sent[-1].begun
@@ -211,14 +211,14 @@
 def test_messages_that_waited_are_declined_though_the_watch_has_run():
     # After a stop the loop runs its timers first, and reads messages then.
     sent = []
-    held = delegating.Delegator(
+    held = querydelegation.Delegator(
         delegation.DelegateSelector(0.0, random.Random(1)),
         "w:1",
         lambda _, each: sent.append(each),
         None,
         None,
     )
-    held._ticked_ms -= 2 * delegating.STALL_MS
+    held._ticked_ms -= 2 * querydelegation.STALL_MS
 
     async def wake():
         watch = asyncio.create_task(held.watch_stalls())
@@ -232,7 +232,7 @@
 
 def test_an_answer_that_can_not_be_in_time_is_given_time_to_be_whole():
     route = types.SimpleNamespace(goal_ms=150.0)
-    query = received.Request(
+    query = inbound.Request(
         exchange=types.SimpleNamespace(
             request=types.SimpleNamespace(received_ms=1_000.0)
         ),
--- a/hyssoptack/gateway/serving.py
+++ b/hyssoptack/gateway/requesthandler.py
@@ -8,12 +8,12 @@
 from hyssoptack.core import notice
 from hyssoptack.core import traffic
 from hyssoptack.events import log
-from hyssoptack.gateway import delegating
+from hyssoptack.gateway import callrelay
+from hyssoptack.gateway import inbound
 from hyssoptack.gateway import metrics
-from hyssoptack.gateway import received
-from hyssoptack.gateway import relaying
+from hyssoptack.gateway import querydelegation
 from hyssoptack.gateway import replicatedview
-from hyssoptack.gateway import running
+from hyssoptack.gateway import requestrun
 from hyssoptack.http1 import httpserver
 from hyssoptack.http1 import message
 from hyssoptack.platform import headers
@@ -45,11 +45,11 @@
         self.metrics = counted
         self._failure_domain = failure_domain
         self.instance_counts = connections.InstanceCounts()
-        self.active_runs: set[running.RequestRun] = set()
+        self.active_runs: set[requestrun.RequestRun] = set()
         self._random = random.Random()
         self._caller_time = callertime.CallerLatency()
-        self.delegator: delegating.Delegator | None = None
-        self.call_relay: relaying.CallRelay | None = None
+        self.delegator: querydelegation.Delegator | None = None
+        self.call_relay: callrelay.CallRelay | None = None
 
     def handle(self, exchange: httpserver.Exchange) -> None:
         """Serves a caller's request."""
@@ -66,7 +66,7 @@
             self._serve(exchange, ask)
 
     def _serve(
-        self, exchange: received.Exchange, ask: notice.DelegationRequest | None
+        self, exchange: inbound.Exchange, ask: notice.DelegationRequest | None
     ) -> None:
         facts = headers.read_metadata(exchange.request)
         if isinstance(facts, str):
@@ -85,7 +85,7 @@
                 status = http.HTTPStatus.NOT_FOUND
                 self._refuse(exchange, facts, status, found.value)
             case routetable.RouteMatch():
-                query = received.Request(
+                query = inbound.Request(
                     exchange=exchange, metadata=facts, route_match=found
                 )
                 if ask is None:
@@ -94,11 +94,11 @@
                     known = dataclasses.replace(
                         query, transit_margin_ms=ask.away_ms
                     )
-                    run = running.RequestRun(self, known, awaits_grant=True)
+                    run = requestrun.RequestRun(self, known, awaits_grant=True)
                     exchange.on_commit = run.on_attempts_granted
                     run.start()
 
-    def _serve_caller(self, query: received.Request) -> None:
+    def _serve_caller(self, query: inbound.Request) -> None:
         timed = dataclasses.replace(
             query, transit_margin_ms=self._caller_time.margin_ms
         )
@@ -117,16 +117,16 @@
         if here or not self.delegator.try_delegate(timed, version):
             self.run_locally(timed, may_have_run=False)
 
-    def run_locally(self, query: received.Request, may_have_run: bool) -> None:
+    def run_locally(self, query: inbound.Request, may_have_run: bool) -> None:
         """Runs a request on this instance.
 
         Args:
             query: The request.
             may_have_run: Whether a neighbour may have run some of it.
         """
-        running.RequestRun(self, query, may_have_run=may_have_run).start()
+        requestrun.RequestRun(self, query, may_have_run=may_have_run).start()
 
-    def can_rerun_locally(self, query: received.Request) -> bool:
+    def can_rerun_locally(self, query: inbound.Request) -> bool:
         """Whether a query that a neighbour may have begun could be run here.
 
         Each part of it would be an extra call.
@@ -144,7 +144,7 @@
 
     def _refuse(
         self,
-        exchange: received.Exchange,
+        exchange: inbound.Exchange,
         facts: headers.RequestMetadata,
         status: int,
         reason: str,
--- a/hyssoptack/gateway/running.py
+++ b/hyssoptack/gateway/requestrun.py
@@ -7,10 +7,10 @@
 from hyssoptack.core import clock
 from hyssoptack.core import traffic
 from hyssoptack.events import log
+from hyssoptack.gateway import callrelay
 from hyssoptack.gateway import calltrace
+from hyssoptack.gateway import inbound
 from hyssoptack.gateway import pool
-from hyssoptack.gateway import received
-from hyssoptack.gateway import relaying
 from hyssoptack.http1 import httpclient
 from hyssoptack.http1 import message
 from hyssoptack.platform import headers
@@ -20,7 +20,7 @@
 from hyssoptack.policy import records
 
 if typing.TYPE_CHECKING:
-    from hyssoptack.gateway import serving
+    from hyssoptack.gateway import requesthandler
 
 TIMER_LATE_MS = 3.0
 """A timer that fires this late was held up by this process: answers may wait in
@@ -32,8 +32,8 @@
 
     def __init__(
         self,
-        owner: "serving.RequestHandler",
-        query: received.Request,
+        owner: "requesthandler.RequestHandler",
+        query: inbound.Request,
         *,
         may_have_run: bool = False,
         awaits_grant: bool = False,
@@ -83,7 +83,7 @@
         self._common = headers.forwarded_request(exchange.request)
         self._calls: dict[int, pool.Call] = {}
         self._traces: dict[int, calltrace.Trace] = {}
-        self._relayed: list[relaying.PendingRelay] = []
+        self._relayed: list[callrelay.PendingRelay] = []
         match found.route.target:
             case traffic.AllShards(top_count=top_count):
                 self._top_count = top_count
@@ -164,7 +164,7 @@
             return
         for each in calls:
             self._traces[each.call_id].gatherer_id = peer.instance_id
-        query = relaying.Query(
+        query = callrelay.Query(
             request_id=self._facts.request_id,
             route_name=self._route.name,
             top_count=self._top_count,
--- a/hyssoptack/gateway/restarted_test.py
+++ b/hyssoptack/gateway/restarted_test.py
@@ -5,9 +5,9 @@
 
 from hyssoptack.core import member
 from hyssoptack.core import notice
+from hyssoptack.gateway import callrelay
 from hyssoptack.gateway import gateway_test
 from hyssoptack.gateway import harness
-from hyssoptack.gateway import relaying
 from hyssoptack.platform import headers
 from hyssoptack.policy import callcommand
 from hyssoptack.policy import callplan_test
@@ -75,7 +75,7 @@
 
 
 def _relaying(sent):
-    return relaying.CallRelay(
+    return callrelay.CallRelay(
         gatherers.GathererSelector(random.Random()),
         "n:1",
         lambda _, each: sent.append(each),
@@ -84,7 +84,7 @@
 
 
 def _relay(owner, sink):
-    query = relaying.Query(
+    query = callrelay.Query(
         request_id=b"r",
         route_name="r",
         top_count=5,
