--- a/hyssoptack/entry/actor.py
+++ b/hyssoptack/entry/actor.py
@@ -17,7 +17,7 @@
 from hyssoptack.core import keyspace
 from hyssoptack.core import message
 from hyssoptack.core import refusal
-from hyssoptack.core import waiting
+from hyssoptack.core import timeouts
 from hyssoptack.entry import claims
 from hyssoptack.entry import executor
 from hyssoptack.entry import state
@@ -140,7 +140,7 @@
         try:
             if not self._send_to(lane.instance_id, ask):
                 return _unsent()
-            if not await waiting.wait_until_done(done, ask.remaining_ms):
+            if not await timeouts.wait_until_done(done, ask.remaining_ms):
                 return await self._settle(ask)
             outcome = done.result()
             if outcome is not None:
--- a/hyssoptack/gateway/callrelay.py
+++ b/hyssoptack/gateway/callrelay.py
@@ -9,8 +9,8 @@
 import math
 
 from hyssoptack.core import clock
+from hyssoptack.core import gatewaymessage
 from hyssoptack.core import member
-from hyssoptack.core import notice
 from hyssoptack.events import log
 from hyssoptack.gateway import correlationids
 from hyssoptack.platform import headers
@@ -18,7 +18,7 @@
 from hyssoptack.policy import callresult
 from hyssoptack.policy import gatherers
 
-Send = collections.abc.Callable[[str, notice.Message], None]
+Send = collections.abc.Callable[[str, gatewaymessage.Message], None]
 
 KINDS_BY_NAME = {each.value: each for each in callcommand.OutcomeKind}
 """What a call's outcome may be, by its name in messages."""
@@ -98,13 +98,13 @@
         relayed.start(calls)
         return relayed
 
-    def on_batch(self, batch: notice.RelayBatch) -> None:
+    def on_batch(self, batch: gatewaymessage.RelayBatch) -> None:
         """Takes outcomes; those of a query that has ended change nothing."""
         found = self.pending.get(batch.ask_id)
         if found is not None and found.peer.address == batch.sender_address:
             found.on_batch(batch)
 
-    def on_undelivered(self, ask: notice.RelayRequest) -> None:
+    def on_undelivered(self, ask: gatewaymessage.RelayRequest) -> None:
         """Takes that an ask was not sent."""
         if (found := self.pending.get(ask.ask_id)) is not None:
             found.on_lost(sent=False)
@@ -141,7 +141,7 @@
         self.overdue_at_ms = (
             now_ms + self._owner.selector.first_report_timeout_ms(to_goal_ms)
         )
-        ask = notice.RelayRequest(
+        ask = gatewaymessage.RelayRequest(
             sender_address=self._owner.own_address,
             ask_id=self._ask_id,
             route_name=self._query.route_name,
@@ -153,7 +153,7 @@
             remaining_ms=self._query.deadline_at_ms - now_ms,
             to_goal_ms=to_goal_ms,
             calls=tuple(
-                notice.RelayedCall(
+                gatewaymessage.RelayedCall(
                     call_id=each.call_id, upstream_id=each.upstream.upstream_id
                 )
                 for each in calls
@@ -161,7 +161,7 @@
         )
         self._owner.send(self.peer.address, ask)
 
-    def on_batch(self, batch: notice.RelayBatch) -> None:
+    def on_batch(self, batch: gatewaymessage.RelayBatch) -> None:
         """Takes what became of some calls."""
         if not self._heard:
             self._heard = True
@@ -215,7 +215,7 @@
         if self._ask_id not in self._owner.pending:
             return
         self._end()
-        left = notice.RelayCancel(
+        left = gatewaymessage.RelayCancel(
             sender_address=self._owner.own_address, ask_id=self._ask_id
         )
         self._owner.send(self.peer.address, left)
@@ -235,7 +235,7 @@
         )
 
 
-def _outcome(told: notice.RelayedOutcome) -> callcommand.Outcome:
+def _outcome(told: gatewaymessage.RelayedOutcome) -> callcommand.Outcome:
     kind = KINDS_BY_NAME.get(told.kind, callcommand.OutcomeKind.FAILED)
     reply = None
     if kind is callcommand.OutcomeKind.ANSWERED:
--- a/hyssoptack/gateway/callrelay_test.py
+++ b/hyssoptack/gateway/callrelay_test.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from hyssoptack.core import notice
+from hyssoptack.core import gatewaymessage
 from hyssoptack.gateway import gateway_test
 from hyssoptack.gateway import harness
 
@@ -176,10 +176,10 @@
     async def test():
         async with harness.Site() as site:
             north = await _across(site)
-            told = notice.RelayedOutcome(
+            told = gatewaymessage.RelayedOutcome(
                 call_id=1, kind="answered", signature=b"forged", records=b"z"
             )
-            batch = notice.RelayBatch(
+            batch = gatewaymessage.RelayBatch(
                 sender_address="127.0.0.1:1", ask_id=1, outcomes=(told,)
             )
             for each in site.services.values():
--- a/hyssoptack/gateway/daemon.py
+++ b/hyssoptack/gateway/daemon.py
@@ -11,8 +11,8 @@
 import uvloop
 
 from hyssoptack.core import clock
+from hyssoptack.core import gatewaymessage
 from hyssoptack.core import member
-from hyssoptack.core import notice
 from hyssoptack.core import traffic
 from hyssoptack.events import log
 from hyssoptack.gateway import budgetshare
@@ -37,7 +37,7 @@
 from hyssoptack.http1 import message
 from hyssoptack.platform import headers
 from hyssoptack.platform import keyvalue
-from hyssoptack.platform import wire
+from hyssoptack.platform import storeformat
 from hyssoptack.policy import connections
 from hyssoptack.policy import delegation
 from hyssoptack.policy import extrawindow
@@ -179,7 +179,7 @@
             self._metrics,
         )
         self._blocklist = quarantinestore.QuarantineStore(
-            self._suspicions, self._store, wire.BLOCKED_PREFIX
+            self._suspicions, self._store, storeformat.BLOCKED_PREFIX
         )
         self._pools.on_upstream_exit = self._suspecting.on_upstream_exit
         self._peering.on_message = self._on_query
@@ -204,25 +204,28 @@
             suspicions=self._suspicions,
         )
 
-    def _on_query(self, each: notice.Message) -> None:
+    def _on_query(self, each: gatewaymessage.Message) -> None:
         ready = self.view.is_complete and not self._stop.is_set()
         match each:
-            case notice.DelegationRequest():
+            case gatewaymessage.DelegationRequest():
                 self._serving.serve_delegated(each, ready)
-            case notice.RelayRequest():
+            case gatewaymessage.RelayRequest():
                 self._gathering.accept(each, ready)
-            case notice.RelayBatch():
+            case gatewaymessage.RelayBatch():
                 self._relaying.on_batch(each)
-            case notice.RelayCancel():
+            case gatewaymessage.RelayCancel():
                 self._gathering.on_cancel(each)
-            case notice.SuspectsNotice() | notice.SuspectsRequest():
+            case (
+                gatewaymessage.SuspectsNotice()
+                | gatewaymessage.SuspectsRequest()
+            ):
                 self._suspecting.on_message(each)
             case _:
                 self._delegating.on_message(each)
 
-    def _on_undelivered(self, each: notice.Message) -> None:
+    def _on_undelivered(self, each: gatewaymessage.Message) -> None:
         match each:
-            case notice.RelayRequest():
+            case gatewaymessage.RelayRequest():
                 self._relaying.on_undelivered(each)
             case _:
                 self._delegating.on_undelivered(each)
--- a/hyssoptack/gateway/delegation_attempts_test.py
+++ b/hyssoptack/gateway/delegation_attempts_test.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from hyssoptack.core import notice
+from hyssoptack.core import gatewaymessage
 from hyssoptack.gateway import harness
 from hyssoptack.policy import delegation
 
@@ -72,8 +72,8 @@
         async with harness.Site() as site:
             narrow, wide = await _pair(site)
             _disagree(site, narrow)
-            _delay(narrow, notice.DelegationStatus, LATE_S)
-            _delay(wide, notice.DelegationCancel, LATE_S)
+            _delay(narrow, gatewaymessage.DelegationStatus, LATE_S)
+            _delay(wide, gatewaymessage.DelegationCancel, LATE_S)
             got = await site.get("/all/x", "r1", name="narrow")
             await asyncio.sleep(LATE_S)
             assert got.status == 200
@@ -88,8 +88,8 @@
         async with harness.Site() as site:
             narrow, wide = await _pair(site)
             _disagree(site, narrow)
-            _delay(narrow, notice.DelegationStatus, LOST_S)
-            _delay(wide, notice.DelegationCancel, LOST_S)
+            _delay(narrow, gatewaymessage.DelegationStatus, LOST_S)
+            _delay(wide, gatewaymessage.DelegationCancel, LOST_S)
             begun = asyncio.create_task(site.get("/all/x", "r1", name="narrow"))
             await asyncio.sleep(0.01)
             narrow._delegating.on_link_lost(wide._settings.peer_address)
@@ -108,8 +108,8 @@
             narrow, wide = await _pair(site, route_type="unsafe")
             for each in site.services.values():
                 each.behaviour.delay_ms = 60.0
-            _delay(narrow, notice.DelegationStatus, LATE_S)
-            _delay(wide, notice.DelegationCancel, LATE_S)
+            _delay(narrow, gatewaymessage.DelegationStatus, LATE_S)
+            _delay(wide, gatewaymessage.DelegationCancel, LATE_S)
             await site.get("/all/x", "r1", name="narrow", method="POST")
             await asyncio.sleep(0.2)
             runs = [each.run_counts[b"r1"] for each in site.services.values()]
--- a/hyssoptack/gateway/evacuation_test.py
+++ b/hyssoptack/gateway/evacuation_test.py
@@ -6,7 +6,7 @@
 from hyssoptack.events import log
 from hyssoptack.gateway import gateway_test
 from hyssoptack.gateway import harness
-from hyssoptack.platform import wire
+from hyssoptack.platform import storeformat
 
 KEY = "op/evacuate/south"
 HEARD_TIMEOUT_S = 5.0
@@ -192,5 +192,5 @@
 
 def test_keys_of_operators_that_evacuate_nothing():
     for key in ("op/evacuate/", "op/config", "op/evacuate", "servers/a"):
-        assert wire.evacuated_domain(key) is None
-    assert wire.evacuated_domain("op/evacuate/north") == "north"
+        assert storeformat.evacuated_domain(key) is None
+    assert storeformat.evacuated_domain("op/evacuate/north") == "north"
--- a/hyssoptack/gateway/gathererservice.py
+++ b/hyssoptack/gateway/gathererservice.py
@@ -10,7 +10,7 @@
 import sys
 
 from hyssoptack.core import clock
-from hyssoptack.core import notice
+from hyssoptack.core import gatewaymessage
 from hyssoptack.core import traffic
 from hyssoptack.gateway import pool
 from hyssoptack.gateway import replicatedview
@@ -29,7 +29,7 @@
 """Urgency of relayed calls where an upstream is scarce: queries of its own
 domain go first."""
 
-Send = collections.abc.Callable[[str, notice.Message], None]
+Send = collections.abc.Callable[[str, gatewaymessage.Message], None]
 LimitCount = collections.abc.Callable[[traffic.Upstream], int]
 
 
@@ -63,7 +63,7 @@
         self._suspicions = suspicions
         self.active_gathers: dict[tuple[str, int], GatherTask] = {}
 
-    def accept(self, ask: notice.RelayRequest, ready: bool) -> None:
+    def accept(self, ask: gatewaymessage.RelayRequest, ready: bool) -> None:
         """Makes calls, or says at once that it makes none.
 
         Args:
@@ -83,7 +83,7 @@
         self.active_gathers[key] = gather
         gather.start()
 
-    def on_cancel(self, left: notice.RelayCancel) -> None:
+    def on_cancel(self, left: gatewaymessage.RelayCancel) -> None:
         """Ends the calls of a query that nobody waits for any more."""
         gather = self.active_gathers.get((left.sender_address, left.ask_id))
         if gather is not None:
@@ -93,14 +93,16 @@
 class GatherTask:
     """The calls of one ask."""
 
-    def __init__(self, owner: GathererService, ask: notice.RelayRequest):
+    def __init__(
+        self, owner: GathererService, ask: gatewaymessage.RelayRequest
+    ):
         self._owner = owner
         self._ask = ask
         self._started_ms = clock.now_ms()
         self._common = headers.ForwardedRequest(head=ask.head, body=ask.body)
         self._calls: dict[int, pool.Call] = {}
         self._open: dict[int, str] = {}
-        self._ready: list[notice.RelayedOutcome] = []
+        self._ready: list[gatewaymessage.RelayedOutcome] = []
         self._told = False
         self._flush_asked = False
         self._timer: asyncio.TimerHandle | None = None
@@ -190,7 +192,7 @@
 
     def _told_outcome(
         self, call_id: int, read: callcommand.Outcome
-    ) -> notice.RelayedOutcome:
+    ) -> gatewaymessage.RelayedOutcome:
         match read:
             case callcommand.Outcome(
                 kind=callcommand.OutcomeKind.ANSWERED,
@@ -200,7 +202,7 @@
                 signed = headers.signature(reply)
             case _:
                 top = signed = b""
-        return notice.RelayedOutcome(
+        return gatewaymessage.RelayedOutcome(
             call_id=call_id,
             kind=read.kind.value,
             reason=read.reason,
@@ -243,7 +245,7 @@
         self._flush_asked = False
         if not self._ready and not alive:
             return
-        batch = notice.RelayBatch(
+        batch = gatewaymessage.RelayBatch(
             sender_address=self._owner.own_address,
             ask_id=self._ask.ask_id,
             outcomes=tuple(self._ready),
@@ -269,9 +271,9 @@
         self._owner.active_gathers.pop(key, None)
 
 
-def _spared(call_id: int, reason: str) -> notice.RelayedOutcome:
+def _spared(call_id: int, reason: str) -> gatewaymessage.RelayedOutcome:
     """Returns the outcome of a call that was not made."""
-    return notice.RelayedOutcome(
+    return gatewaymessage.RelayedOutcome(
         call_id=call_id,
         kind=callcommand.OutcomeKind.NOT_RUN.value,
         reason=reason,
--- a/hyssoptack/gateway/peering.py
+++ b/hyssoptack/gateway/peering.py
@@ -8,13 +8,13 @@
 import expression
 
 from hyssoptack.core import clock
+from hyssoptack.core import gatewaymessage
 from hyssoptack.core import member
-from hyssoptack.core import notice
 from hyssoptack.events import log
 from hyssoptack.gateway import replicatedview
 from hyssoptack.peers import codec
 from hyssoptack.peers import link
-from hyssoptack.platform import wire
+from hyssoptack.platform import storeformat
 from hyssoptack.policy import listing
 from hyssoptack.policy import readership
 from hyssoptack.settings import gateway
@@ -39,7 +39,7 @@
 OnInstances = collections.abc.Callable[[tuple[member.Peer, ...]], None]
 """Told of each new list of instances, and of who may gather elsewhere."""
 
-OnMessage = collections.abc.Callable[[notice.Message], None]
+OnMessage = collections.abc.Callable[[gatewaymessage.Message], None]
 
 
 def _ignore(_: object) -> None:
@@ -80,7 +80,7 @@
         self.on_undelivered: OnMessage = _ignore
         self.on_link_lost: collections.abc.Callable[[str], None] = _ignore
 
-    def send(self, address: str, each: notice.Message) -> None:
+    def send(self, address: str, each: gatewaymessage.Message) -> None:
         """Sends a message to a neighbour; without a port, to nobody."""
         if self._links is not None:
             self._links.send(address, each)
@@ -93,7 +93,7 @@
             self._settings.peer_address,
             LINK_IDLE_MS,
             asyncio.get_running_loop(),
-            codec.Codec(notice.KINDS),
+            codec.Codec(gatewaymessage.KINDS),
             self._on_received,
             self._on_undelivered,
             lambda address: self.on_link_lost(address),
@@ -124,10 +124,13 @@
             )
 
     def _send_view(
-        self, address: str, change: notice.ListChange, configuration: bytes
+        self,
+        address: str,
+        change: gatewaymessage.ListChange,
+        configuration: bytes,
     ) -> None:
         now_ms = clock.now_ms()
-        made = notice.ViewNotice(
+        made = gatewaymessage.ViewNotice(
             sender_id=self._settings.instance_id,
             sender_address=self._settings.peer_address,
             version=self._beliefs.version,
@@ -147,7 +150,7 @@
         )
         self._links.send(address, made)
 
-    def _answer_wanted(self, wanted: notice.ViewRequest) -> None:
+    def _answer_wanted(self, wanted: gatewaymessage.ViewRequest) -> None:
         """Sends everything to one who could not use the last view."""
         self._history.add(self._beliefs.upstreams)
         fresh = wanted.version >= self._beliefs.version
@@ -166,7 +169,7 @@
         """Tells neighbours who else there is: only readers read that list."""
         if self._links is None:
             return
-        made = notice.InstancesNotice(
+        made = gatewaymessage.InstancesNotice(
             sender_id=self._settings.instance_id,
             neighbours=neighbours,
             total_count=total_count,
@@ -179,7 +182,9 @@
         """Tells neighbours that other failure domains show no life."""
         if self._links is None:
             return
-        made = notice.PartitionNotice(sender_id=self._settings.instance_id)
+        made = gatewaymessage.PartitionNotice(
+            sender_id=self._settings.instance_id
+        )
         for peer in self.reader_election.neighbours():
             self._links.send(peer.address, made)
 
@@ -195,15 +200,17 @@
             calls = self._beliefs.load_balancer.calls_to_share(clock.now_ms())
             if not calls or self._links is None:
                 continue
-            made = notice.LatencyNotice(
+            made = gatewaymessage.LatencyNotice(
                 sender_id=self._settings.instance_id, seen_calls=calls
             )
             for peer in self._some(CALLS_PEERS_COUNT):
                 self._links.send(peer.address, made)
 
-    def _on_undelivered(self, address: str, body: notice.Message) -> None:
+    def _on_undelivered(
+        self, address: str, body: gatewaymessage.Message
+    ) -> None:
         match body:
-            case notice.ViewNotice():
+            case gatewaymessage.ViewNotice():
                 self._told.pop(address, None)
             case _:
                 self.on_undelivered(body)
@@ -211,18 +218,18 @@
     def _on_received(self, received: link.ReceivedFrame) -> None:
         for each in received.decoded.messages:
             match each:
-                case notice.ViewNotice():
+                case gatewaymessage.ViewNotice():
                     self._take(each)
-                case notice.InstancesNotice():
+                case gatewaymessage.InstancesNotice():
                     self.reader_election.install(
                         each.neighbours, each.total_count
                     )
                     self._on_instances(each.far_gatherers)
-                case notice.PartitionNotice():
+                case gatewaymessage.PartitionNotice():
                     self._on_cut()
-                case notice.ViewRequest():
+                case gatewaymessage.ViewRequest():
                     self._answer_wanted(each)
-                case notice.LatencyNotice(seen_calls=seen_calls):
+                case gatewaymessage.LatencyNotice(seen_calls=seen_calls):
                     self._beliefs.load_balancer.merge_neighbour_calls(
                         seen_calls, clock.now_ms()
                     )
@@ -231,7 +238,7 @@
         if received.decoded.dropped_count:
             log.write(log.Event.PEER_UNREADABLE, reason=received.decoded.reason)
 
-    def _take(self, view: notice.ViewNotice) -> None:
+    def _take(self, view: gatewaymessage.ViewNotice) -> None:
         self._beliefs.replace_evacuations(
             frozenset(view.evacuated),
             view.evacuated_at,
@@ -251,20 +258,20 @@
         elif not behind:
             self._ask(view)
 
-    def _ask(self, view: notice.ViewNotice) -> None:
+    def _ask(self, view: gatewaymessage.ViewNotice) -> None:
         """Asks a reader for what its notice left out."""
-        wanted = notice.ViewRequest(
+        wanted = gatewaymessage.ViewRequest(
             address=self._settings.peer_address, version=self._beliefs.version
         )
         if self._links is not None:
             self._links.send(view.sender_address, wanted)
 
-    def _take_configuration(self, view: notice.ViewNotice) -> None:
+    def _take_configuration(self, view: gatewaymessage.ViewNotice) -> None:
         stored = codec.decompress(view.configuration)
         if stored is None:
             log.write(log.Event.CONFIG_REFUSED, errors=["can't be expanded"])
             return
-        match wire.parse_configuration(stored):
+        match storeformat.parse_configuration(stored):
             case expression.Result(tag="ok", ok=offered):
                 source = f"peer {view.sender_id}"
                 self.cache_configuration(stored)
@@ -273,7 +280,7 @@
             case expression.Result(error=detail):
                 log.write(log.Event.CONFIG_REFUSED, errors=[detail])
 
-    def _take_list(self, view: notice.ViewNotice) -> bool:
+    def _take_list(self, view: gatewaymessage.ViewNotice) -> bool:
         """Takes the list; tells whether the own one is as new now."""
         self._history.add(self._beliefs.upstreams)
         taken = listing.apply_change(
--- a/hyssoptack/gateway/quarantinestore.py
+++ b/hyssoptack/gateway/quarantinestore.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from hyssoptack.core import clock
-from hyssoptack.core import notice
+from hyssoptack.core import gatewaymessage
 from hyssoptack.events import log
 from hyssoptack.http1 import message
 from hyssoptack.platform import keyvalue
@@ -122,7 +122,7 @@
 
     def _tell(self, entry: StoredEntry) -> None:
         unix_ms = _unix_ms()
-        told = notice.Suspect(
+        told = gatewaymessage.Suspect(
             fingerprint=entry.fingerprint,
             age_ms=READ_AGE_MS,
             blocked_count=entry.blocked_count,
--- a/hyssoptack/gateway/quarantinestore_test.py
+++ b/hyssoptack/gateway/quarantinestore_test.py
@@ -6,7 +6,7 @@
 from hyssoptack.gateway import gateway_crash_test
 from hyssoptack.gateway import harness
 from hyssoptack.gateway import quarantinesync_test
-from hyssoptack.platform import wire
+from hyssoptack.platform import storeformat
 
 STORED_S = 8.0
 """More than a reader's period (5 s, and 15 in 100 more)."""
@@ -14,7 +14,9 @@
 
 def _stored(site):
     return [
-        key for key in site.store._items if key.startswith(wire.BLOCKED_PREFIX)
+        key
+        for key in site.store._items
+        if key.startswith(storeformat.BLOCKED_PREFIX)
     ]
 
 
--- a/hyssoptack/gateway/quarantinesync.py
+++ b/hyssoptack/gateway/quarantinesync.py
@@ -13,8 +13,8 @@
 import random
 
 from hyssoptack.core import clock
+from hyssoptack.core import gatewaymessage
 from hyssoptack.core import member
-from hyssoptack.core import notice
 from hyssoptack.core import traffic
 from hyssoptack.events import log
 from hyssoptack.gateway import metrics
@@ -68,7 +68,7 @@
     suspicion.ChangeKind.EXPIRED: log.Event.SUSPICION_ENDED,
 }
 
-Send = collections.abc.Callable[[str, notice.Message], None]
+Send = collections.abc.Callable[[str, gatewaymessage.Message], None]
 Peers = collections.abc.Callable[[], collections.abc.Sequence[member.Peer]]
 
 
@@ -180,7 +180,7 @@
         return told_count * SUSPECT_BYTES / PACE_BYTES_PER_S
 
     def _tell(
-        self, suspects: tuple[notice.Suspect, ...], near: int, far: int
+        self, suspects: tuple[gatewaymessage.Suspect, ...], near: int, far: int
     ) -> int:
         """Tells some others; returns how often a request was told of."""
         if not suspects:
@@ -191,9 +191,9 @@
         return len(suspects) * len(peers)
 
     def _notice(
-        self, suspects: tuple[notice.Suspect, ...]
-    ) -> notice.SuspectsNotice:
-        return notice.SuspectsNotice(
+        self, suspects: tuple[gatewaymessage.Suspect, ...]
+    ) -> gatewaymessage.SuspectsNotice:
+        return gatewaymessage.SuspectsNotice(
             sender_id=self._own.instance_id, suspects=suspects
         )
 
@@ -202,7 +202,7 @@
     ) -> list[member.Peer]:
         return self._random.sample(peers, min(len(peers), most_count))
 
-    def _log_shared(self, news: tuple[notice.Suspect, ...]) -> None:
+    def _log_shared(self, news: tuple[gatewaymessage.Suspect, ...]) -> None:
         if news:
             log.write(
                 log.Event.SUSPICION_SHARED,
@@ -216,22 +216,25 @@
         if not peers:
             return
         self._ask_count -= 1
-        wanted = notice.SuspectsRequest(address=self._own.address)
+        wanted = gatewaymessage.SuspectsRequest(address=self._own.address)
         for peer in peers:
             self._send(peer.address, wanted)
 
     # What others tell.
 
     def on_message(
-        self, each: notice.SuspectsNotice | notice.SuspectsRequest
+        self,
+        each: gatewaymessage.SuspectsNotice | gatewaymessage.SuspectsRequest,
     ) -> None:
         """Takes another instance's word, or answers its question."""
         now_ms = clock.now_ms()
         match each:
-            case notice.SuspectsNotice(sender_id=sender_id, suspects=suspects):
+            case gatewaymessage.SuspectsNotice(
+                sender_id=sender_id, suspects=suspects
+            ):
                 for suspect in suspects:
                     self.suspicions.merge_notice(suspect, sender_id, now_ms)
-            case notice.SuspectsRequest(address=address):
+            case gatewaymessage.SuspectsRequest(address=address):
                 suspects = self.suspicions.sample_notices(ANSWER_COUNT, now_ms)
                 if suspects:
                     self._send(address, self._notice(suspects))
--- a/hyssoptack/gateway/quarantinesync_test.py
+++ b/hyssoptack/gateway/quarantinesync_test.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from hyssoptack.core import notice
+from hyssoptack.core import gatewaymessage
 from hyssoptack.gateway import gateway_crash_test
 from hyssoptack.gateway import gateway_test
 from hyssoptack.gateway import harness
@@ -247,7 +247,7 @@
             gathering = site.gateways["s1"]._gathering
             sent = []
             gathering.send = lambda _, body: sent.append(body)
-            ask = notice.RelayRequest(
+            ask = gatewaymessage.RelayRequest(
                 sender_address="127.0.0.1:1",
                 ask_id=1,
                 route_name="route-0",
@@ -257,7 +257,9 @@
                 body=b"",
                 remaining_ms=500.0,
                 to_goal_ms=100.0,
-                calls=(notice.RelayedCall(call_id=1, upstream_id="i-0-0"),),
+                calls=(
+                    gatewaymessage.RelayedCall(call_id=1, upstream_id="i-0-0"),
+                ),
                 fingerprint=name,
             )
             gathering.accept(ask, ready=True)
--- a/hyssoptack/gateway/querydelegation.py
+++ b/hyssoptack/gateway/querydelegation.py
@@ -15,8 +15,8 @@
 import math
 
 from hyssoptack.core import clock
+from hyssoptack.core import gatewaymessage
 from hyssoptack.core import member
-from hyssoptack.core import notice
 from hyssoptack.core import traffic
 from hyssoptack.events import log
 from hyssoptack.gateway import correlationids
@@ -25,7 +25,7 @@
 from hyssoptack.platform import headers
 from hyssoptack.policy import delegation
 
-Send = collections.abc.Callable[[str, notice.Message], None]
+Send = collections.abc.Callable[[str, gatewaymessage.Message], None]
 
 STALL_CHECK_S = 0.1
 """How often an instance that runs others' queries looks whether it stood still;
@@ -150,7 +150,7 @@
         return stalled or now_ms - self._woke_ms < WAKE_MS
 
     def accept(
-        self, ask: notice.DelegationRequest, can_serve: bool
+        self, ask: gatewaymessage.DelegationRequest, can_serve: bool
     ) -> PeerExchange | None:
         """Takes a neighbour's query, or declines it.
 
@@ -166,7 +166,7 @@
         running_already = key in self._taken
         stale = self.messages_may_be_stale()
         begun = running_already or (can_serve and not stale and ask.fresh)
-        taken = notice.DelegationStatus(
+        taken = gatewaymessage.DelegationStatus(
             sender_address=self.own_address, ask_id=ask.ask_id, begun=begun
         )
         self.send(ask.sender_address, taken)
@@ -209,7 +209,7 @@
     ) -> None:
         self._taken.pop(key, None)
         address, ask_id = key
-        answer = notice.DelegationAnswer(
+        answer = gatewaymessage.DelegationAnswer(
             sender_address=self.own_address,
             ask_id=ask_id,
             reply_bytes=self.selector.reply_bytes(route_name),
@@ -226,13 +226,13 @@
 
     # What comes back.
 
-    def on_message(self, each: notice.Message) -> None:
+    def on_message(self, each: gatewaymessage.Message) -> None:
         """Takes a neighbour's word on a query."""
         match each:
-            case notice.DelegationStatus(ask_id=ask_id, begun=begun):
+            case gatewaymessage.DelegationStatus(ask_id=ask_id, begun=begun):
                 if (found := self.pending.get(ask_id)) is not None:
                     found.on_status(begun)
-            case notice.DelegationAnswer(ask_id=ask_id):
+            case gatewaymessage.DelegationAnswer(ask_id=ask_id):
                 if (found := self.pending.get(ask_id)) is not None:
                     found.on_answer(each)
                 else:
@@ -242,17 +242,21 @@
                         ask_id=ask_id,
                         status=each.status,
                     )
-            case notice.DelegationCommit(sender_address=address, ask_id=ask_id):
+            case gatewaymessage.DelegationCommit(
+                sender_address=address, ask_id=ask_id
+            ):
                 self._granted((address, ask_id))
-            case notice.DelegationCancel(sender_address=address, ask_id=ask_id):
+            case gatewaymessage.DelegationCancel(
+                sender_address=address, ask_id=ask_id
+            ):
                 exchange = self._taken.pop((address, ask_id), None)
                 if exchange is not None and exchange.on_abandoned is not None:
                     exchange.on_abandoned()
 
-    def on_undelivered(self, each: notice.Message) -> None:
+    def on_undelivered(self, each: gatewaymessage.Message) -> None:
         """Takes that a message did not reach its neighbour."""
         match each:
-            case notice.DelegationRequest(ask_id=ask_id):
+            case gatewaymessage.DelegationRequest(ask_id=ask_id):
                 if (found := self.pending.get(ask_id)) is not None:
                     found.on_undelivered()
 
@@ -297,7 +301,7 @@
 
     def _ask(self, version: int, fresh: bool) -> None:
         request = self._query.exchange.request
-        ask = notice.DelegationRequest(
+        ask = gatewaymessage.DelegationRequest(
             sender_address=self._owner.own_address,
             ask_id=self._ask_id,
             version=version,
@@ -386,7 +390,7 @@
             message.problem_reply(status, "neighbour_lost")
         )
 
-    def on_answer(self, answer: notice.DelegationAnswer) -> None:
+    def on_answer(self, answer: gatewaymessage.DelegationAnswer) -> None:
         """Passes the neighbour's answer on."""
         self._owner.selector.record_answer(self._peer.address)
         route_name = self._query.route_match.route.name
@@ -431,13 +435,13 @@
         self._end()
 
     def _say_left(self) -> None:
-        left = notice.DelegationCancel(
+        left = gatewaymessage.DelegationCancel(
             sender_address=self._owner.own_address, ask_id=self._ask_id
         )
         self._owner.send(self._peer.address, left)
 
     def _say_granted(self) -> None:
-        granted = notice.DelegationCommit(
+        granted = gatewaymessage.DelegationCommit(
             sender_address=self._owner.own_address, ask_id=self._ask_id
         )
         self._owner.send(self._peer.address, granted)
--- a/hyssoptack/gateway/querydelegation_test.py
+++ b/hyssoptack/gateway/querydelegation_test.py
@@ -5,7 +5,7 @@
 import random
 import types
 
-from hyssoptack.core import notice
+from hyssoptack.core import gatewaymessage
 from hyssoptack.gateway import gateway_test
 from hyssoptack.gateway import harness
 from hyssoptack.gateway import inbound
@@ -166,7 +166,7 @@
             got = await site.get("/all/x", "r1", name="narrow")
             assert got.status == 200
             # Asked again after its answer, it would run the query once more.
-            assert asked.count(notice.DelegationRequest) == 1
+            assert asked.count(gatewaymessage.DelegationRequest) == 1
             runs = [s.run_counts[b"r1"] for s in site.services.values()]
             assert runs == [1, 1, 1, 1]
 
@@ -174,7 +174,7 @@
 
 
 def _ask():
-    return notice.DelegationRequest(
+    return gatewaymessage.DelegationRequest(
         sender_address="n:1",
         ask_id=3,
         version=1,
--- a/hyssoptack/gateway/requesthandler.py
+++ b/hyssoptack/gateway/requesthandler.py
@@ -5,7 +5,7 @@
 import random
 
 from hyssoptack.core import clock
-from hyssoptack.core import notice
+from hyssoptack.core import gatewaymessage
 from hyssoptack.core import traffic
 from hyssoptack.events import log
 from hyssoptack.gateway import callrelay
@@ -56,7 +56,7 @@
         self._serve(exchange, None)
 
     def serve_delegated(
-        self, ask: notice.DelegationRequest, ready: bool
+        self, ask: gatewaymessage.DelegationRequest, ready: bool
     ) -> None:
         """Serves a neighbour's query, or declines it."""
         # With another configuration it might run as its sender may not.
@@ -66,7 +66,9 @@
             self._serve(exchange, ask)
 
     def _serve(
-        self, exchange: inbound.Exchange, ask: notice.DelegationRequest | None
+        self,
+        exchange: inbound.Exchange,
+        ask: gatewaymessage.DelegationRequest | None,
     ) -> None:
         facts = headers.read_metadata(exchange.request)
         if isinstance(facts, str):
--- a/hyssoptack/gateway/restarted_test.py
+++ b/hyssoptack/gateway/restarted_test.py
@@ -3,8 +3,8 @@
 import asyncio
 import random
 
+from hyssoptack.core import gatewaymessage
 from hyssoptack.core import member
-from hyssoptack.core import notice
 from hyssoptack.gateway import callrelay
 from hyssoptack.gateway import gateway_test
 from hyssoptack.gateway import harness
@@ -103,10 +103,10 @@
     _relay(_relaying(asked), lambda *_: None)
     after = _relaying(asked)
     _relay(after, lambda outcomes, _: taken.append(outcomes))
-    part = notice.RelayedOutcome(
+    part = gatewaymessage.RelayedOutcome(
         call_id=1, kind="answered", reason="", reached=True
     )
-    batch = notice.RelayBatch(
+    batch = gatewaymessage.RelayBatch(
         sender_address=GATHERER.address,
         ask_id=asked[0].ask_id,
         outcomes=(part,),
--- a/hyssoptack/gateway/storewatch.py
+++ b/hyssoptack/gateway/storewatch.py
@@ -21,7 +21,7 @@
 from hyssoptack.gateway import replicatedview
 from hyssoptack.http1 import message
 from hyssoptack.platform import keyvalue
-from hyssoptack.platform import wire
+from hyssoptack.platform import storeformat
 from hyssoptack.policy import backoff
 from hyssoptack.policy import evacuation
 from hyssoptack.policy import gatherers
@@ -107,7 +107,7 @@
             self._read_count += 1
             asked_ms = clock.now_ms()
             result = await self._store.read_range(
-                wire.UPSTREAM_PREFIX,
+                storeformat.UPSTREAM_PREFIX,
                 allow_stale=not exact,
                 timeout_ms=self._readers.read_timings.list_timeout_ms,
             )
@@ -146,7 +146,7 @@
         listed: dict[str, traffic.Upstream] = {}
         unreadable: dict[str, str] = {}
         for item in listing.items:
-            match wire.parse_upstream(item.key, item.value):
+            match storeformat.parse_upstream(item.key, item.value):
                 case expression.Result(tag="ok", ok=upstream):
                     cold_ms = min(max(0.0, upstream.cold_ms), COLD_MAX_MS)
                     if cold_ms != upstream.cold_ms:
@@ -209,14 +209,18 @@
     async def _read_configuration(
         self, stale: bool
     ) -> expression.Result[int, keyvalue.Failure]:
-        result = await self._store.read_range(wire.OPERATOR_PREFIX, stale)
+        result = await self._store.read_range(
+            storeformat.OPERATOR_PREFIX, stale
+        )
         return result.map(self._take_operators_keys)
 
     async def _watch_configuration(
         self, revision: int
     ) -> expression.Result[int, keyvalue.Failure]:
         result = await self._store.watch(
-            wire.OPERATOR_PREFIX, revision, self._readers.read_timings.watch_ms
+            storeformat.OPERATOR_PREFIX,
+            revision,
+            self._readers.read_timings.watch_ms,
         )
         return result.map(self._take_operators_changes)
 
@@ -255,9 +259,9 @@
 
     def _evacuated_domain(self, item: keyvalue.Item) -> str | None:
         """Returns the domain that a key evacuates; logs an unknown key once."""
-        domain = wire.evacuated_domain(item.key)
+        domain = storeformat.evacuated_domain(item.key)
         known = domain in self._settings.failure_domains
-        if item.key != wire.CONFIGURATION_KEY and not known:
+        if item.key != storeformat.CONFIGURATION_KEY and not known:
             self._note_ignored(item.key)
         return domain
 
@@ -276,13 +280,13 @@
         taken = [
             self._take_configuration(item.value, source)
             for item in items
-            if item.key == wire.CONFIGURATION_KEY and not item.removed
+            if item.key == storeformat.CONFIGURATION_KEY and not item.removed
         ]
         return any(taken)
 
     def _take_configuration(self, value: bytes, source: str) -> bool:
         """Takes a configuration as stored; tells whether it is now in force."""
-        match wire.parse_configuration(value):
+        match storeformat.parse_configuration(value):
             case expression.Result(tag="ok", ok=offered):
                 now_ms = clock.now_ms()
                 taken = self._beliefs.apply_configuration(
@@ -317,7 +321,7 @@
         granted = await self._store.grant_lease(self._lease_ms)
         match granted:
             case expression.Result(tag="ok", ok=lease):
-                key = wire.PEER_PREFIX + self._settings.instance_id
+                key = storeformat.PEER_PREFIX + self._settings.instance_id
                 written = await self._store.put(key, self._entry(), lease)
                 return lease if written.is_ok() else None
             case _:
@@ -354,7 +358,7 @@
             await self._pause(pause_ms)
             await self._wait_for_turn()
             result = await self._store.read_range(
-                wire.OWN_PREFIX, allow_stale=True
+                storeformat.OWN_PREFIX, allow_stale=True
             )
             match result:
                 case expression.Result(tag="ok", ok=listing):
@@ -367,7 +371,7 @@
     def _take_instances(self, items: list[keyvalue.Item]) -> None:
         peers: list[member.Peer] = []
         for item in items:
-            if not item.key.startswith(wire.PEER_PREFIX):
+            if not item.key.startswith(storeformat.PEER_PREFIX):
                 continue
             try:
                 peer = msgspec.json.decode(item.value, type=member.Peer)
--- a/hyssoptack/gateway/storewatch_test.py
+++ b/hyssoptack/gateway/storewatch_test.py
@@ -9,7 +9,7 @@
 import expression
 
 from hyssoptack.core import clock
-from hyssoptack.core import notice
+from hyssoptack.core import gatewaymessage
 from hyssoptack.events import log
 from hyssoptack.gateway import peering
 from hyssoptack.gateway import pool
@@ -64,7 +64,7 @@
     )
     history = listing.ListHistory()
     history.add(upstreams)
-    made = notice.ViewNotice(
+    made = gatewaymessage.ViewNotice(
         sender_id="g2",
         sender_address="",
         version=0,
--- a/hyssoptack/peers/codec_test.py
+++ b/hyssoptack/peers/codec_test.py
@@ -4,8 +4,8 @@
 from hypothesis import given
 from hypothesis import strategies
 
+from hyssoptack.core import gatewaymessage
 from hyssoptack.core import message
-from hyssoptack.core import notice
 from hyssoptack.core import query
 from hyssoptack.peers import codec
 
@@ -14,8 +14,8 @@
 
 
 def test_every_kind_has_a_number_and_back():
-    numbers = [*message.KINDS, *notice.KINDS]
-    kinds = [*message.KINDS.values(), *notice.KINDS.values()]
+    numbers = [*message.KINDS, *gatewaymessage.KINDS]
+    kinds = [*message.KINDS.values(), *gatewaymessage.KINDS.values()]
     assert len(set(numbers)) == len(numbers) == len(set(kinds))
     assert _CODEC.decode(
         codec.encode_frame([_CODEC.encode(_NOTE)])
--- a/hyssoptack/platform/wire_test.py
+++ b/hyssoptack/platform/storeformat_test.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hyssoptack.core import traffic
-from hyssoptack.platform import wire
+from hyssoptack.platform import storeformat
 
 ROUTE = {
     "name": "r",
@@ -51,7 +51,7 @@
     ],
 )
 def test_each_kind_of_target_is_read(fields, target):
-    found = wire.parse_configuration(stored({**ROUTE, **fields})).ok
+    found = storeformat.parse_configuration(stored({**ROUTE, **fields})).ok
     (route,) = found.routes
     assert route.target == target
     assert not route.idempotent
@@ -70,12 +70,12 @@
     ],
 )
 def test_what_is_no_configuration_is_an_error_value(data):
-    assert "unreadable" in wire.parse_configuration(data).error
+    assert "unreadable" in storeformat.parse_configuration(data).error
 
 
 def test_unknown_fields_are_left_out():
     data = stored({**ROUTE, "service": "one", "new": 1}, newer=True)
-    assert wire.parse_configuration(data).is_ok()
+    assert storeformat.parse_configuration(data).is_ok()
 
 
 ENTRY = {
@@ -94,16 +94,18 @@
 
 
 def test_an_upstreams_entry_is_read():
-    found = wire.parse_upstream("servers/i-1", entry()).ok
+    found = storeformat.parse_upstream("servers/i-1", entry()).ok
     assert found.upstream_id == found.expected_id == "i-1"
     assert found.draining
     assert (found.failure_domain, found.cold_ms) == ("north", 40)
-    assert wire.parse_upstream("servers/i-1", b"[]").is_error()
+    assert storeformat.parse_upstream("servers/i-1", b"[]").is_error()
 
 
 def test_two_starts_under_one_id_are_two_upstreams():
-    first = wire.parse_upstream("servers/i-1", entry(born=1_800_000_000_000)).ok
-    second = wire.parse_upstream(
+    first = storeformat.parse_upstream(
+        "servers/i-1", entry(born=1_800_000_000_000)
+    ).ok
+    second = storeformat.parse_upstream(
         "servers/i-1", entry(born=1_800_000_000_007)
     ).ok
     assert first.upstream_id != second.upstream_id
@@ -130,4 +132,4 @@
     ],
 )
 def test_another_writers_entry_names_no_upstream(key, data):
-    assert "unreadable" in wire.parse_upstream(key, data).error
+    assert "unreadable" in storeformat.parse_upstream(key, data).error
--- a/hyssoptack/policy/listing.py
+++ b/hyssoptack/policy/listing.py
@@ -11,7 +11,7 @@
 import msgspec
 import xxhash
 
-from hyssoptack.core import notice
+from hyssoptack.core import gatewaymessage
 from hyssoptack.core import traffic
 
 HISTORY_COUNT = 6
@@ -33,7 +33,7 @@
 
 
 def apply_change(
-    change: notice.ListChange, own: Upstreams, own_digest: int
+    change: gatewaymessage.ListChange, own: Upstreams, own_digest: int
 ) -> Upstreams | None:
     """Returns the list after a change; None where it is against another list.
 
@@ -72,11 +72,11 @@
         if len(self._lists) > HISTORY_COUNT:
             self._lists.popitem(last=False)
 
-    def full_change(self) -> notice.ListChange:
+    def full_change(self) -> gatewaymessage.ListChange:
         """Returns the list in force, for one who has no part of it."""
         return self._change(EMPTY_DIGEST, {})
 
-    def change_since(self, digest: int | None) -> notice.ListChange:
+    def change_since(self, digest: int | None) -> gatewaymessage.ListChange:
         """Returns what has changed since a list.
 
         Args:
@@ -86,13 +86,15 @@
         """
         before = self._lists.get(digest) if digest is not None else None
         if before is None:
-            return notice.ListChange(
+            return gatewaymessage.ListChange(
                 base_digest=self.digest, digest=self.digest
             )
         return self._change(digest, before)
 
-    def _change(self, digest: int, before: Upstreams) -> notice.ListChange:
-        return notice.ListChange(
+    def _change(
+        self, digest: int, before: Upstreams
+    ) -> gatewaymessage.ListChange:
+        return gatewaymessage.ListChange(
             base_digest=digest,
             digest=self.digest,
             changed=tuple(
--- a/hyssoptack/policy/listing_test.py
+++ b/hyssoptack/policy/listing_test.py
@@ -3,7 +3,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from hyssoptack.core import notice
+from hyssoptack.core import gatewaymessage
 from hyssoptack.peers import codec
 from hyssoptack.policy import callplan_test
 from hyssoptack.policy import listing
@@ -75,7 +75,7 @@
     history.add(named(*names))
     before = history.digest
     history.add(named(*names[3:], "i-new1", "i-new2"))
-    made = notice.ViewNotice(
+    made = gatewaymessage.ViewNotice(
         sender_id="g",
         sender_address="10.0.0.1:1",
         version=1,
@@ -83,6 +83,6 @@
         revision=1,
         change=history.change_since(before),
     )
-    frame = codec.encode_frame([codec.Codec(notice.KINDS).encode(made)])
+    frame = codec.encode_frame([codec.Codec(gatewaymessage.KINDS).encode(made)])
     seven_mbit_bytes = 7_000_000 / 8
     assert 25 * len(frame) < 0.03 * seven_mbit_bytes
--- a/hyssoptack/policy/placing.py
+++ b/hyssoptack/policy/placing.py
@@ -11,8 +11,8 @@
 import collections.abc
 import dataclasses
 
+from hyssoptack.core import gatewaymessage
 from hyssoptack.core import mechanism
-from hyssoptack.core import notice
 from hyssoptack.core import traffic
 from hyssoptack.policy import covering
 from hyssoptack.policy import slowness
@@ -294,7 +294,9 @@
             return None
         return standing.upstream
 
-    def calls_to_share(self, now_ms: float) -> dict[str, notice.LatencySample]:
+    def calls_to_share(
+        self, now_ms: float
+    ) -> dict[str, gatewaymessage.LatencySample]:
         """Returns the calls that neighbours should know of.
 
         Only this instance's own: what it was told would else go round for ever.
@@ -316,14 +318,14 @@
         if slow_count > max(1, LOCAL_FAULT_RATIO * len(fresh)):
             return {}
         return {
-            upstream_id: notice.LatencySample(
+            upstream_id: gatewaymessage.LatencySample(
                 ratio=round(seen.ratio, 1), age_ms=round(now_ms - seen.end_ms)
             )
             for upstream_id, seen in news.items()
         }
 
     def merge_neighbour_calls(
-        self, seen_calls: dict[str, notice.LatencySample], now_ms: float
+        self, seen_calls: dict[str, gatewaymessage.LatencySample], now_ms: float
     ) -> None:
         """Takes a neighbour's calls as if they were its own.
 
--- a/hyssoptack/policy/placing_test.py
+++ b/hyssoptack/policy/placing_test.py
@@ -3,7 +3,7 @@
 import collections
 import dataclasses
 
-from hyssoptack.core import notice
+from hyssoptack.core import gatewaymessage
 from hyssoptack.policy import callplan_test
 from hyssoptack.policy import placing
 from hyssoptack.policy import slowness
@@ -120,7 +120,7 @@
 
 
 def seen_call(ratio=6.0, age_ms=0.0):
-    return notice.LatencySample(ratio=ratio, age_ms=age_ms)
+    return gatewaymessage.LatencySample(ratio=ratio, age_ms=age_ms)
 
 
 def test_seen_calls_of_two_neighbours_add_up():
--- a/hyssoptack/policy/suspect.py
+++ b/hyssoptack/policy/suspect.py
@@ -3,7 +3,7 @@
 import collections.abc
 import dataclasses
 
-from hyssoptack.core import notice
+from hyssoptack.core import gatewaymessage
 
 QUARANTINE_EVENT_COUNT = 3
 """Moments at which upstreams ended under a request that is blocked: as many as
@@ -97,16 +97,16 @@
 
 def to_notice(
     fingerprint: str, entry: SuspectRecord, now_ms: float
-) -> notice.Suspect:
+) -> gatewaymessage.Suspect:
     """Returns what others are told of a request."""
-    return notice.Suspect(
+    return gatewaymessage.Suspect(
         fingerprint=fingerprint,
         age_ms=now_ms - entry.last_crash_ms,
         blocked_count=entry.quarantine_count,
         blocked_for_ms=max(0.0, entry.quarantined_until_ms - now_ms),
         kept_for_ms=max(0.0, entry.expires_ms - now_ms),
         endings=tuple(
-            notice.SuspectCrash(
+            gatewaymessage.SuspectCrash(
                 upstream_id=each.upstream_id,
                 age_ms=now_ms - each.at_ms,
                 proven=each.proven,
@@ -117,7 +117,7 @@
 
 
 def crashes_from_notice(
-    each: notice.Suspect, now_ms: float
+    each: gatewaymessage.Suspect, now_ms: float
 ) -> tuple[UpstreamCrash, ...]:
     """Returns the ends that another instance tells of."""
     return tuple(
@@ -153,7 +153,7 @@
     )
 
 
-def is_worth_sharing(each: notice.Suspect) -> bool:
+def is_worth_sharing(each: gatewaymessage.Suspect) -> bool:
     """Whether a word of another instance is worth taking, and telling."""
     if each.cleared:
         return True
--- a/hyssoptack/policy/suspicion.py
+++ b/hyssoptack/policy/suspicion.py
@@ -28,7 +28,7 @@
 import itertools
 import random
 
-from hyssoptack.core import notice
+from hyssoptack.core import gatewaymessage
 from hyssoptack.policy import suspect
 
 PROBE_JITTER_RATIO = 0.5
@@ -321,7 +321,7 @@
 
     def pop_new_notices(
         self, most_count: int, now_ms: float
-    ) -> tuple[notice.Suspect, ...]:
+    ) -> tuple[gatewaymessage.Suspect, ...]:
         """Takes out what others should know at once: the newest, blocked first.
 
         What is over the count is told with all the rest later.
@@ -334,7 +334,7 @@
 
     def sample_notices(
         self, most_count: int, now_ms: float
-    ) -> tuple[notice.Suspect, ...]:
+    ) -> tuple[gatewaymessage.Suspect, ...]:
         """Returns what others may have missed; what is blocked first."""
         names = self._sample(self._blocked, most_count)
         shared = [name for name, e in self._suspected.items() if e.is_shared]
@@ -349,14 +349,16 @@
     ) -> list[str]:
         return self._random.sample(tuple(names), min(len(names), most_count))
 
-    def _told(self, fingerprint: str, now_ms: float) -> notice.Suspect | None:
+    def _told(
+        self, fingerprint: str, now_ms: float
+    ) -> gatewaymessage.Suspect | None:
         entry = self._blocked.get(fingerprint)
         entry = entry or self._suspected.get(fingerprint)
         if entry is None:
             answered_ms = self._answered.get(fingerprint)
             if answered_ms is None:
                 return None
-            return notice.Suspect(
+            return gatewaymessage.Suspect(
                 fingerprint=fingerprint,
                 age_ms=now_ms - answered_ms,
                 cleared=True,
@@ -383,7 +385,7 @@
         )
 
     def merge_notice(
-        self, each: notice.Suspect, source: str, now_ms: float
+        self, each: gatewaymessage.Suspect, source: str, now_ms: float
     ) -> None:
         """Takes another instance's word."""
         if not self._enabled or not suspect.is_worth_sharing(each):
@@ -414,7 +416,7 @@
 
     def _take_blocked(
         self,
-        each: notice.Suspect,
+        each: gatewaymessage.Suspect,
         at_ms: float,
         source: str,
         now_ms: float,
--- a/hyssoptack/relay/client.py
+++ b/hyssoptack/relay/client.py
@@ -16,7 +16,7 @@
 from hyssoptack.core import keyspace
 from hyssoptack.core import message
 from hyssoptack.core import query
-from hyssoptack.core import waiting
+from hyssoptack.core import timeouts
 
 STATE_HEADER = "Upstream-State"
 DRAINING = "draining"
@@ -187,7 +187,7 @@
             self._post_act(f"http://{upstream.address}/act", body)
         )
         try:
-            if await waiting.wait_until_done(sent, remaining_ms):
+            if await timeouts.wait_until_done(sent, remaining_ms):
                 return sent.result()
         finally:
             sent.cancel()
--- a/hyssoptack/reports/calls.py
+++ b/hyssoptack/reports/calls.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from hyssoptack.reports import story
+from hyssoptack.reports import timeline
 
 UNSENT_PREFIXES = (
     "connect_failed",
@@ -43,7 +43,7 @@
         return self.outcome == "answered"
 
 
-def parse(entry: story.Entry) -> list[Call]:
+def parse(entry: timeline.Entry) -> list[Call]:
     """Returns the calls of a request's last line."""
     found = []
     for text in entry.fields.get("calls", ()):
--- a/hyssoptack/reports/margins.py
+++ b/hyssoptack/reports/margins.py
@@ -12,7 +12,7 @@
 import cyclopts
 
 from hyssoptack.reports import calls
-from hyssoptack.reports import story
+from hyssoptack.reports import timeline
 
 SHOWN_COUNT = 5
 """Most requests and services that are named for each limit."""
@@ -55,7 +55,7 @@
 
 
 def services_by_upstream(
-    entries: collections.abc.Iterable[story.Entry],
+    entries: collections.abc.Iterable[timeline.Entry],
 ) -> dict[str, str]:
     """Returns the service of each upstream that the entries tell of."""
     known: dict[str, str] = {}
@@ -68,7 +68,7 @@
     return known
 
 
-def spreads(entries: list[story.Entry]) -> list[Spread]:
+def spreads(entries: list[timeline.Entry]) -> list[Spread]:
     """Returns each request's spread over upstreams, the widest first."""
     known = services_by_upstream(entries)
     taken_back = {
@@ -108,7 +108,7 @@
     )
 
 
-def windows(entries: list[story.Entry], window_s: float) -> list[Window]:
+def windows(entries: list[timeline.Entry], window_s: float) -> list[Window]:
     """Returns each service's fullest window of extra calls, the fullest first.
 
     Args:
@@ -154,7 +154,7 @@
     )
 
 
-def text(entries: list[story.Entry], window_s: float) -> str:
+def text(entries: list[timeline.Entry], window_s: float) -> str:
     """Returns the margins for people."""
     found = spreads(entries)
     counts = collections.Counter(
@@ -187,7 +187,7 @@
         window_s: The window in which extra calls are counted.
     """
     with log.open(encoding="utf-8", errors="replace") as lines:
-        entries = story.read(lines)
+        entries = timeline.read(lines)
     print(text(entries, window_s))
 
 
--- a/hyssoptack/reports/margins_test.py
+++ b/hyssoptack/reports/margins_test.py
@@ -1,14 +1,14 @@
 """Margins over the lines of several instances."""
 
 from hyssoptack.reports import margins
-from hyssoptack.reports import story
-from hyssoptack.reports import story_test
+from hyssoptack.reports import timeline
+from hyssoptack.reports import timeline_test
 
 CAME = {"a-1": "s1", "a-2": "s1", "a-3": "s1", "b-1": "s2"}
 
 
 def _ended(time_s, instance, request_id, *calls):
-    return story_test.line(
+    return timeline_test.line(
         time_s,
         "request_ended",
         instance=instance,
@@ -19,8 +19,8 @@
 
 
 LINES = [
-    story_test.line(0.0, "upstreams_changed", came=CAME),
-    story_test.line(1.0, "query_back", request_id="r1"),
+    timeline_test.line(0.0, "upstreams_changed", came=CAME),
+    timeline_test.line(1.0, "query_back", request_id="r1"),
     _ended(1.1, "wide", "r1", "a-1 first +3 9 cancelled",
            "a-2@far hedge +71 1 cancelled", "b-1 first +3 9 answered"),
     _ended(1.2, "narrow", "r1", "a-3 taken_back +35 9 answered"),
@@ -30,7 +30,7 @@
 
 
 def test_calls_of_all_instances_for_one_request_are_added_up():
-    first, second = margins.spreads(story.read(LINES))
+    first, second = margins.spreads(timeline.read(LINES))
     assert (first.request_id, first.service) == ("r1", "s1")
     assert first.upstream_count == 3
     assert first.instance_ids == ("narrow", "wide")
@@ -40,14 +40,14 @@
 
 
 def test_the_fullest_window_is_found():
-    (found, *_) = margins.windows(story.read(LINES), 10.0)
+    (found, *_) = margins.windows(timeline.read(LINES), 10.0)
     assert (found.service, found.extra_count) == ("s1", 3)
     assert found.request_count == 2
-    (brief, *_) = margins.windows(story.read(LINES), 0.05)
+    (brief, *_) = margins.windows(timeline.read(LINES), 0.05)
     assert brief.extra_count == 1
 
 
 def test_the_text_names_the_requests_that_come_nearest():
-    text = margins.text(story.read(LINES), 10.0)
+    text = margins.text(timeline.read(LINES), 10.0)
     assert "3: 1 requests (handed over and taken back)" in text
     assert "r1: 3 of s1, by narrow, wide" in text
--- a/hyssoptack/reports/profile.py
+++ b/hyssoptack/reports/profile.py
@@ -14,7 +14,7 @@
 
 from hyssoptack.reports import calls
 from hyssoptack.reports import margins
-from hyssoptack.reports import story
+from hyssoptack.reports import timeline
 
 TOP_COUNT = 5
 """Reasons that are named for each route."""
@@ -44,7 +44,7 @@
     )
 
 
-def routes(entries: list[story.Entry]) -> dict[str, Route]:
+def routes(entries: list[timeline.Entry]) -> dict[str, Route]:
     """Returns what the requests of each route did."""
     known = margins.services_by_upstream(entries)
     found: dict[str, Route] = {}
@@ -56,7 +56,7 @@
     return found
 
 
-def _note(route: Route, entry: story.Entry, known: dict[str, str]) -> None:
+def _note(route: Route, entry: timeline.Entry, known: dict[str, str]) -> None:
     made = calls.parse(entry)
     route.took_ms.append(entry.fields["took_ms"])
     answers = [each.after_ms + each.took_ms for each in made if each.answered]
@@ -121,7 +121,7 @@
         log: The lines of all instances.
     """
     with log.open(encoding="utf-8", errors="replace") as lines:
-        entries = story.read(lines)
+        entries = timeline.read(lines)
     print(text(routes(entries)))
 
 
--- a/hyssoptack/reports/profile_test.py
+++ b/hyssoptack/reports/profile_test.py
@@ -1,14 +1,14 @@
 """The profile of requests over the lines of several instances."""
 
 from hyssoptack.reports import profile
-from hyssoptack.reports import story
-from hyssoptack.reports import story_test
+from hyssoptack.reports import timeline
+from hyssoptack.reports import timeline_test
 
 CAME = {"a-1": "s1", "a-2": "s1", "b-1": "s2", "b-2": "s2"}
 
 
 def _ended(reason, status, *calls):
-    return story_test.line(
+    return timeline_test.line(
         1.0,
         "request_ended",
         prefix="1.0 g ",
@@ -22,7 +22,7 @@
 
 
 LINES = [
-    story_test.line(0.0, "upstreams_changed", came=CAME),
+    timeline_test.line(0.0, "upstreams_changed", came=CAME),
     _ended("2/2", 200, "a-1 first +2 40 cancelled", "a-2 hedge +30 20 answered",
            "b-1 first +2 9 answered"),
     _ended("1/2", 200, "a-1 first +0 12 answered", "a-2 hedge +10 5 cancelled",
@@ -32,7 +32,7 @@
 
 
 def test_times_outcomes_and_extra_calls_of_a_route():
-    route = profile.routes(story.read(LINES))["browse"]
+    route = profile.routes(timeline.read(LINES))["browse"]
     assert route.first_ms == [11.0, 12.0]
     assert route.last_ms == [50.0, 12.0]
     assert route.reasons == {"parts left out": 1, "no_retry_budget": 1}
@@ -41,6 +41,6 @@
 
 
 def test_the_text_names_each_route():
-    shown = profile.text(profile.routes(story.read(LINES)))
+    shown = profile.text(profile.routes(timeline.read(LINES)))
     assert "browse: 3 requests" in shown
     assert "calls made once more (hedge): 2, of which brought" in shown
--- a/hyssoptack/reports/story_test.py
+++ b/hyssoptack/reports/timeline_test.py
@@ -2,7 +2,7 @@
 
 import json
 
-from hyssoptack.reports import story
+from hyssoptack.reports import timeline
 
 
 def line(time_s, kind, instance="g-1", prefix="", **fields):
@@ -30,7 +30,7 @@
 
 
 def test_a_story_has_the_requests_lines_and_what_was_believed_then():
-    told = story.for_request(story.read(LINES), "r1")
+    told = timeline.for_request(timeline.read(LINES), "r1")
     assert [each.kind for each in told] == [
         "config_in_force",
         "call_extra",
@@ -40,10 +40,12 @@
 
 
 def test_the_text_names_instance_time_and_calls():
-    text = story.text(story.for_request(story.read(LINES), "r1"))
+    text = timeline.text(timeline.for_request(timeline.read(LINES), "r1"))
     assert "-100.0 ms  g-1  call_extra" in text
     assert "i-1 first +0 90 cancelled" in text
 
 
 def test_an_unknown_request_is_said_so():
-    assert "no line" in story.text(story.for_request(story.read(LINES), "r9"))
+    assert "no line" in timeline.text(
+        timeline.for_request(timeline.read(LINES), "r9")
+    )
--- a/hyssoptack/scripts/explain.py
+++ b/hyssoptack/scripts/explain.py
@@ -5,7 +5,7 @@
 
 import cyclopts
 
-from hyssoptack.reports import story
+from hyssoptack.reports import timeline
 
 EXIT_OK = 0
 EXIT_NOT_FOUND = 1
@@ -34,6 +34,6 @@
         except OSError as error:
             print(f"{path}: {error.strerror}", file=sys.stderr)
             return EXIT_USAGE
-    told = story.for_request(story.read(lines), request_id)
-    print(story.text(told))
+    told = timeline.for_request(timeline.read(lines), request_id)
+    print(timeline.text(told))
     return EXIT_OK if told else EXIT_NOT_FOUND
--- a/hyssoptack/scripts/main.py
+++ b/hyssoptack/scripts/main.py
@@ -19,8 +19,8 @@
 from hyssoptack.scripts import caller
 from hyssoptack.scripts import explain
 from hyssoptack.settings import catalog as catalog_settings
-from hyssoptack.settings import check
 from hyssoptack.settings import instance
+from hyssoptack.settings import validation
 
 EXIT_OK = 0
 EXIT_FAILED = 1
@@ -83,7 +83,7 @@
     sys.exit(code)
 
 
-def _fail_settings(errors: list[check.SettingsError]) -> typing.NoReturn:
+def _fail_settings(errors: list[validation.SettingsError]) -> typing.NoReturn:
     _fail("\n".join(str(each) for each in errors), EXIT_USAGE)
 
 
@@ -91,7 +91,7 @@
     store_address: str, members_address: str
 ) -> instance.PlatformSettings:
     for address in (store_address, members_address):
-        if not check.is_address(address):
+        if not validation.is_address(address):
             _fail(f"{address!r} is not IP:port", EXIT_USAGE)
     return instance.PlatformSettings(
         store_address=store_address,
--- a/hyssoptack/settings/catalog.py
+++ b/hyssoptack/settings/catalog.py
@@ -13,7 +13,7 @@
 from hyssoptack.core import catalog
 from hyssoptack.core import keyspace
 from hyssoptack.core import query
-from hyssoptack.settings import check
+from hyssoptack.settings import validation
 
 PROFILES_PART = "profiles"
 SERVICE_PREFIX = "service/"
@@ -27,7 +27,7 @@
     return hashlib.sha256(text.encode()).hexdigest()[:32]
 
 
-def _profile(name: str, fields: check.Fields) -> catalog.Profile:
+def _profile(name: str, fields: validation.Fields) -> catalog.Profile:
     result = catalog.Profile(
         name=name,
         deadline_ms=fields.count("deadline_ms", 1, 60_000),
@@ -44,7 +44,7 @@
 
 
 def _upstream(
-    fields: check.Fields, defaults: dict[str, typing.Any]
+    fields: validation.Fields, defaults: dict[str, typing.Any]
 ) -> catalog.Upstream:
     result = catalog.Upstream(
         upstream_id=fields.text("upstream_id"),
@@ -67,7 +67,7 @@
     return result
 
 
-def _upstream_defaults(fields: check.Fields) -> dict[str, typing.Any]:
+def _upstream_defaults(fields: validation.Fields) -> dict[str, typing.Any]:
     result = {
         "slot_count": fields.count("slot_count", 1, 10_000),
         "connection_limit_count": fields.count(
@@ -80,7 +80,7 @@
 
 
 def _shard(
-    fields: check.Fields, defaults: dict[str, typing.Any]
+    fields: validation.Fields, defaults: dict[str, typing.Any]
 ) -> tuple[catalog.Shard, list[catalog.Upstream]]:
     low = fields.count("low", 0, keyspace.KEYSPACE_SIZE_COUNT - 1)
     high = fields.count("high", 1, keyspace.KEYSPACE_SIZE_COUNT)
@@ -99,7 +99,7 @@
 
 
 def _check_shards(
-    fields: check.Fields,
+    fields: validation.Fields,
     shards: list[catalog.Shard],
     upstreams: list[catalog.Upstream],
 ) -> None:
@@ -123,7 +123,7 @@
         fields.error("shards", name, "each upstream_id once")
 
 
-def _service(name: str, fields: check.Fields) -> catalog.Service:
+def _service(name: str, fields: validation.Fields) -> catalog.Service:
     defaults = _upstream_defaults(
         fields.submapping("upstream_defaults", required=True)
     )
@@ -148,13 +148,13 @@
 
 def split(
     text: str, file: str
-) -> tuple[dict[str, str], list[check.SettingsError]]:
+) -> tuple[dict[str, str], list[validation.SettingsError]]:
     """Splits one configuration document into part texts by part name.
 
     Returns:
         The parts and a list of errors in the document's shape or its values.
     """
-    document, errors = check.parse_yaml(text, file)
+    document, errors = validation.parse_yaml(text, file)
     if errors:
         return {}, errors
     if not isinstance(document, dict) or set(document) != {
@@ -166,10 +166,10 @@
             if isinstance(document, dict)
             else document
         )
-        error = check.SettingsError(
+        error = validation.SettingsError(
             file=file,
             key="(document)",
-            value=check.abbreviated(found),
+            value=validation.abbreviated(found),
             expected="profiles and services",
         )
         return {}, [error]
@@ -185,7 +185,7 @@
 
 def assemble(
     revision: int, parts: dict[str, str], file: str
-) -> tuple[catalog.Catalog, list[check.SettingsError]]:
+) -> tuple[catalog.Catalog, list[validation.SettingsError]]:
     """Builds a catalog from part texts.
 
     Args:
@@ -196,14 +196,14 @@
     Returns:
         The catalog and a list of errors; usable only when the list is empty.
     """
-    errors: list[check.SettingsError] = []
+    errors: list[validation.SettingsError] = []
     profiles: dict[str, catalog.Profile] = {}
     services: dict[str, catalog.Service] = {}
     for part_name in sorted(parts):
         text = parts[part_name]
         if len(text.encode()) > PART_LIMIT_BYTES:
             errors.append(
-                check.SettingsError(
+                validation.SettingsError(
                     file=file,
                     key=part_name,
                     value=f"{len(text.encode())} bytes",
@@ -211,9 +211,9 @@
                 )
             )
             continue
-        document, yaml_errors = check.parse_yaml(text, file)
+        document, yaml_errors = validation.parse_yaml(text, file)
         errors.extend(yaml_errors)
-        fields = check.Fields(document, file, "", errors)
+        fields = validation.Fields(document, file, "", errors)
         if part_name == PROFILES_PART:
             for name, each in fields.named_mappings("profiles").items():
                 profiles[name] = _profile(name, each)
@@ -225,10 +225,10 @@
     for service in services.values():
         if service.profile not in profiles:
             errors.append(
-                check.SettingsError(
+                validation.SettingsError(
                     file=file,
                     key=f"services.{service.name}.profile",
-                    value=check.abbreviated(service.profile),
+                    value=validation.abbreviated(service.profile),
                     expected="one of: " + ", ".join(sorted(profiles)),
                 )
             )
--- a/hyssoptack/settings/instance.py
+++ b/hyssoptack/settings/instance.py
@@ -3,7 +3,7 @@
 import dataclasses
 import pathlib
 
-from hyssoptack.settings import check
+from hyssoptack.settings import validation
 
 _HOUR_MS = 3_600_000
 
@@ -123,7 +123,7 @@
     shutdown: ShutdownSettings
 
 
-def _platform(fields: check.Fields) -> PlatformSettings:
+def _platform(fields: validation.Fields) -> PlatformSettings:
     result = PlatformSettings(
         store_address=fields.address("store_address"),
         instance_list_address=fields.address("instance_list_address"),
@@ -139,7 +139,7 @@
     return result
 
 
-def _front(fields: check.Fields) -> FrontSettings:
+def _front(fields: validation.Fields) -> FrontSettings:
     result = FrontSettings(
         thread_count=fields.count("thread_count", 4, 1_000, 64),
         max_query_count=fields.count("max_query_count", 1, 10_000, 24),
@@ -168,7 +168,7 @@
     return result
 
 
-def _peers(fields: check.Fields) -> PeerSettings:
+def _peers(fields: validation.Fields) -> PeerSettings:
     result = PeerSettings(
         period_ms=fields.number("period_ms", 50, 60_000, 500),
         fanout_count=fields.count("fanout_count", 1, 64, 4),
@@ -180,7 +180,7 @@
     return result
 
 
-def _relay(fields: check.Fields) -> RelaySettings:
+def _relay(fields: validation.Fields) -> RelaySettings:
     result = RelaySettings(
         owner_count=fields.count("owner_count", 1, 1_000, 3),
         column_size_count=fields.count("column_size_count", 1, 10_000, 40),
@@ -192,7 +192,7 @@
     return result
 
 
-def _shutdown(fields: check.Fields) -> ShutdownSettings:
+def _shutdown(fields: validation.Fields) -> ShutdownSettings:
     result = ShutdownSettings(
         balancer_lag_ms=fields.number("balancer_lag_ms", 0, 600_000, 1_500),
         drain_limit_ms=fields.number("drain_limit_ms", 0, 600_000, 10_000),
@@ -203,7 +203,7 @@
 
 def parse(
     text: str, file: str
-) -> tuple[InstanceSettings, list[check.SettingsError]]:
+) -> tuple[InstanceSettings, list[validation.SettingsError]]:
     """Reads instance settings from YAML text.
 
     Args:
@@ -214,10 +214,10 @@
         The settings and a list of errors; the settings are usable only when the
         list is empty.
     """
-    document, errors = check.parse_yaml(text, file)
+    document, errors = validation.parse_yaml(text, file)
     if errors:
         document = {}
-    fields = check.Fields(document, file, "", errors)
+    fields = validation.Fields(document, file, "", errors)
     result = InstanceSettings(
         instance_id=fields.text("instance_id"),
         failure_domain=fields.text("failure_domain"),
@@ -237,7 +237,7 @@
 
 def load(
     path: pathlib.Path,
-) -> tuple[InstanceSettings | None, list[check.SettingsError]]:
+) -> tuple[InstanceSettings | None, list[validation.SettingsError]]:
     """Reads instance settings from a file.
 
     Returns:
@@ -247,7 +247,7 @@
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         return None, [
-            check.SettingsError(
+            validation.SettingsError(
                 file=str(path),
                 key="(file)",
                 value=str(error),
