--- a/hyssoptack/gateway/budgetshare.py
+++ b/hyssoptack/gateway/budgetshare.py
@@ -2,7 +2,7 @@
 
 from hyssoptack.gateway import derivedsettings
 from hyssoptack.policy import extrawindow
-from hyssoptack.policy import readership
+from hyssoptack.policy import readerelection
 from hyssoptack.settings import gateway
 
 MIN_INSTANCE_COUNT = 12
@@ -65,7 +65,7 @@
 def update_shares(
     book: extrawindow.WindowBudget,
     settings: gateway.GatewaySettings,
-    readers: readership.ReaderElection,
+    readers: readerelection.ReaderElection,
 ) -> None:
     """Gives an instance its parts, from the instances that it knows of."""
     even = even_share(settings.budget, readers.peak_instance_count)
--- a/hyssoptack/gateway/daemon.py
+++ b/hyssoptack/gateway/daemon.py
@@ -43,10 +43,10 @@
 from hyssoptack.policy import extrawindow
 from hyssoptack.policy import gatherers
 from hyssoptack.policy import knowing
+from hyssoptack.policy import partitiondetector
 from hyssoptack.policy import placing
-from hyssoptack.policy import reach
-from hyssoptack.policy import readership
-from hyssoptack.policy import suspicion
+from hyssoptack.policy import quarantine
+from hyssoptack.policy import readerelection
 from hyssoptack.policy import warmup
 from hyssoptack.settings import gateway
 
@@ -103,16 +103,16 @@
             on_configuration=self._on_configuration,
             keeps_lapsed_upstreams=settings.mechanisms.grace,
         )
-        self.reader_election = readership.ReaderElection(
+        self.reader_election = readerelection.ReaderElection(
             settings.instance_id,
             settings.failure_domain,
-            readership.read_timings(settings.propagation_bound_ms),
+            readerelection.read_timings(settings.propagation_bound_ms),
         )
         self._extra_calls = extrawindow.WindowBudget(
             budgetshare.even_share(settings.budget, 0), clock.now_ms()
         )
-        self._reach = reach.PartitionDetector()
-        self._suspicions = suspicion.SuspectRegistry(
+        self._reach = partitiondetector.PartitionDetector()
+        self._suspicions = quarantine.SuspectRegistry(
             random.Random(), settings.mechanisms.suspicion
         )
         self._suspicions.set_trusted(
@@ -386,7 +386,7 @@
         log.write(log.Event.RELOADED, changed=changed, at_restart=waiting)
         self._settings = settings
         self._store.set_address(settings.store_address)
-        self.reader_election.read_timings = readership.read_timings(
+        self.reader_election.read_timings = readerelection.read_timings(
             settings.propagation_bound_ms
         )
         self._placing.settings = derivedsettings.load_balancer_settings(
--- a/hyssoptack/gateway/gathererservice.py
+++ b/hyssoptack/gateway/gathererservice.py
@@ -22,8 +22,8 @@
 from hyssoptack.policy import callresult
 from hyssoptack.policy import gatherers
 from hyssoptack.policy import hedgetime
+from hyssoptack.policy import quarantine
 from hyssoptack.policy import records
-from hyssoptack.policy import suspicion
 
 RELAYED_RANK = sys.maxsize
 """Urgency of relayed calls where an upstream is scarce: queries of its own
@@ -43,7 +43,7 @@
         send: Send,
         limit_count: LimitCount,
         is_stale: collections.abc.Callable[[], bool],
-        suspicions: suspicion.SuspectRegistry,
+        suspicions: quarantine.SuspectRegistry,
     ):
         """Makes the calls of one instance, of which there are none yet.
 
--- a/hyssoptack/gateway/partitionmonitor.py
+++ b/hyssoptack/gateway/partitionmonitor.py
@@ -10,7 +10,7 @@
 from hyssoptack.gateway import pool
 from hyssoptack.gateway import replicatedview
 from hyssoptack.http1 import message
-from hyssoptack.policy import reach
+from hyssoptack.policy import partitiondetector
 
 CHECK_PERIOD_S = 0.05
 """How soon a doubt is looked into. Two looks of a cut that drops packets then
@@ -44,7 +44,7 @@
     def __init__(
         self,
         believed: replicatedview.ReplicatedView,
-        known: reach.PartitionDetector,
+        known: partitiondetector.PartitionDetector,
         failure_domain: str,
         store_address: collections.abc.Callable[[], str],
         on_change: collections.abc.Callable[[], None],
@@ -64,7 +64,10 @@
         """Looks into doubts for as long as it runs."""
         while True:
             before = self._state()
-            if self._known.state is not reach.PartitionState.CONNECTED:
+            if (
+                self._known.state
+                is not partitiondetector.PartitionState.CONNECTED
+            ):
                 self._known.record_check(await self._look(), clock.now_ms())
             self._note_change(before)
             # A query may have ended the cut meanwhile.
@@ -77,7 +80,7 @@
             await asyncio.sleep(pause_s)
             self._note_change(before)
 
-    async def _look(self) -> reach.CheckResult:
+    async def _look(self) -> partitiondetector.CheckResult:
         far = self._far()
         chosen = self._random.sample(far, min(PROBE_COUNT, len(far)))
         store_alive, *far_alive = await asyncio.gather(
@@ -85,7 +88,7 @@
             *(self._probe(each.address) for each in chosen),
         )
         # Where nothing is listed elsewhere, nothing can be cut off.
-        return reach.CheckResult(
+        return partitiondetector.CheckResult(
             others_alive=any(far_alive) or not far,
             store_alive=store_alive,
             covers_all_services=self._beliefs.load_balancer.own_domain_covers(
--- a/hyssoptack/gateway/partitionmonitor_test.py
+++ b/hyssoptack/gateway/partitionmonitor_test.py
@@ -5,7 +5,7 @@
 from hyssoptack.gateway import gateway_test
 from hyssoptack.gateway import harness
 from hyssoptack.gateway import partitionmonitor
-from hyssoptack.policy import reach
+from hyssoptack.policy import partitiondetector
 from hyssoptack.standins import ports
 
 
@@ -24,7 +24,7 @@
 
             running._reaching._probe = probe
             assert await site.readiness_status() == 200
-            running._reach.state = reach.PartitionState.SUSPECTED
+            running._reach.state = partitiondetector.PartitionState.SUSPECTED
             await asyncio.sleep(4 * partitionmonitor.CHECK_PERIOD_S)
             assert running._reach.is_partitioned
             assert await site.readiness_status() == 503
@@ -68,7 +68,9 @@
 
             for each in (first, second):
                 each._reaching._probe = silence
-            first._reach.record_wait(reach.RemoteCallTally(sent_count=4), 200.0)
+            first._reach.record_wait(
+                partitiondetector.RemoteCallTally(sent_count=4), 200.0
+            )
             async with asyncio.timeout(3.0):
                 while not second._reach.is_partitioned:
                     await asyncio.sleep(0.05)
--- a/hyssoptack/gateway/peering.py
+++ b/hyssoptack/gateway/peering.py
@@ -15,8 +15,8 @@
 from hyssoptack.peers import codec
 from hyssoptack.peers import link
 from hyssoptack.platform import storeformat
-from hyssoptack.policy import listing
-from hyssoptack.policy import readership
+from hyssoptack.policy import listdelta
+from hyssoptack.policy import readerelection
 from hyssoptack.settings import gateway
 
 LINK_IDLE_MS = 60_000.0
@@ -53,7 +53,7 @@
         self,
         settings: gateway.GatewaySettings,
         believed: replicatedview.ReplicatedView,
-        readers: readership.ReaderElection,
+        readers: readerelection.ReaderElection,
         on_instances: OnInstances,
         on_cut: collections.abc.Callable[[], None],
     ):
@@ -72,7 +72,7 @@
         self._on_instances = on_instances
         self._on_cut = on_cut
         self._told: dict[str, _Told] = {}
-        self._history = listing.ListHistory()
+        self._history = listdelta.ListHistory()
         self._configuration = b""
         self._random = random.Random()
         self._links: link.Links | None = None
@@ -283,7 +283,7 @@
     def _take_list(self, view: gatewaymessage.ViewNotice) -> bool:
         """Takes the list; tells whether the own one is as new now."""
         self._history.add(self._beliefs.upstreams)
-        taken = listing.apply_change(
+        taken = listdelta.apply_change(
             view.change, self._beliefs.upstreams, self._history.digest
         )
         if taken is None:
--- a/hyssoptack/gateway/quarantinestore.py
+++ b/hyssoptack/gateway/quarantinestore.py
@@ -19,8 +19,8 @@
 from hyssoptack.events import log
 from hyssoptack.http1 import message
 from hyssoptack.platform import keyvalue
-from hyssoptack.policy import suspect
-from hyssoptack.policy import suspicion
+from hyssoptack.policy import quarantine
+from hyssoptack.policy import suspectrecord
 
 STORED_COUNT = 32
 """Most requests that are written at a time, the newest: the store takes 32
@@ -64,7 +64,7 @@
 
     def __init__(
         self,
-        known: suspicion.SuspectRegistry,
+        known: quarantine.SuspectRegistry,
         store: keyvalue.Client,
         prefix: str,
     ):
@@ -132,7 +132,9 @@
         self._known.merge_notice(told, "store", clock.now_ms())
 
     async def _write(
-        self, missing: list[tuple[str, suspect.SuspectRecord]], now_ms: float
+        self,
+        missing: list[tuple[str, suspectrecord.SuspectRecord]],
+        now_ms: float,
     ) -> None:
         ttl_ms = max(entry.expires_ms - now_ms for _, entry in missing)
         unix_ms = _unix_ms() - now_ms
--- a/hyssoptack/gateway/quarantinesync.py
+++ b/hyssoptack/gateway/quarantinesync.py
@@ -19,7 +19,7 @@
 from hyssoptack.events import log
 from hyssoptack.gateway import metrics
 from hyssoptack.gateway import pool
-from hyssoptack.policy import suspicion
+from hyssoptack.policy import quarantine
 
 ROUND_S = 1.0
 """How often a part of all is told: an instance that missed some has heard it
@@ -61,11 +61,11 @@
 as many calls of this instance at most as that and its queue."""
 
 EVENTS = {
-    suspicion.ChangeKind.SUSPECTED: log.Event.SUSPICION_BEGAN,
-    suspicion.ChangeKind.QUARANTINED: log.Event.REQUEST_BLOCKED,
-    suspicion.ChangeKind.PROBED: log.Event.REQUEST_TRIED,
-    suspicion.ChangeKind.CLEARED: log.Event.SUSPICION_ENDED,
-    suspicion.ChangeKind.EXPIRED: log.Event.SUSPICION_ENDED,
+    quarantine.ChangeKind.SUSPECTED: log.Event.SUSPICION_BEGAN,
+    quarantine.ChangeKind.QUARANTINED: log.Event.REQUEST_BLOCKED,
+    quarantine.ChangeKind.PROBED: log.Event.REQUEST_TRIED,
+    quarantine.ChangeKind.CLEARED: log.Event.SUSPICION_ENDED,
+    quarantine.ChangeKind.EXPIRED: log.Event.SUSPICION_ENDED,
 }
 
 Send = collections.abc.Callable[[str, gatewaymessage.Message], None]
@@ -77,7 +77,7 @@
 
     def __init__(
         self,
-        known: suspicion.SuspectRegistry,
+        known: quarantine.SuspectRegistry,
         own: member.Peer,
         near: Peers,
         far: Peers,
@@ -127,7 +127,7 @@
             in_hand_count=len(in_hand),
         )
 
-    def _on_change(self, change: suspicion.SuspicionChange) -> None:
+    def _on_change(self, change: quarantine.SuspicionChange) -> None:
         self._metrics.suspicion_events.inc({"what": change.kind.value})
         log.write(
             EVENTS[change.kind],
@@ -138,7 +138,7 @@
             for_ms=round(change.quarantine_ms),
             source=change.source,
         )
-        if change.kind is suspicion.ChangeKind.QUARANTINED:
+        if change.kind is quarantine.ChangeKind.QUARANTINED:
             # The plan that found so is not done with its own command yet.
             loop = asyncio.get_running_loop()
             loop.call_soon(self._on_blocked, change.fingerprint)
--- a/hyssoptack/gateway/requesthandler.py
+++ b/hyssoptack/gateway/requesthandler.py
@@ -19,9 +19,9 @@
 from hyssoptack.platform import headers
 from hyssoptack.policy import callcommand
 from hyssoptack.policy import callertime
-from hyssoptack.policy import comeback
 from hyssoptack.policy import connections
 from hyssoptack.policy import knowing
+from hyssoptack.policy import retrydelay
 from hyssoptack.policy import routetable
 
 
@@ -178,14 +178,14 @@
     def retry_delay_ms(self, reason: str) -> float:
         """Returns when a caller that is refused should come back."""
         if not self._knowledge.mechanisms.comeback_by_cause:
-            return comeback.OVERLOADED_RETRY_MS
+            return retrydelay.OVERLOADED_RETRY_MS
         domains = self._knowledge.partition_detector
         cut_for_ms = clock.now_ms() - domains.partitioned_since_ms
-        refusal = comeback.RefusalContext(
-            cause=comeback.cause_of(reason),
+        refusal = retrydelay.RefusalContext(
+            cause=retrydelay.cause_of(reason),
             partitioned_for_ms=cut_for_ms if domains.is_partitioned else 0.0,
         )
-        return comeback.retry_delay_ms(refusal, self._random)
+        return retrydelay.retry_delay_ms(refusal, self._random)
 
     def can_relay_to(self, failure_domain: str) -> bool:
         """Whether calls into a failure domain are for others to make."""
--- a/hyssoptack/gateway/storewatch.py
+++ b/hyssoptack/gateway/storewatch.py
@@ -25,7 +25,7 @@
 from hyssoptack.policy import backoff
 from hyssoptack.policy import evacuation
 from hyssoptack.policy import gatherers
-from hyssoptack.policy import readership
+from hyssoptack.policy import readerelection
 from hyssoptack.settings import gateway
 
 LAPSE_MIN_MS = 2_000.0
@@ -102,7 +102,8 @@
         while True:
             await self._wait_for_turn()
             exact = (
-                self._read_count % readership.READS_PER_EXACT_READ_COUNT == 0
+                self._read_count % readerelection.READS_PER_EXACT_READ_COUNT
+                == 0
             )
             self._read_count += 1
             asked_ms = clock.now_ms()
@@ -419,6 +420,6 @@
         )
 
     async def _pause(self, period_ms: float) -> None:
-        spread = readership.JITTER_RATIO
+        spread = readerelection.JITTER_RATIO
         jitter = self._random.uniform(1 - spread, 1 + spread)
         await asyncio.sleep(period_ms * jitter / message.MS_PER_S)
--- a/hyssoptack/gateway/storewatch_test.py
+++ b/hyssoptack/gateway/storewatch_test.py
@@ -17,9 +17,9 @@
 from hyssoptack.gateway import storewatch
 from hyssoptack.platform import keyvalue
 from hyssoptack.policy import callplan_test
-from hyssoptack.policy import listing
+from hyssoptack.policy import listdelta
 from hyssoptack.policy import placing
-from hyssoptack.policy import readership
+from hyssoptack.policy import readerelection
 
 
 def follower(list_age_ms):
@@ -33,8 +33,8 @@
         pools=pool.Pools(b""),
         on_configuration=lambda _: None,
     )
-    readers = readership.ReaderElection(
-        "g", "north", readership.read_timings(3_000.0)
+    readers = readerelection.ReaderElection(
+        "g", "north", readerelection.read_timings(3_000.0)
     )
     peers = types.SimpleNamespace(reader_election=readers)
     made = storewatch.StoreWatcher(
@@ -62,7 +62,7 @@
     peers = peering.Peering(
         made._settings, believed, made._readers, lambda: None, lambda: None
     )
-    history = listing.ListHistory()
+    history = listdelta.ListHistory()
     history.add(upstreams)
     made = gatewaymessage.ViewNotice(
         sender_id="g2",
@@ -154,7 +154,7 @@
     made, _ = follower(list_age_ms=0.0)
     made._store = _Store(4)
     made._peers.publish_view = lambda: None
-    made._readers.read_timings = readership.read_timings(0.0)
+    made._readers.read_timings = readerelection.read_timings(0.0)
     with contextlib.suppress(asyncio.CancelledError):
         asyncio.run(made.poll_upstreams())
     assert made._store.stale == [True, False, True, False]
--- a/hyssoptack/policy/callchoice.py
+++ b/hyssoptack/policy/callchoice.py
@@ -5,8 +5,8 @@
 from hyssoptack.policy import callcommand
 from hyssoptack.policy import callpart
 from hyssoptack.policy import callresult
-from hyssoptack.policy import caution
 from hyssoptack.policy import knowing
+from hyssoptack.policy import probeguard
 
 MAX_RESEND_COUNT = 2
 """Calls to upstreams that refused before, for each part: one for each of the
@@ -20,7 +20,7 @@
         self,
         ask: callcommand.PlanRequest,
         knowledge: knowing.PlanContext,
-        care: caution.ProbeGuard,
+        care: probeguard.ProbeGuard,
         allowed: attempts.Attempts,
     ):
         self._ask = ask
--- a/hyssoptack/policy/callplan.py
+++ b/hyssoptack/policy/callplan.py
@@ -18,12 +18,12 @@
 from hyssoptack.policy import calllearning
 from hyssoptack.policy import callpart
 from hyssoptack.policy import callresult
-from hyssoptack.policy import caution
 from hyssoptack.policy import hedgequeue
 from hyssoptack.policy import hedgetime
 from hyssoptack.policy import knowing
 from hyssoptack.policy import opencalls
-from hyssoptack.policy import reach
+from hyssoptack.policy import partitiondetector
+from hyssoptack.policy import probeguard
 
 HEDGE_RESERVE_COUNT = 1.0
 """Tokens that a hedge leaves where the answer can do without it: for retries
@@ -56,7 +56,7 @@
         self._may_have_run = ask.may_have_run
         self.finished = False
         self._started_ms = now_ms
-        self._tally = reach.RemoteCallTally()
+        self._tally = partitiondetector.RemoteCallTally()
         self._ends_ms = max(now_ms, ask.deadline_at_ms - DEADLINE_MARGIN_MS)
         self._hedge_time = hedgetime.HedgeTiming(
             knowledge.load_balancer.latency_of(ask.route.name),
@@ -70,7 +70,9 @@
             self._may_hedge,
             knowledge.mechanisms.dry_hedges,
         )
-        self.caution = caution.ProbeGuard(knowledge.suspicions, ask.fingerprint)
+        self.caution = probeguard.ProbeGuard(
+            knowledge.suspicions, ask.fingerprint
+        )
         self.attempts = attempts.Attempts(ask)
         self._choice = callchoice.UpstreamChoice(
             ask, knowledge, self.caution, self.attempts
@@ -324,7 +326,7 @@
         now_ms: float,
         extra: str,
     ) -> list[callcommand.Command]:
-        asked = caution.QueuedCall(part=part, upstream=upstream, extra=extra)
+        asked = probeguard.QueuedCall(part=part, upstream=upstream, extra=extra)
         if self.caution.queue_if_probing(asked, self.calls.all()):
             return []
         call = self.calls.add(
@@ -388,7 +390,7 @@
         if relayed and self._choice.untried_upstream(part, now_ms) is None:
             # Its upstream may be well, and the instance that calls it gone.
             part.tried_upstream_ids.discard(call.upstream_id)
-        return self._send(part, now_ms, caution.HEDGE)
+        return self._send(part, now_ms, probeguard.HEDGE)
 
     def _cancel_part(
         self, part: callpart.Part, now_ms: float
--- a/hyssoptack/policy/callplan_cut_test.py
+++ b/hyssoptack/policy/callplan_cut_test.py
@@ -3,7 +3,7 @@
 from hyssoptack.policy import callcommand
 from hyssoptack.policy import callplan_test
 from hyssoptack.policy import callresult
-from hyssoptack.policy import reach
+from hyssoptack.policy import partitiondetector
 
 
 def _cut_off(floor_ratio):
@@ -14,7 +14,7 @@
         for i in range(2, 6)
     ]
     know = callplan_test.plan_context(*here, *there)
-    know.partition_detector.state = reach.PartitionState.PARTITIONED
+    know.partition_detector.state = partitiondetector.PartitionState.PARTITIONED
     return callplan_test.plan(know, callplan_test.shards(6, floor_ratio)).start(
         0.0
     )
@@ -49,7 +49,10 @@
     for call in callplan_test.sends(running.start(0.0))[:2]:
         running.on_outcome(call.call_id, callplan_test.answered(), 10.0)
     running.on_timeout(callplan_test.END_MS)
-    assert know.partition_detector.state is reach.PartitionState.SUSPECTED
+    assert (
+        know.partition_detector.state
+        is partitiondetector.PartitionState.SUSPECTED
+    )
 
 
 def test_refused_calls_into_other_domains_raise_a_doubt():
@@ -66,7 +69,10 @@
     for call in calls:
         if call.upstream.failure_domain == "south":
             running.on_outcome(call.call_id, callplan_test.UNREACHABLE, 2.0)
-    assert know.partition_detector.state is reach.PartitionState.SUSPECTED
+    assert (
+        know.partition_detector.state
+        is partitiondetector.PartitionState.SUSPECTED
+    )
 
 
 def test_when_a_cut_is_seen_what_the_own_domain_can_not_cover_ends():
@@ -80,7 +86,7 @@
     )
     running = callplan_test.plan(know, callplan_test.shards(6, 0.9))
     running.start(0.0)
-    know.partition_detector.state = reach.PartitionState.PARTITIONED
+    know.partition_detector.state = partitiondetector.PartitionState.PARTITIONED
     commands = running.on_partition(50.0)
     end = callplan_test.result(commands)
     assert isinstance(end, callcommand.Fail)
@@ -100,7 +106,7 @@
     running = callplan_test.plan(know, callplan_test.shards(2, 0.9))
     first = callplan_test.sends(running.start(0.0))
     assert [each.upstream.upstream_id for each in first] == ["f0", "n1"]
-    know.partition_detector.state = reach.PartitionState.PARTITIONED
+    know.partition_detector.state = partitiondetector.PartitionState.PARTITIONED
     (again,) = callplan_test.sends(running.on_partition(20.0))
     assert again.upstream.upstream_id == "n0"
 
@@ -117,7 +123,7 @@
     know.load_balancer.record_connect_failure("n0", 0.0)
     running = callplan_test.plan(know, callplan_test.shards(3, 0.9))
     running.start(0.0)
-    know.partition_detector.state = reach.PartitionState.PARTITIONED
+    know.partition_detector.state = partitiondetector.PartitionState.PARTITIONED
     commands = running.on_partition(20.0)
     assert callplan_test.result(commands) is not None
     (again,) = callplan_test.sends(commands)
@@ -129,11 +135,11 @@
         callplan_test.upstream("n"), callplan_test.upstream("f", zone="south")
     )
     know.load_balancer.record_connect_failure("n", 0.0)
-    know.partition_detector.state = reach.PartitionState.PARTITIONED
+    know.partition_detector.state = partitiondetector.PartitionState.PARTITIONED
     (first,) = callplan_test.sends(callplan_test.plan(know).start(0.0))
     assert first.upstream.upstream_id == "n"
     know = callplan_test.plan_context(callplan_test.upstream("f", zone="south"))
-    know.partition_detector.state = reach.PartitionState.PARTITIONED
+    know.partition_detector.state = partitiondetector.PartitionState.PARTITIONED
     end = callplan_test.result(
         callplan_test.plan(know, idempotent=False).start(0.0)
     )
--- a/hyssoptack/policy/knowing.py
+++ b/hyssoptack/policy/knowing.py
@@ -5,9 +5,9 @@
 
 from hyssoptack.core import mechanism
 from hyssoptack.policy import extrawindow
+from hyssoptack.policy import partitiondetector
 from hyssoptack.policy import placing
-from hyssoptack.policy import reach
-from hyssoptack.policy import suspicion
+from hyssoptack.policy import quarantine
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -24,10 +24,10 @@
 
     load_balancer: placing.LoadBalancer
     extra_call_budget: extrawindow.WindowBudget
-    partition_detector: reach.PartitionDetector = dataclasses.field(
-        default_factory=reach.PartitionDetector
+    partition_detector: partitiondetector.PartitionDetector = dataclasses.field(
+        default_factory=partitiondetector.PartitionDetector
     )
     mechanisms: mechanism.Mechanisms = mechanism.ALL_ENABLED
-    suspicions: suspicion.SuspectRegistry = dataclasses.field(
-        default_factory=lambda: suspicion.SuspectRegistry(random.Random())
+    suspicions: quarantine.SuspectRegistry = dataclasses.field(
+        default_factory=lambda: quarantine.SuspectRegistry(random.Random())
     )
--- a/hyssoptack/policy/listing_test.py
+++ b/hyssoptack/policy/listdelta_test.py
@@ -6,7 +6,7 @@
 from hyssoptack.core import gatewaymessage
 from hyssoptack.peers import codec
 from hyssoptack.policy import callplan_test
-from hyssoptack.policy import listing
+from hyssoptack.policy import listdelta
 
 
 def named(*names):
@@ -14,33 +14,33 @@
 
 
 def test_a_change_holds_only_what_differs():
-    history = listing.ListHistory()
+    history = listdelta.ListHistory()
     history.add(named("a", "b", "c"))
     before = history.digest
     history.add(named("b", "c", "d"))
     change = history.change_since(before)
     assert [each.upstream_id for each in change.changed] == ["d"]
     assert change.removed == ("a",)
-    taken = listing.apply_change(change, named("a", "b", "c"), before)
-    assert listing.digest_of(taken) == history.digest
+    taken = listdelta.apply_change(change, named("a", "b", "c"), before)
+    assert listdelta.digest_of(taken) == history.digest
 
 
 def test_a_change_against_another_list_is_not_taken():
-    history = listing.ListHistory()
+    history = listdelta.ListHistory()
     history.add(named("a"))
     before = history.digest
     history.add(named("a", "b"))
     own = named("x")
-    own_digest = listing.digest_of(own)
+    own_digest = listdelta.digest_of(own)
     assert (
-        listing.apply_change(history.change_since(before), own, own_digest)
+        listdelta.apply_change(history.change_since(before), own, own_digest)
         is None
     )
     assert (
-        listing.apply_change(history.change_since(None), own, own_digest)
+        listdelta.apply_change(history.change_since(None), own, own_digest)
         is None
     )
-    whole = listing.apply_change(history.full_change(), own, own_digest)
+    whole = listdelta.apply_change(history.full_change(), own, own_digest)
     assert set(whole) == {"a", "b"}
 
 
@@ -54,7 +54,7 @@
     )
 )
 def test_whoever_asks_when_a_change_does_not_fit_has_the_readers_list(steps):
-    history = listing.ListHistory()
+    history = listdelta.ListHistory()
     own = {}
     told = None
     for names, lost in steps:
@@ -63,7 +63,7 @@
         told = history.digest
         if lost:
             continue
-        taken = listing.apply_change(change, own, listing.digest_of(own))
+        taken = listdelta.apply_change(change, own, listdelta.digest_of(own))
         own = taken if taken is not None else named(*names)
         assert own == named(*names)
 
@@ -71,7 +71,7 @@
 def test_a_second_of_a_readers_notices_fits_a_small_machines_link():
     """280 upstreams, of which 3 change in a second, told to 25 neighbours."""
     names = [f"i-{number:010x}" for number in range(280)]
-    history = listing.ListHistory()
+    history = listdelta.ListHistory()
     history.add(named(*names))
     before = history.digest
     history.add(named(*names[3:], "i-new1", "i-new2"))
--- a/hyssoptack/policy/caution.py
+++ b/hyssoptack/policy/probeguard.py
@@ -12,8 +12,8 @@
 from hyssoptack.policy import callcommand
 from hyssoptack.policy import callpart
 from hyssoptack.policy import callresult
-from hyssoptack.policy import suspect
-from hyssoptack.policy import suspicion
+from hyssoptack.policy import quarantine
+from hyssoptack.policy import suspectrecord
 
 HEDGE = "hedge"
 """Why a call is sent beside another one of its part."""
@@ -37,7 +37,7 @@
 class ProbeGuard:
     """The care that one request is sent with."""
 
-    def __init__(self, known: suspicion.SuspectRegistry, fingerprint: str):
+    def __init__(self, known: quarantine.SuspectRegistry, fingerprint: str):
         """Makes a request that is sent without care.
 
         Args:
@@ -55,8 +55,8 @@
     def admit(self, now_ms: float) -> bool:
         """Looks what is held against it; tells whether it may be sent."""
         verdict = self._known.decide(self._fingerprint, now_ms)
-        self.is_probing = verdict is suspicion.Verdict.PROBE
-        return verdict is not suspicion.Verdict.REFUSE
+        self.is_probing = verdict is quarantine.Verdict.PROBE
+        return verdict is not quarantine.Verdict.REFUSE
 
     def _place(self, now_ms: float, count: int) -> int:
         """Returns where to begin among as many parts.
@@ -88,7 +88,7 @@
         self.crash_count += 1
         if self._answered:
             return False
-        ending = suspect.UpstreamCrash(
+        ending = suspectrecord.UpstreamCrash(
             upstream_id=call.upstream_id,
             at_ms=now_ms,
             proven=call.is_probe and outcome.was_only_call,
--- a/hyssoptack/policy/suspicion.py
+++ b/hyssoptack/policy/quarantine.py
@@ -29,7 +29,7 @@
 import random
 
 from hyssoptack.core import gatewaymessage
-from hyssoptack.policy import suspect
+from hyssoptack.policy import suspectrecord
 
 PROBE_JITTER_RATIO = 0.5
 """Instances try at different times, up to this part later, so that the first
@@ -98,12 +98,12 @@
         """
         self._random = source
         self._enabled = enabled
-        self._suspected: collections.OrderedDict[str, suspect.SuspectRecord] = (
-            collections.OrderedDict()
-        )
-        self._blocked: collections.OrderedDict[str, suspect.SuspectRecord] = (
-            collections.OrderedDict()
-        )
+        self._suspected: collections.OrderedDict[
+            str, suspectrecord.SuspectRecord
+        ] = collections.OrderedDict()
+        self._blocked: collections.OrderedDict[
+            str, suspectrecord.SuspectRecord
+        ] = collections.OrderedDict()
         self._answered: dict[str, float] = {}
         self._trusted: frozenset[str] = frozenset()
         self._news: dict[str, None] = {}
@@ -155,7 +155,7 @@
         entry = self._suspected.get(fingerprint)
         if (
             entry is None
-            or now_ms - entry.last_crash_ms > suspect.SUSPICION_TTL_MS
+            or now_ms - entry.last_crash_ms > suspectrecord.SUSPICION_TTL_MS
         ):
             return Verdict.UNRESTRICTED
         return Verdict.PROBE
@@ -173,7 +173,10 @@
             del self._answered[next(iter(self._answered))]
 
     def record_crash(
-        self, fingerprint: str, ending: suspect.UpstreamCrash, now_ms: float
+        self,
+        fingerprint: str,
+        ending: suspectrecord.UpstreamCrash,
+        now_ms: float,
     ) -> None:
         """Takes that an upstream has ended with a request in hand.
 
@@ -186,7 +189,9 @@
             # Calls that were out when it was blocked show nothing new.
             if entry.is_probing:
                 entry.last_crash_ms = now_ms
-                blocking = suspect.quarantine_term(entry.quarantine_count + 1)
+                blocking = suspectrecord.quarantine_term(
+                    entry.quarantine_count + 1
+                )
                 self._block(fingerprint, entry, blocking, now_ms)
             return
         self._add(fingerprint, (ending,), now_ms, "")
@@ -212,21 +217,22 @@
     def _add(
         self,
         fingerprint: str,
-        endings: collections.abc.Iterable[suspect.UpstreamCrash],
+        endings: collections.abc.Iterable[suspectrecord.UpstreamCrash],
         now_ms: float,
         source: str,
     ) -> None:
         entry = self._suspected.get(fingerprint)
         is_new = entry is None
         if entry is None:
-            entry = self._suspected[fingerprint] = suspect.SuspectRecord()
+            entry = self._suspected[fingerprint] = suspectrecord.SuspectRecord()
             _limit(self._suspected)
         known = {each.upstream_id for each in entry.crashes}
         fresh = [each for each in endings if each.upstream_id not in known]
         for each in fresh:
             # Many ends of one moment tell no more than one.
             same = (
-                each.at_ms - entry.last_crash_ms < suspect.CRASH_EVENT_WINDOW_MS
+                each.at_ms - entry.last_crash_ms
+                < suspectrecord.CRASH_EVENT_WINDOW_MS
             )
             if each.proven or not same or len(entry.crashes) < 2:
                 entry.crashes.append(each)
@@ -235,11 +241,15 @@
             entry.is_shared = True
             self._announce(fingerprint)
         if (
-            suspect.crash_event_count(entry.crashes)
-            >= suspect.QUARANTINE_EVENT_COUNT
+            suspectrecord.crash_event_count(entry.crashes)
+            >= suspectrecord.QUARANTINE_EVENT_COUNT
         ):
             self._block(
-                fingerprint, entry, suspect.quarantine_term(1), now_ms, source
+                fingerprint,
+                entry,
+                suspectrecord.quarantine_term(1),
+                now_ms,
+                source,
             )
         elif is_new:
             self.on_pending_notices()
@@ -248,8 +258,8 @@
     def _block(
         self,
         fingerprint: str,
-        entry: suspect.SuspectRecord,
-        blocking: suspect.QuarantineTerm,
+        entry: suspectrecord.SuspectRecord,
+        blocking: suspectrecord.QuarantineTerm,
         now_ms: float,
         source: str = "",
     ) -> None:
@@ -260,7 +270,9 @@
         entry.quarantine_count = blocking.count
         entry.quarantined_until_ms = now_ms + blocking.duration_ms
         entry.expires_ms = now_ms + blocking.retention_ms
-        most_ms = PROBE_JITTER_RATIO * suspect.quarantine_ms(blocking.count)
+        most_ms = PROBE_JITTER_RATIO * suspectrecord.quarantine_ms(
+            blocking.count
+        )
         entry.probe_jitter_ms = self._random.uniform(0.0, most_ms)
         entry.is_probing = False
         entry.is_shared = True
@@ -283,7 +295,7 @@
     def expire(self, now_ms: float) -> None:
         """Forgets what is too old to mean anything."""
         for fingerprint, entry in tuple(self._suspected.items()):
-            if now_ms - entry.last_crash_ms > suspect.SUSPICION_TTL_MS:
+            if now_ms - entry.last_crash_ms > suspectrecord.SUSPICION_TTL_MS:
                 del self._suspected[fingerprint]
                 self._say(ChangeKind.EXPIRED, fingerprint, entry)
         for fingerprint, entry in tuple(self._blocked.items()):
@@ -296,7 +308,7 @@
         self,
         what: ChangeKind,
         fingerprint: str,
-        entry: suspect.SuspectRecord,
+        entry: suspectrecord.SuspectRecord,
         for_ms: float = 0.0,
         source: str = "",
     ) -> None:
@@ -341,7 +353,9 @@
         names += self._sample(shared, most_count - len(names))
         told = (self._told(each, now_ms) for each in names)
         return tuple(
-            each for each in told if each and suspect.is_worth_sharing(each)
+            each
+            for each in told
+            if each and suspectrecord.is_worth_sharing(each)
         )
 
     def _sample(
@@ -363,19 +377,19 @@
                 age_ms=now_ms - answered_ms,
                 cleared=True,
             )
-        return suspect.to_notice(fingerprint, entry, now_ms)
+        return suspectrecord.to_notice(fingerprint, entry, now_ms)
 
     # What is kept elsewhere.
 
     def newest_quarantined(
         self, most_count: int, now_ms: float
-    ) -> list[tuple[str, suspect.SuspectRecord]]:
+    ) -> list[tuple[str, suspectrecord.SuspectRecord]]:
         """Returns the requests that were blocked last, with what is held."""
         newest = itertools.islice(reversed(self._blocked.items()), most_count)
         return [
             each
             for each in newest
-            if each[1].expires_ms > now_ms + suspect.SHARING_CUTOFF_MS
+            if each[1].expires_ms > now_ms + suspectrecord.SHARING_CUTOFF_MS
         ]
 
     def was_cleared(self, fingerprint: str) -> bool:
@@ -388,7 +402,7 @@
         self, each: gatewaymessage.Suspect, source: str, now_ms: float
     ) -> None:
         """Takes another instance's word."""
-        if not self._enabled or not suspect.is_worth_sharing(each):
+        if not self._enabled or not suspectrecord.is_worth_sharing(each):
             return
         if each.fingerprint in self._trusted and not each.cleared:
             self._keep_answered(each.fingerprint, now_ms)
@@ -401,7 +415,7 @@
         elif each.blocked_count:
             self._take_blocked(each, at_ms, source, now_ms)
         elif each.fingerprint not in self._blocked:
-            endings = suspect.crashes_from_notice(each, now_ms)
+            endings = suspectrecord.crashes_from_notice(each, now_ms)
             self._add(each.fingerprint, endings, now_ms, source)
 
     def _take_cleared(
@@ -425,20 +439,20 @@
         if entry is not None and entry.quarantine_count >= each.blocked_count:
             return
         entry = entry or self._suspected.get(each.fingerprint)
-        entry = entry or suspect.SuspectRecord()
+        entry = entry or suspectrecord.SuspectRecord()
         entry.last_crash_ms = max(entry.last_crash_ms, at_ms)
         self._block(
             each.fingerprint,
             entry,
-            suspect.QuarantineTerm(
+            suspectrecord.QuarantineTerm(
                 count=each.blocked_count,
                 duration_ms=min(
                     each.blocked_for_ms,
-                    suspect.quarantine_ms(each.blocked_count),
+                    suspectrecord.quarantine_ms(each.blocked_count),
                 ),
                 retention_ms=min(
                     each.kept_for_ms,
-                    2 * suspect.quarantine_ms(each.blocked_count),
+                    2 * suspectrecord.quarantine_ms(each.blocked_count),
                 ),
             ),
             now_ms,
@@ -447,7 +461,7 @@
 
 
 def _limit(
-    entries: collections.OrderedDict[str, suspect.SuspectRecord],
+    entries: collections.OrderedDict[str, suspectrecord.SuspectRecord],
 ) -> None:
     """Drops the oldest of too many."""
     while len(entries) > ENTRY_LIMIT_COUNT:
--- a/hyssoptack/policy/suspicion_test.py
+++ b/hyssoptack/policy/quarantine_test.py
@@ -5,30 +5,30 @@
 
 import msgspec
 
-from hyssoptack.policy import suspect
-from hyssoptack.policy import suspicion
+from hyssoptack.policy import quarantine
+from hyssoptack.policy import suspectrecord
 
 BAD = "00c0ffee"
 FREE, CARE, REFUSED = (
-    suspicion.Verdict.UNRESTRICTED,
-    suspicion.Verdict.PROBE,
-    suspicion.Verdict.REFUSE,
+    quarantine.Verdict.UNRESTRICTED,
+    quarantine.Verdict.PROBE,
+    quarantine.Verdict.REFUSE,
 )
 
 
 def known(seed=1, **given):
-    return suspicion.SuspectRegistry(random.Random(seed), **given)
+    return quarantine.SuspectRegistry(random.Random(seed), **given)
 
 
 def end(each, now_ms, name="", proven=True, fingerprint=BAD):
-    ending = suspect.UpstreamCrash(
+    ending = suspectrecord.UpstreamCrash(
         upstream_id=name or f"u-{now_ms}", at_ms=now_ms, proven=proven
     )
     each.note_ending(fingerprint, ending, now_ms)
 
 
 def block(each, now_ms=0.0, fingerprint=BAD):
-    for step in range(suspect.QUARANTINE_EVENT_COUNT):
+    for step in range(suspectrecord.QUARANTINE_EVENT_COUNT):
         end(each, now_ms + step, fingerprint=fingerprint)
 
 
@@ -83,7 +83,7 @@
 def test_a_suspicion_without_a_further_end_is_forgotten():
     each = known()
     end(each, 0.0)
-    late_ms = suspect.SUSPICION_TTL_MS + 1.0
+    late_ms = suspectrecord.SUSPICION_TTL_MS + 1.0
     assert each.decide(BAD, late_ms) is FREE
     each.expire(late_ms)
     assert not each.has_entries
@@ -94,25 +94,25 @@
     block(each)
     now_ms = 2.0
     for count in range(1, 7):
-        spread = 1.0 + suspicion.PROBE_JITTER_RATIO
+        spread = 1.0 + quarantine.PROBE_JITTER_RATIO
         assert each.decide(
-            BAD, now_ms + 0.99 * suspect.quarantine_ms(count)
+            BAD, now_ms + 0.99 * suspectrecord.quarantine_ms(count)
         ) is (REFUSED)
-        now_ms += spread * suspect.quarantine_ms(count)
+        now_ms += spread * suspectrecord.quarantine_ms(count)
         assert each.decide(BAD, now_ms) is CARE
         # While it is tried others are refused.
         assert each.decide(BAD, now_ms + 10.0) is REFUSED
         now_ms += 20.0
         end(each, now_ms)
         assert each.decide(BAD, now_ms) is REFUSED
-    assert suspect.quarantine_ms(9) == suspect.QUARANTINE_MAX_MS
+    assert suspectrecord.quarantine_ms(9) == suspectrecord.QUARANTINE_MAX_MS
 
 
 def test_a_request_that_has_become_harmless_is_served_again_after_one_try():
     one, other = known(1), known(2)
     block(one)
     tell(one, other, 5.0)
-    now_ms = 2.0 * suspect.QUARANTINE_MIN_MS
+    now_ms = 2.0 * suspectrecord.QUARANTINE_MIN_MS
     assert one.decide(BAD, now_ms) is CARE
     one.record_answer(BAD, now_ms + 30.0)
     tell(one, other, now_ms + 40.0)
@@ -194,17 +194,17 @@
     each = known()
     for index in range(50_000):
         end(each, 0.1 * index, f"u{index}", fingerprint=f"{index:016x}")
-    assert each.suspected_count == suspicion.ENTRY_LIMIT_COUNT
+    assert each.suspected_count == quarantine.ENTRY_LIMIT_COUNT
     for index in range(20_000):
         block(each, 10_000.0 + index, f"{index + 10**6:016x}")
     held_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    assert each.quarantined_count == suspicion.ENTRY_LIMIT_COUNT
+    assert each.quarantined_count == quarantine.ENTRY_LIMIT_COUNT
     # Under a tenth of what an instance may use (128 MB).
     assert held_bytes < 12_800_000
     # The newest is known, and the news are as many as are held at most.
     assert each.decide(f"{10**6 + 19_999:016x}", 40_000.0) is REFUSED
-    assert len(each._news) <= suspicion.ENTRY_LIMIT_COUNT
+    assert len(each._news) <= quarantine.ENTRY_LIMIT_COUNT
 
 
 def test_what_is_told_of_one_is_small():
@@ -242,12 +242,12 @@
     instances[0].share(BAD)
     block(instances[1], 0.0, fingerprint="0ddba11")
     now_ms = 0.0
-    while now_ms < 4 * suspect.QUARANTINE_MIN_MS:
+    while now_ms < 4 * suspectrecord.QUARANTINE_MIN_MS:
         _gossip(instances, now_ms)
         now_ms += 1_000.0
-        if 5_000.0 < now_ms < suspect.SUSPICION_TTL_MS:
+        if 5_000.0 < now_ms < suspectrecord.SUSPICION_TTL_MS:
             assert all(each.is_tracked(BAD) for each in instances)
-        if 5_000.0 < now_ms < 1.9 * suspect.QUARANTINE_MIN_MS:
+        if 5_000.0 < now_ms < 1.9 * suspectrecord.QUARANTINE_MIN_MS:
             assert all(each.is_tracked("0ddba11") for each in instances)
     assert not any(each.has_entries for each in instances)
 
@@ -265,10 +265,10 @@
 def test_an_instance_that_hears_late_of_a_blocked_request_tries_it_with_care():
     one, other = known(1), known(2)
     block(one)
-    late_ms = 1.6 * suspect.QUARANTINE_MIN_MS
+    late_ms = 1.6 * suspectrecord.QUARANTINE_MIN_MS
     for told in one.sample_notices(9, late_ms):
         other.merge_notice(told, "g-1", late_ms)
-    assert other.decide(BAD, 1.9 * suspect.QUARANTINE_MIN_MS) is not FREE
+    assert other.decide(BAD, 1.9 * suspectrecord.QUARANTINE_MIN_MS) is not FREE
 
 
 def test_who_trusts_a_request_corrects_those_who_block_it():
--- a/hyssoptack/policy/queryplan.py
+++ b/hyssoptack/policy/queryplan.py
@@ -21,7 +21,7 @@
 from hyssoptack.policy import querycommand
 from hyssoptack.policy import routing
 from hyssoptack.policy import shardstate
-from hyssoptack.policy import snapshot
+from hyssoptack.policy import versionchoice
 
 ANSWER_RESERVE_MS = 5.0
 """Time kept back from the deadline to merge and write the answer."""
@@ -378,7 +378,9 @@
                 )
                 if versions is not None:
                     held[upstream_id] = versions
-        return snapshot.choose_version(self._service.shards, held).index_version
+        return versionchoice.choose_version(
+            self._service.shards, held
+        ).index_version
 
     def _finish_if_done(self, now_ms: float) -> list[querycommand.Command]:
         """Finishes once nothing is open, or once the floor is out of reach."""
--- a/hyssoptack/policy/readership_test.py
+++ b/hyssoptack/policy/readerelection_test.py
@@ -4,10 +4,10 @@
 
 from hyssoptack.core import member
 from hyssoptack.gateway import storewatch
-from hyssoptack.policy import readership
+from hyssoptack.policy import readerelection
 
 NAMES = ("g1", "g2", "g3", "g4")
-PACE = readership.read_timings(3_000.0)
+PACE = readerelection.read_timings(3_000.0)
 
 READING_MS = 30.0
 """Six pages of the store's 4 ms, and the way to the neighbours."""
@@ -21,11 +21,11 @@
         for name in names
     )
     ranked = sorted(
-        names, key=lambda each: readership.rank("north", each), reverse=True
+        names, key=lambda each: readerelection.rank("north", each), reverse=True
     )
     made = []
     for name in ranked:
-        each = readership.ReaderElection(name, "north", PACE)
+        each = readerelection.ReaderElection(name, "north", PACE)
         each.install(peers, len(peers))
         made.append((name, each))
     return made
@@ -77,9 +77,9 @@
 
 def slowest_ms(found):
     """The longest from an exact reading to the next, its reader alive."""
-    spread_ratio = 1.0 + readership.JITTER_RATIO
+    spread_ratio = 1.0 + readerelection.JITTER_RATIO
     return (
-        readership.READS_PER_EXACT_READ_COUNT
+        readerelection.READS_PER_EXACT_READ_COUNT
         * spread_ratio
         * found.list_period_ms
     )
@@ -87,10 +87,10 @@
 
 @pytest.mark.parametrize("bound_ms", [3_000.0, 5_000.0, 6_000.0])
 def test_a_change_is_heeded_in_time_though_its_reader_dies(bound_ms):
-    found = readership.read_timings(bound_ms)
+    found = readerelection.read_timings(bound_ms)
     last_ms = (
         found.exact_silence_ms
-        + readership.SILENCE_STEP_LIMIT_COUNT * found.exact_step_ms
+        + readerelection.SILENCE_STEP_LIMIT_COUNT * found.exact_step_ms
     )
     assert last_ms < 0.9 * bound_ms
     assert slowest_ms(found) < found.exact_silence_ms
@@ -101,16 +101,16 @@
 def test_a_change_is_heeded_in_time_though_an_answer_is_lost(bound_ms):
     # Found by a hunted day: three requests reached a leaving upstream 4 ms
     # past the bound of 5 s.
-    found = readership.read_timings(bound_ms)
-    again_ms = storewatch.RETRY.wait_ms(1) * (1.0 + readership.JITTER_RATIO)
+    found = readerelection.read_timings(bound_ms)
+    again_ms = storewatch.RETRY.wait_ms(1) * (1.0 + readerelection.JITTER_RATIO)
     heeded_ms = slowest_ms(found) + found.list_timeout_ms + again_ms
     assert heeded_ms + READING_MS < bound_ms
 
 
 def test_a_bound_out_of_the_usual_gives_a_usual_pace():
-    assert readership.read_timings(1.0) == readership.read_timings(
-        readership.BOUND_MIN_MS
+    assert readerelection.read_timings(1.0) == readerelection.read_timings(
+        readerelection.BOUND_MIN_MS
     )
-    assert readership.read_timings(1e9) == readership.read_timings(
-        readership.BOUND_MAX_MS
+    assert readerelection.read_timings(1e9) == readerelection.read_timings(
+        readerelection.BOUND_MAX_MS
     )
--- a/hyssoptack/policy/comeback_test.py
+++ b/hyssoptack/policy/retrydelay_test.py
@@ -5,21 +5,21 @@
 import pytest
 
 from hyssoptack.policy import callresult
-from hyssoptack.policy import comeback
+from hyssoptack.policy import retrydelay
 
 
 def waits(reason, cut_for_ms=0.0):
-    refusal = comeback.RefusalContext(
-        cause=comeback.cause_of(reason), partitioned_for_ms=cut_for_ms
+    refusal = retrydelay.RefusalContext(
+        cause=retrydelay.cause_of(reason), partitioned_for_ms=cut_for_ms
     )
     source = random.Random(7)
-    return [comeback.retry_delay_ms(refusal, source) for _ in range(50)]
+    return [retrydelay.retry_delay_ms(refusal, source) for _ in range(50)]
 
 
 def test_callers_of_a_cut_domain_come_back_once_they_are_sent_elsewhere():
     # They were told 100 ms, came back to the same domain, and had no try left.
     for cut_for_ms in (0.0, 400.0, 2_000.0):
-        away_ms = comeback.BALANCER_REMOVAL_MS - cut_for_ms
+        away_ms = retrydelay.BALANCER_REMOVAL_MS - cut_for_ms
         assert min(waits(callresult.PARTITIONED, cut_for_ms)) >= away_ms
     assert max(waits(callresult.PARTITIONED, 9_000.0)) < 100.0
 
@@ -27,16 +27,16 @@
 @pytest.mark.parametrize(
     ("reason", "cause"),
     [
-        ("no_configuration_yet", comeback.RefusalCause.STARTING),
-        ("no_upstream", comeback.RefusalCause.NO_UPSTREAM),
-        ("shed_503", comeback.RefusalCause.OVERLOADED),
-        ("connect_timeout", comeback.RefusalCause.OVERLOADED),
+        ("no_configuration_yet", retrydelay.RefusalCause.STARTING),
+        ("no_upstream", retrydelay.RefusalCause.NO_UPSTREAM),
+        ("shed_503", retrydelay.RefusalCause.OVERLOADED),
+        ("connect_timeout", retrydelay.RefusalCause.OVERLOADED),
     ],
 )
 def test_each_reason_has_its_own_end(reason, cause):
-    assert comeback.cause_of(reason) is cause
+    assert retrydelay.cause_of(reason) is cause
 
 
 def test_returns_are_spread():
     seen = waits("shed_503")
-    assert max(seen) - min(seen) > 0.15 * comeback.OVERLOADED_RETRY_MS
+    assert max(seen) - min(seen) > 0.15 * retrydelay.OVERLOADED_RETRY_MS
--- a/hyssoptack/policy/snapshot_test.py
+++ b/hyssoptack/policy/versionchoice_test.py
@@ -2,7 +2,7 @@
 
 from hyssoptack.core import query
 from hyssoptack.policy import example
-from hyssoptack.policy import snapshot
+from hyssoptack.policy import versionchoice
 
 
 def _held(current, *versions):
@@ -15,26 +15,27 @@
 def test_nothing_known_asks_for_any():
     shards = example.service(2, 1).shards
     assert (
-        snapshot.choose_version(shards, {}).index_version == query.ANY_VERSION
+        versionchoice.choose_version(shards, {}).index_version
+        == query.ANY_VERSION
     )
 
 
 def test_the_newest_version_that_all_hold_is_chosen():
     current = example.service(2, 1)
     held = _held(current, (1, 2), (1, 2))
-    assert snapshot.choose_version(current.shards, held).index_version == 2
+    assert versionchoice.choose_version(current.shards, held).index_version == 2
 
 
 def test_an_older_version_that_covers_more_goes_first():
     current = example.service(2, 1)
     held = _held(current, (1, 2), (1,))
-    assert snapshot.choose_version(current.shards, held).index_version == 1
+    assert versionchoice.choose_version(current.shards, held).index_version == 1
 
 
 def test_an_upstream_that_has_not_told_may_hold_it():
     current = example.service(2, 1)
     held = {current.shards[0].upstream_ids[0]: (3,)}
-    choice = snapshot.choose_version(current.shards, held)
+    choice = versionchoice.choose_version(current.shards, held)
     assert choice.index_version == 3
     assert choice.reachable_key_count == 65_536
 
@@ -43,5 +44,7 @@
     current = example.service(1, 2)
     first, second = current.shards[0].upstream_ids
     held = {first: (2,), second: (1,)}
-    choice = snapshot.choose_version(current.shards, held, frozenset({first}))
+    choice = versionchoice.choose_version(
+        current.shards, held, frozenset({first})
+    )
     assert choice.index_version == 1
