--- a/bench/workscale.py
+++ b/bench/workscale.py
@@ -10,7 +10,7 @@
 import random
 
 from hyssoptack.core import traffic
-from hyssoptack.policy import placing
+from hyssoptack.policy import loadbalancer
 
 WORK_MS = (4.6, 14.0, 42.0, 140.0, 235.0)
 CALLS_PER_S = 10.0
@@ -65,8 +65,10 @@
 def play(work_ms: float, seed: int) -> Tally:
     """Plays a minute of calls."""
     source = random.Random(seed)
-    known = placing.LoadBalancer(
-        placing.LoadBalancerSettings(failure_domain=OWN, crossing_ratio=1.5)
+    known = loadbalancer.LoadBalancer(
+        loadbalancer.LoadBalancerSettings(
+            failure_domain=OWN, crossing_ratio=1.5
+        )
     )
     names = (OWN, *FAR)
     known.set_upstreams({name: _upstream(name) for name in names}, 0.0)
--- a/hyssoptack/gateway/budgetshare.py
+++ b/hyssoptack/gateway/budgetshare.py
@@ -1,8 +1,8 @@
 """One instance's part of the extra calls that all may make together."""
 
 from hyssoptack.gateway import derivedsettings
-from hyssoptack.policy import extrawindow
 from hyssoptack.policy import readerelection
+from hyssoptack.policy import windowbudget
 from hyssoptack.settings import gateway
 
 MIN_INSTANCE_COUNT = 12
@@ -23,7 +23,7 @@
 
 def even_share(
     shared: gateway.BudgetSettings, known_count: int
-) -> extrawindow.BudgetShare:
+) -> windowbudget.BudgetShare:
     """Returns an instance's part where each has as much.
 
     Args:
@@ -40,7 +40,7 @@
     known_count: int,
     domain_count: int,
     link_ratio: float,
-) -> extrawindow.BudgetShare:
+) -> windowbudget.BudgetShare:
     """Returns an instance's part for calls of queries.
 
     Queries are handed to those with wide links, and so is half of the slack,
@@ -63,7 +63,7 @@
 
 
 def update_shares(
-    book: extrawindow.WindowBudget,
+    book: windowbudget.WindowBudget,
     settings: gateway.GatewaySettings,
     readers: readerelection.ReaderElection,
 ) -> None:
@@ -82,9 +82,9 @@
 
 def _share(
     shared: gateway.BudgetSettings, slack_ratio: float
-) -> extrawindow.BudgetShare:
+) -> windowbudget.BudgetShare:
     slack_count = USED_SLACK_RATIO * shared.slack_count * slack_ratio
-    return extrawindow.BudgetShare(
+    return windowbudget.BudgetShare(
         ratio=USED_EXTRA_RATIO * shared.ratio,
         slack_count=slack_count,
         window_ms=shared.window_ms,
--- a/hyssoptack/gateway/daemon.py
+++ b/hyssoptack/gateway/daemon.py
@@ -40,14 +40,14 @@
 from hyssoptack.platform import storeformat
 from hyssoptack.policy import connections
 from hyssoptack.policy import delegation
-from hyssoptack.policy import extrawindow
 from hyssoptack.policy import gatherers
-from hyssoptack.policy import knowing
+from hyssoptack.policy import loadbalancer
 from hyssoptack.policy import partitiondetector
-from hyssoptack.policy import placing
+from hyssoptack.policy import plancontext
 from hyssoptack.policy import quarantine
 from hyssoptack.policy import readerelection
 from hyssoptack.policy import warmup
+from hyssoptack.policy import windowbudget
 from hyssoptack.settings import gateway
 
 RESTART_FIELDS = frozenset(
@@ -94,7 +94,7 @@
             settings.warmup,
             clock.now_ms(),
         )
-        self._placing = placing.LoadBalancer(
+        self._placing = loadbalancer.LoadBalancer(
             derivedsettings.load_balancer_settings(settings), self._warmups
         )
         self.view = replicatedview.ReplicatedView(
@@ -108,7 +108,7 @@
             settings.failure_domain,
             readerelection.read_timings(settings.propagation_bound_ms),
         )
-        self._extra_calls = extrawindow.WindowBudget(
+        self._extra_calls = windowbudget.WindowBudget(
             budgetshare.even_share(settings.budget, 0), clock.now_ms()
         )
         self._reach = partitiondetector.PartitionDetector()
@@ -195,8 +195,8 @@
         self._stop = asyncio.Event()
         self._ports = listeners.Listeners()
 
-    def _knowledge(self) -> knowing.PlanContext:
-        return knowing.PlanContext(
+    def _knowledge(self) -> plancontext.PlanContext:
+        return plancontext.PlanContext(
             load_balancer=self._placing,
             extra_call_budget=self._extra_calls,
             partition_detector=self._reach,
--- a/hyssoptack/gateway/derivedsettings.py
+++ b/hyssoptack/gateway/derivedsettings.py
@@ -1,15 +1,15 @@
 """What a gateway's parts need of its settings."""
 
 from hyssoptack.core import member
-from hyssoptack.policy import placing
+from hyssoptack.policy import loadbalancer
 from hyssoptack.settings import gateway
 
 
 def load_balancer_settings(
     settings: gateway.GatewaySettings,
-) -> placing.LoadBalancerSettings:
+) -> loadbalancer.LoadBalancerSettings:
     """Returns how upstreams are weighed."""
-    return placing.LoadBalancerSettings(
+    return loadbalancer.LoadBalancerSettings(
         failure_domain=settings.failure_domain,
         crossing_ratio=settings.crossing_ratio,
         mechanisms=settings.mechanisms,
--- a/hyssoptack/gateway/gathererservice.py
+++ b/hyssoptack/gateway/gathererservice.py
@@ -18,10 +18,10 @@
 from hyssoptack.http1 import message
 from hyssoptack.platform import headers
 from hyssoptack.policy import callcommand
-from hyssoptack.policy import calllearning
+from hyssoptack.policy import callfeedback
 from hyssoptack.policy import callresult
 from hyssoptack.policy import gatherers
-from hyssoptack.policy import hedgetime
+from hyssoptack.policy import hedgetiming
 from hyssoptack.policy import quarantine
 from hyssoptack.policy import records
 
@@ -108,7 +108,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._end_timer: asyncio.TimerHandle | None = None
         self._to_goal_ms = max(0.0, ask.to_goal_ms)
-        self._times = hedgetime.HedgeTiming(
+        self._times = hedgetiming.HedgeTiming(
             owner.view.load_balancer.latency_of(ask.route_name),
             self._to_goal_ms,
             self._started_ms + self._to_goal_ms,
@@ -172,7 +172,7 @@
         known = self._owner.view.load_balancer
         known.end_call(upstream_id)
         # The asking instance learns from the call as well.
-        calllearning.record_outcome(
+        callfeedback.record_outcome(
             known,
             self._ask.route_name,
             upstream_id,
--- a/hyssoptack/gateway/replicatedview.py
+++ b/hyssoptack/gateway/replicatedview.py
@@ -12,7 +12,7 @@
 from hyssoptack.events import log
 from hyssoptack.gateway import pool
 from hyssoptack.policy import evacuation
-from hyssoptack.policy import placing
+from hyssoptack.policy import loadbalancer
 from hyssoptack.policy import routetable
 
 REREGISTRATION_GRACE_MS = 2_000.0
@@ -38,7 +38,7 @@
             kept a while.
     """
 
-    load_balancer: placing.LoadBalancer
+    load_balancer: loadbalancer.LoadBalancer
     pools: pool.Pools
     on_configuration: collections.abc.Callable[[traffic.Configuration], None]
     route_table: routetable.RouteTable = dataclasses.field(
--- a/hyssoptack/gateway/requesthandler.py
+++ b/hyssoptack/gateway/requesthandler.py
@@ -18,9 +18,9 @@
 from hyssoptack.http1 import message
 from hyssoptack.platform import headers
 from hyssoptack.policy import callcommand
-from hyssoptack.policy import callertime
+from hyssoptack.policy import callerlatency
 from hyssoptack.policy import connections
-from hyssoptack.policy import knowing
+from hyssoptack.policy import plancontext
 from hyssoptack.policy import retrydelay
 from hyssoptack.policy import routetable
 
@@ -36,7 +36,7 @@
     def __init__(
         self,
         believed: replicatedview.ReplicatedView,
-        knowledge: knowing.PlanContext,
+        knowledge: plancontext.PlanContext,
         failure_domain: str,
         counted: metrics.Metrics,
     ):
@@ -47,7 +47,7 @@
         self.instance_counts = connections.InstanceCounts()
         self.active_runs: set[requestrun.RequestRun] = set()
         self._random = random.Random()
-        self._caller_time = callertime.CallerLatency()
+        self._caller_time = callerlatency.CallerLatency()
         self.delegator: querydelegation.Delegator | None = None
         self.call_relay: callrelay.CallRelay | None = None
 
@@ -210,7 +210,7 @@
         return self._beliefs
 
     @property
-    def plan_context(self) -> knowing.PlanContext:
+    def plan_context(self) -> plancontext.PlanContext:
         """What plans draw on."""
         return self._knowledge
 
--- a/hyssoptack/gateway/storewatch_test.py
+++ b/hyssoptack/gateway/storewatch_test.py
@@ -18,15 +18,17 @@
 from hyssoptack.platform import keyvalue
 from hyssoptack.policy import callplan_test
 from hyssoptack.policy import listdelta
-from hyssoptack.policy import placing
+from hyssoptack.policy import loadbalancer
 from hyssoptack.policy import readerelection
 
 
 def follower(list_age_ms):
     """A follower that had lost the store, with a list of some age."""
     settings = types.SimpleNamespace(lease_ms=1_000.0, lease_min_ms=1_000.0)
-    placed = placing.LoadBalancer(
-        placing.LoadBalancerSettings(failure_domain="north", crossing_ratio=1.5)
+    placed = loadbalancer.LoadBalancer(
+        loadbalancer.LoadBalancerSettings(
+            failure_domain="north", crossing_ratio=1.5
+        )
     )
     believed = replicatedview.ReplicatedView(
         load_balancer=placed,
--- a/hyssoptack/policy/callertime.py
+++ b/hyssoptack/policy/callerlatency.py
@@ -11,7 +11,7 @@
 import collections
 import dataclasses
 
-from hyssoptack.policy import lateness
+from hyssoptack.policy import delayestimate
 
 TIMER_MARGIN_MS = 2.0
 """Kept back at least for timers that fire late and for writing the answer."""
@@ -53,7 +53,7 @@
             maxlen=ROUND_TRIP_SAMPLES_COUNT
         )
         self.round_trip_ms = DEFAULT_ROUND_TRIP_MS
-        self.answer_delay = lateness.DelayEstimate(TIMER_MARGIN_MS)
+        self.answer_delay = delayestimate.DelayEstimate(TIMER_MARGIN_MS)
 
     def observe_elapsed_ms(
         self, route_name: str, wait_ms: float | None, first_on_connection: bool
--- a/hyssoptack/policy/calllearning.py
+++ b/hyssoptack/policy/callfeedback.py
@@ -2,7 +2,7 @@
 
 from hyssoptack.policy import callcommand
 from hyssoptack.policy import callresult
-from hyssoptack.policy import placing
+from hyssoptack.policy import loadbalancer
 
 NO_FAULT_REASONS = callresult.GATHERER_FAULTS | {
     callresult.CRASHES_UPSTREAMS,
@@ -13,7 +13,7 @@
 
 
 def record_outcome(
-    load_balancer: placing.LoadBalancer,
+    load_balancer: loadbalancer.LoadBalancer,
     route_name: str,
     upstream_id: str,
     sent_ms: float,
--- a/hyssoptack/policy/callplan.py
+++ b/hyssoptack/policy/callplan.py
@@ -13,17 +13,17 @@
 
 from hyssoptack.core import traffic
 from hyssoptack.policy import attempts
-from hyssoptack.policy import callchoice
 from hyssoptack.policy import callcommand
-from hyssoptack.policy import calllearning
+from hyssoptack.policy import callfeedback
 from hyssoptack.policy import callpart
 from hyssoptack.policy import callresult
 from hyssoptack.policy import hedgequeue
-from hyssoptack.policy import hedgetime
-from hyssoptack.policy import knowing
+from hyssoptack.policy import hedgetiming
 from hyssoptack.policy import opencalls
 from hyssoptack.policy import partitiondetector
+from hyssoptack.policy import plancontext
 from hyssoptack.policy import probeguard
+from hyssoptack.policy import upstreamchoice
 
 HEDGE_RESERVE_COUNT = 1.0
 """Tokens that a hedge leaves where the answer can do without it: for retries
@@ -41,7 +41,7 @@
     def __init__(
         self,
         ask: callcommand.PlanRequest,
-        knowledge: knowing.PlanContext,
+        knowledge: plancontext.PlanContext,
         now_ms: float,
     ):
         self.request = ask
@@ -58,7 +58,7 @@
         self._started_ms = now_ms
         self._tally = partitiondetector.RemoteCallTally()
         self._ends_ms = max(now_ms, ask.deadline_at_ms - DEADLINE_MARGIN_MS)
-        self._hedge_time = hedgetime.HedgeTiming(
+        self._hedge_time = hedgetiming.HedgeTiming(
             knowledge.load_balancer.latency_of(ask.route.name),
             ask.route.latency_goal_ms,
             ask.goal_at_ms,
@@ -74,7 +74,7 @@
             knowledge.suspicions, ask.fingerprint
         )
         self.attempts = attempts.Attempts(ask)
-        self._choice = callchoice.UpstreamChoice(
+        self._choice = upstreamchoice.UpstreamChoice(
             ask, knowledge, self.caution, self.attempts
         )
 
@@ -174,7 +174,7 @@
         outcome: callcommand.Outcome,
         now_ms: float,
     ) -> list[callcommand.Command]:
-        calllearning.record_outcome(
+        callfeedback.record_outcome(
             self._know.load_balancer,
             self.request.route.name,
             call.upstream_id,
--- a/hyssoptack/policy/callplan_test.py
+++ b/hyssoptack/policy/callplan_test.py
@@ -4,13 +4,13 @@
 import sys
 
 from hyssoptack.core import traffic
-from hyssoptack.policy import callchoice
 from hyssoptack.policy import callcommand
 from hyssoptack.policy import callplan
-from hyssoptack.policy import extrawindow
-from hyssoptack.policy import hedgetime
-from hyssoptack.policy import knowing
-from hyssoptack.policy import placing
+from hyssoptack.policy import hedgetiming
+from hyssoptack.policy import loadbalancer
+from hyssoptack.policy import plancontext
+from hyssoptack.policy import upstreamchoice
+from hyssoptack.policy import windowbudget
 
 GOAL_MS = 100.0
 END_MS = 1_000.0
@@ -29,18 +29,20 @@
 
 
 def plan_context(*upstreams, tokens=10.0):
-    known = placing.LoadBalancer(
-        placing.LoadBalancerSettings(failure_domain="north", crossing_ratio=1.5)
+    known = loadbalancer.LoadBalancer(
+        loadbalancer.LoadBalancerSettings(
+            failure_domain="north", crossing_ratio=1.5
+        )
     )
     known.set_upstreams({each.upstream_id: each for each in upstreams}, 0.0)
-    share = extrawindow.BudgetShare(
+    share = windowbudget.BudgetShare(
         ratio=0.15,
-        slack_count=tokens / extrawindow.BUCKET_RATIO,
+        slack_count=tokens / windowbudget.BUCKET_RATIO,
         window_ms=10_000.0,
     )
-    return knowing.PlanContext(
+    return plancontext.PlanContext(
         load_balancer=known,
-        extra_call_budget=extrawindow.WindowBudget(share, -10_000.0),
+        extra_call_budget=windowbudget.WindowBudget(share, -10_000.0),
     )
 
 
@@ -128,7 +130,7 @@
         know.load_balancer.record_answer("r", "a", 5.0, number)
     running = plan(know)
     running.start(0.0)
-    assert running.next_deadline_ms() >= hedgetime.MIN_DELAY_RATIO * GOAL_MS
+    assert running.next_deadline_ms() >= hedgetiming.MIN_DELAY_RATIO * GOAL_MS
 
 
 def _replicated_index(part_count, delay_ms):
@@ -155,7 +157,7 @@
     assert last_ms + 3.0 < due_ms < last_ms + 8.0
     hedges = sends(running.on_timeout(due_ms))
     assert [each.extra_reason for each in hedges] == ["hedge", "hedge"]
-    assert due_ms < hedgetime.MIN_DELAY_RATIO * GOAL_MS
+    assert due_ms < hedgetiming.MIN_DELAY_RATIO * GOAL_MS
 
 
 def test_answers_that_still_come_in_hold_the_hedges_back():
@@ -173,7 +175,7 @@
     running = plan(know, shards(4, 0.5))
     first, *_ = sends(running.start(0.0))
     running.on_outcome(first.call_id, answered(), 5.0)
-    assert running.next_deadline_ms() >= hedgetime.MIN_DELAY_RATIO * 92.0
+    assert running.next_deadline_ms() >= hedgetiming.MIN_DELAY_RATIO * 92.0
 
 
 def test_without_budget_nothing_is_hedged():
@@ -213,7 +215,7 @@
             asked.append(call.upstream.upstream_id)
     assert isinstance(end, callcommand.Refuse)
     assert len(set(asked)) == 2
-    assert len(asked) == 2 + callchoice.MAX_RESEND_COUNT
+    assert len(asked) == 2 + upstreamchoice.MAX_RESEND_COUNT
 
 
 def test_the_only_upstream_is_asked_again_after_it_refused():
--- a/hyssoptack/policy/delegation.py
+++ b/hyssoptack/policy/delegation.py
@@ -16,8 +16,8 @@
 import random
 
 from hyssoptack.core import member
-from hyssoptack.policy import avoidance
-from hyssoptack.policy import lateness
+from hyssoptack.policy import delayestimate
+from hyssoptack.policy import ejectionstate
 
 WIDER_RATIO = 2.0
 """A neighbour's link must be wider by this: else both are of one kind, and its
@@ -63,8 +63,8 @@
     """What handing queries to one neighbour has shown."""
 
     flight_count: int = 0
-    left_alone: avoidance.EjectionState = dataclasses.field(
-        default_factory=avoidance.EjectionState
+    left_alone: ejectionstate.EjectionState = dataclasses.field(
+        default_factory=ejectionstate.EjectionState
     )
 
 
@@ -92,7 +92,7 @@
         self._peers: tuple[member.Peer, ...] = ()
         self._known: dict[str, _Neighbour] = {}
         self._reply_bytes: dict[str, float] = {}
-        self.hop_delays = lateness.DelayEstimate(HOP_MS)
+        self.hop_delays = delayestimate.DelayEstimate(HOP_MS)
 
     def install(self, peers: tuple[member.Peer, ...]) -> None:
         """Replaces the list of neighbours."""
--- a/hyssoptack/policy/gatherers.py
+++ b/hyssoptack/policy/gatherers.py
@@ -17,9 +17,9 @@
 import random
 
 from hyssoptack.core import member
-from hyssoptack.policy import avoidance
+from hyssoptack.policy import ejectionstate
+from hyssoptack.policy import latencyestimate
 from hyssoptack.policy import rendezvous
-from hyssoptack.policy import typicals
 
 GATHERERS_PER_DOMAIN_COUNT = 3
 """Gatherers of one failure domain that another one uses: one may be lost and
@@ -89,8 +89,8 @@
     """What relaying over one gatherer has shown."""
 
     open_count: int = 0
-    left_alone: avoidance.EjectionState = dataclasses.field(
-        default_factory=avoidance.EjectionState
+    left_alone: ejectionstate.EjectionState = dataclasses.field(
+        default_factory=ejectionstate.EjectionState
     )
 
 
@@ -101,8 +101,8 @@
         self._random = source
         self._by_domain: dict[str, list[member.Peer]] = {}
         self._standings: dict[str, _Standing] = {}
-        self._domains: dict[str, avoidance.EjectionState] = {}
-        self._first_words = typicals.LatencyEstimate()
+        self._domains: dict[str, ejectionstate.EjectionState] = {}
+        self._first_words = latencyestimate.LatencyEstimate()
 
     def install(self, peers: tuple[member.Peer, ...]) -> None:
         """Replaces the list."""
@@ -183,6 +183,6 @@
         self._standing(peer.address).left_alone.record_failure(now_ms)
         if others_lost:
             left = self._domains.setdefault(
-                peer.failure_domain, avoidance.EjectionState()
+                peer.failure_domain, ejectionstate.EjectionState()
             )
             left.record_failure(now_ms)
--- a/hyssoptack/policy/hedgequeue.py
+++ b/hyssoptack/policy/hedgequeue.py
@@ -11,7 +11,7 @@
 import math
 
 from hyssoptack.policy import callpart
-from hyssoptack.policy import hedgetime
+from hyssoptack.policy import hedgetiming
 
 MayHedge = collections.abc.Callable[[callpart.Part], bool]
 
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        times: hedgetime.HedgeTiming,
+        times: hedgetiming.HedgeTiming,
         may_hedge: MayHedge,
         dry_hedges: bool,
     ):
--- a/hyssoptack/policy/hedgetime.py
+++ b/hyssoptack/policy/hedgetiming.py
@@ -14,7 +14,7 @@
 pause. Nor when all calls are silent together, until twice the time.
 """
 
-from hyssoptack.policy import typicals
+from hyssoptack.policy import latencyestimate
 
 QUANTILE_RATIO = 0.97
 """A call that takes longer than this share of its route's calls is hedged: the
@@ -63,7 +63,7 @@
 
     def __init__(
         self,
-        typical: typicals.LatencyEstimate,
+        typical: latencyestimate.LatencyEstimate,
         goal_ms: float,
         goal_at_ms: float,
         now_ms: float,
@@ -123,7 +123,7 @@
 
 
 def _alone_ms(
-    typical: typicals.LatencyEstimate, goal_ms: float, to_goal_ms: float
+    typical: latencyestimate.LatencyEstimate, goal_ms: float, to_goal_ms: float
 ) -> float:
     """Returns how long a call is waited for, whatever the others do."""
     slow_ms = typical.quantile_ms(QUANTILE_RATIO)
--- a/hyssoptack/policy/hedgetime_test.py
+++ b/hyssoptack/policy/hedgetiming_test.py
@@ -1,22 +1,24 @@
 """When calls are hedged: on upstreams' delays, not on this instance's own."""
 
 from hyssoptack.policy import callplan_test
-from hyssoptack.policy import hedgetime
-from hyssoptack.policy import typicals
+from hyssoptack.policy import hedgetiming
+from hyssoptack.policy import latencyestimate
 
 PART_COUNT = 42
 GOAL_MS = 80.0
 
 
 def made(part_count=PART_COUNT):
-    return hedgetime.HedgeTiming(
-        typicals.LatencyEstimate(), GOAL_MS, GOAL_MS, 0.0, part_count
+    return hedgetiming.HedgeTiming(
+        latencyestimate.LatencyEstimate(), GOAL_MS, GOAL_MS, 0.0, part_count
     )
 
 
 def test_a_call_alone_waits_for_its_time():
     times = made(part_count=1)
-    assert times.single_hedge_at_ms(0.0) == hedgetime.MIN_DELAY_RATIO * GOAL_MS
+    assert (
+        times.single_hedge_at_ms(0.0) == hedgetiming.MIN_DELAY_RATIO * GOAL_MS
+    )
     assert times.stall_at_ms() is None
 
 
@@ -37,8 +39,10 @@
     times = made()
     for number in range(38):
         times.record_answer(8.0 + 0.2 * number)
-    assert times.stall_at_ms() <= 8.0 + 0.2 * 37 + hedgetime.MIN_DELAY_MS
-    assert times.single_hedge_at_ms(0.0) == hedgetime.MIN_DELAY_RATIO * GOAL_MS
+    assert times.stall_at_ms() <= 8.0 + 0.2 * 37 + hedgetiming.MIN_DELAY_MS
+    assert (
+        times.single_hedge_at_ms(0.0) == hedgetiming.MIN_DELAY_RATIO * GOAL_MS
+    )
 
 
 def _hedges(answer_times_ms):
--- a/hyssoptack/policy/placing.py
+++ b/hyssoptack/policy/loadbalancer.py
@@ -14,10 +14,10 @@
 from hyssoptack.core import gatewaymessage
 from hyssoptack.core import mechanism
 from hyssoptack.core import traffic
-from hyssoptack.policy import covering
+from hyssoptack.policy import domaincover
+from hyssoptack.policy import latencyestimate
 from hyssoptack.policy import slowness
-from hyssoptack.policy import standings
-from hyssoptack.policy import typicals
+from hyssoptack.policy import upstreamstate
 from hyssoptack.policy import warmup
 
 DEFAULT_CALL_MS = 15.0
@@ -94,9 +94,9 @@
         """
         self.settings = settings
         self._warmups = warmups
-        self.upstream_states: dict[str, standings.UpstreamState] = {}
-        self._by_service: dict[str, list[standings.UpstreamState]] = {}
-        self._typical: dict[str, typicals.LatencyEstimate] = {}
+        self.upstream_states: dict[str, upstreamstate.UpstreamState] = {}
+        self._by_service: dict[str, list[upstreamstate.UpstreamState]] = {}
+        self._typical: dict[str, latencyestimate.LatencyEstimate] = {}
         self._preferred: dict[tuple[str, ...], dict[str, str]] = {}
 
     def set_upstreams(
@@ -120,7 +120,7 @@
         for upstream_id, upstream in upstreams.items():
             standing = known.get(upstream_id)
             if standing is None:
-                standing = standings.UpstreamState(upstream=upstream)
+                standing = upstreamstate.UpstreamState(upstream=upstream)
                 standing.cold_until_ms = now_ms + self._cold_ms(
                     upstream, upstream.failure_domain in restored_domains
                 )
@@ -139,7 +139,7 @@
 
     def _note_cold(
         self,
-        standing: standings.UpstreamState,
+        standing: upstreamstate.UpstreamState,
         upstream: traffic.Upstream,
         now_ms: float,
     ) -> None:
@@ -149,11 +149,13 @@
         if upstream.cold_ms and not was_cold and self._warmups is not None:
             self._warmups.on_upstream_cold(upstream, now_ms)
 
-    def latency_of(self, route_name: str) -> typicals.LatencyEstimate:
+    def latency_of(self, route_name: str) -> latencyestimate.LatencyEstimate:
         """Returns what is known of a route's calls."""
         found = self._typical.get(route_name)
         if found is None:
-            found = self._typical[route_name] = typicals.LatencyEstimate()
+            found = self._typical[route_name] = (
+                latencyestimate.LatencyEstimate()
+            )
         return found
 
     def choose(
@@ -226,7 +228,7 @@
                 }
                 for service in services
             }
-            found = covering.preferred_domains(
+            found = domaincover.preferred_domains(
                 self.settings.failure_domain, domains
             )
             self._preferred[services] = found
@@ -251,7 +253,7 @@
 
     def _score(
         self,
-        standing: standings.UpstreamState,
+        standing: upstreamstate.UpstreamState,
         typical_ms: float,
         now_ms: float,
     ) -> float:
@@ -271,12 +273,12 @@
             expected_ms += self.settings.crossing_ratio * typical_ms
         return expected_ms
 
-    def _is_far(self, standing: standings.UpstreamState) -> bool:
+    def _is_far(self, standing: upstreamstate.UpstreamState) -> bool:
         own = self.settings.failure_domain
         return standing.upstream.failure_domain != own
 
     def _bears(
-        self, standing: standings.UpstreamState, rank: int, now_ms: float
+        self, standing: upstreamstate.UpstreamState, rank: int, now_ms: float
     ) -> bool:
         """Whether an upstream bears a request more from here."""
         if self._warmups is None or standing.cold_until_ms <= now_ms:
@@ -413,7 +415,7 @@
         standing = self.upstream_states.get(upstream_id)
         if standing is not None:
             standing.shed_until_ms = now_ms + SHED_QUIET_MS
-            standing.sample_to_share = standings.CallSample(
+            standing.sample_to_share = upstreamstate.CallSample(
                 ratio=SHED_SLOWNESS_RATIO, end_ms=now_ms, was_shed=True
             )
             slowness.update_average(standing, SHED_SLOWNESS_RATIO, now_ms)
--- a/hyssoptack/policy/placing_test.py
+++ b/hyssoptack/policy/loadbalancer_test.py
@@ -5,15 +5,17 @@
 
 from hyssoptack.core import gatewaymessage
 from hyssoptack.policy import callplan_test
-from hyssoptack.policy import placing
+from hyssoptack.policy import loadbalancer
 from hyssoptack.policy import slowness
 
 upstream = callplan_test.upstream
 
 
 def known(*upstreams):
-    made = placing.LoadBalancer(
-        placing.LoadBalancerSettings(failure_domain="north", crossing_ratio=1.5)
+    made = loadbalancer.LoadBalancer(
+        loadbalancer.LoadBalancerSettings(
+            failure_domain="north", crossing_ratio=1.5
+        )
     )
     made.set_upstreams({each.upstream_id: each for each in upstreams}, 0.0)
     return made
@@ -116,7 +118,7 @@
         made.record_answer("r", "near", 20.0, number)
     for number in range(20):
         made.record_shed("near", 100.0 + 10.0 * number)
-    assert choice(made, 300.0 + placing.SHED_QUIET_MS) == "far"
+    assert choice(made, 300.0 + loadbalancer.SHED_QUIET_MS) == "far"
 
 
 def seen_call(ratio=6.0, age_ms=0.0):
--- a/hyssoptack/policy/opencalls.py
+++ b/hyssoptack/policy/opencalls.py
@@ -4,13 +4,13 @@
 
 from hyssoptack.core import traffic
 from hyssoptack.policy import callpart
-from hyssoptack.policy import placing
+from hyssoptack.policy import loadbalancer
 
 
 class OpenCalls:
     """The calls of one request that are out, by number."""
 
-    def __init__(self, known: placing.LoadBalancer, route_name: str):
+    def __init__(self, known: loadbalancer.LoadBalancer, route_name: str):
         """Makes the calls of a request, of which there are none yet.
 
         Args:
--- a/hyssoptack/policy/knowing.py
+++ b/hyssoptack/policy/plancontext.py
@@ -4,10 +4,10 @@
 import random
 
 from hyssoptack.core import mechanism
-from hyssoptack.policy import extrawindow
+from hyssoptack.policy import loadbalancer
 from hyssoptack.policy import partitiondetector
-from hyssoptack.policy import placing
 from hyssoptack.policy import quarantine
+from hyssoptack.policy import windowbudget
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -22,8 +22,8 @@
         suspicions: Which requests crash upstreams.
     """
 
-    load_balancer: placing.LoadBalancer
-    extra_call_budget: extrawindow.WindowBudget
+    load_balancer: loadbalancer.LoadBalancer
+    extra_call_budget: windowbudget.WindowBudget
     partition_detector: partitiondetector.PartitionDetector = dataclasses.field(
         default_factory=partitiondetector.PartitionDetector
     )
--- a/hyssoptack/policy/slowness.py
+++ b/hyssoptack/policy/slowness.py
@@ -3,7 +3,7 @@
 A slowness fades towards "as fast as the others" without calls.
 """
 
-from hyssoptack.policy import standings
+from hyssoptack.policy import upstreamstate
 
 SMOOTHING_RATIO = 0.25
 """Weight of the newest call in an upstream's slowness."""
@@ -27,7 +27,9 @@
 then forgotten by all at once, and so is a slow spell that has ended."""
 
 
-def decayed_ratio(standing: standings.UpstreamState, now_ms: float) -> float:
+def decayed_ratio(
+    standing: upstreamstate.UpstreamState, now_ms: float
+) -> float:
     """Returns an upstream's slowness, faded by the age of its last call."""
     age_ms = now_ms - standing.last_sample_ms
     weight = 0.5 ** (age_ms / DECAY_HALF_LIFE_MS)
@@ -35,19 +37,19 @@
 
 
 def record_own_call(
-    standing: standings.UpstreamState, ratio: float, now_ms: float
+    standing: upstreamstate.UpstreamState, ratio: float, now_ms: float
 ) -> None:
     """Takes an own call; keeps for neighbours what they should know."""
     suspect = decayed_ratio(standing, now_ms) > SHARE_QUICK_RATIO
     if suspect or ratio > SLOW_RATIO:
-        standing.sample_to_share = standings.CallSample(
+        standing.sample_to_share = upstreamstate.CallSample(
             ratio=ratio, end_ms=now_ms
         )
     record_call(standing, ratio, now_ms, now_ms)
 
 
 def record_call(
-    standing: standings.UpstreamState,
+    standing: upstreamstate.UpstreamState,
     ratio: float,
     end_ms: float,
     now_ms: float,
@@ -66,7 +68,7 @@
 
 
 def update_average(
-    standing: standings.UpstreamState, ratio: float, now_ms: float
+    standing: upstreamstate.UpstreamState, ratio: float, now_ms: float
 ) -> None:
     """Weighs a call's ratio into an upstream's slowness."""
     faded = decayed_ratio(standing, now_ms)
--- a/hyssoptack/policy/callchoice.py
+++ b/hyssoptack/policy/upstreamchoice.py
@@ -5,7 +5,7 @@
 from hyssoptack.policy import callcommand
 from hyssoptack.policy import callpart
 from hyssoptack.policy import callresult
-from hyssoptack.policy import knowing
+from hyssoptack.policy import plancontext
 from hyssoptack.policy import probeguard
 
 MAX_RESEND_COUNT = 2
@@ -19,7 +19,7 @@
     def __init__(
         self,
         ask: callcommand.PlanRequest,
-        knowledge: knowing.PlanContext,
+        knowledge: plancontext.PlanContext,
         care: probeguard.ProbeGuard,
         allowed: attempts.Attempts,
     ):
--- a/hyssoptack/policy/warmup_test.py
+++ b/hyssoptack/policy/warmup_test.py
@@ -9,7 +9,7 @@
 from hyssoptack.core import traffic
 from hyssoptack.core import warmuplimits
 from hyssoptack.policy import callplan_test
-from hyssoptack.policy import placing
+from hyssoptack.policy import loadbalancer
 from hyssoptack.policy import warmup
 
 LIMITS = warmuplimits.WarmupLimits(overage_ratio=1.5, slack_count=5.0)
@@ -156,8 +156,8 @@
 def placed(cold_ms, per_s=PER_S, returning=frozenset()):
     one = made(0, per_s=per_s)
     one.update_instances((), warmup.SETTLE_MS)
-    known = placing.LoadBalancer(
-        placing.LoadBalancerSettings(
+    known = loadbalancer.LoadBalancer(
+        loadbalancer.LoadBalancerSettings(
             failure_domain="north", crossing_ratio=1.5
         ),
         one,
--- a/hyssoptack/policy/extrawindow_test.py
+++ b/hyssoptack/policy/windowbudget_test.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies
 
 from hyssoptack.gateway import budgetshare
-from hyssoptack.policy import extrawindow
+from hyssoptack.policy import windowbudget
 from hyssoptack.settings import gateway
 
 WINDOW_MS = 10_000.0
@@ -16,14 +16,14 @@
 
 
 def share(slack_count=SLACK_COUNT / INSTANCE_COUNT, ratio=RATIO):
-    return extrawindow.BudgetShare(
+    return windowbudget.BudgetShare(
         ratio=ratio, slack_count=slack_count, window_ms=WINDOW_MS
     )
 
 
 def old_book(part):
     """Returns the book of an instance that runs for a window already."""
-    return extrawindow.WindowBudget(part, -WINDOW_MS)
+    return windowbudget.WindowBudget(part, -WINDOW_MS)
 
 
 def spent_count(book, now_ms):
@@ -54,7 +54,7 @@
 
 
 def test_requests_earn_extra_calls_until_they_are_a_window_old():
-    book = extrawindow.WindowBudget(share(slack_count=0.0), 0.0)
+    book = windowbudget.WindowBudget(share(slack_count=0.0), 0.0)
     for _ in range(10):
         book.record_request("s", 0.0)
     assert [book.try_spend("s", 0.0) for _ in range(3)] == [True, True, False]
@@ -69,13 +69,13 @@
 
 
 def test_a_new_instance_has_what_it_earns_at_first_and_all_after_a_window():
-    book = extrawindow.WindowBudget(share(slack_count=4.0), 0.0)
+    book = windowbudget.WindowBudget(share(slack_count=4.0), 0.0)
     assert spent_count(book, 0.0) == 0
     assert spent_count(book, 2_400.0) == 0
     for _ in range(5):
         book.record_request("s", 2_400.0)
     assert spent_count(book, 2_400.0) == 1
-    late = extrawindow.WindowBudget(share(slack_count=4.0), 0.0)
+    late = windowbudget.WindowBudget(share(slack_count=4.0), 0.0)
     assert spent_count(late, WINDOW_MS) == 2
 
 
@@ -135,7 +135,7 @@
         if dice.random() < 0.01:
             ended = range(instance_count) if together else (number,)
             for each in ended:
-                books[each] = extrawindow.WindowBudget(part, now_ms)
+                books[each] = windowbudget.WindowBudget(part, now_ms)
     return requests, extras
 
 
