--- a/hyssoptack/entry/actor.py
+++ b/hyssoptack/entry/actioncoordinator.py
@@ -18,8 +18,8 @@
 from hyssoptack.core import message
 from hyssoptack.core import refusal
 from hyssoptack.core import timeouts
-from hyssoptack.entry import claims
-from hyssoptack.entry import executor
+from hyssoptack.entry import actionexecutor
+from hyssoptack.entry import claimstore
 from hyssoptack.entry import state
 from hyssoptack.events import log
 from hyssoptack.policy import claim
@@ -41,8 +41,8 @@
         self,
         knowledge: state.InstanceState,
         own_relay: relay.Relay,
-        own_executor: executor.ActionExecutor,
-        own_claims: claims.ClaimStore,
+        own_executor: actionexecutor.ActionExecutor,
+        own_claims: claimstore.ClaimStore,
         send_to: SendTo,
     ):
         self._state = knowledge
--- a/hyssoptack/entry/actor_test.py
+++ b/hyssoptack/entry/actioncoordinator_test.py
@@ -7,7 +7,7 @@
 from hyssoptack.core import clock
 from hyssoptack.core import message
 from hyssoptack.core import refusal
-from hyssoptack.entry import actor
+from hyssoptack.entry import actioncoordinator
 from hyssoptack.policy import example
 from hyssoptack.policy import membership
 from hyssoptack.policy import routing
@@ -55,7 +55,9 @@
             asyncio.get_running_loop().call_soon(acting.on_reply, reply)
             return True
 
-        acting = actor.ActionCoordinator(knowledge, None, None, None, send_to)
+        acting = actioncoordinator.ActionCoordinator(
+            knowledge, None, None, None, send_to
+        )
         return await acting.run_action(_asked())
 
     assert asyncio.run(run()) == done
--- a/hyssoptack/entry/executor.py
+++ b/hyssoptack/entry/actionexecutor.py
@@ -19,7 +19,7 @@
 from hyssoptack.core import clock
 from hyssoptack.core import message
 from hyssoptack.core import refusal
-from hyssoptack.entry import claims
+from hyssoptack.entry import claimstore
 from hyssoptack.entry import state
 from hyssoptack.events import log
 from hyssoptack.policy import claim
@@ -85,7 +85,7 @@
         self,
         knowledge: state.InstanceState,
         own_relay: relay.Relay,
-        own_claims: claims.ClaimStore,
+        own_claims: claimstore.ClaimStore,
         send_to: SendTo,
     ):
         self._state = knowledge
@@ -189,7 +189,7 @@
             case expression.Result(tag="ok", ok=new_version):
                 return wanted, new_version
             case expression.Result(error=store.Conflict(current_value=found)):
-                return claims.parse_claim(found)
+                return claimstore.parse_claim(found)
             case _:
                 # The answer was lost; the write may have taken effect.
                 return await self._claims.read(attempt.key)
--- a/hyssoptack/entry/front.py
+++ b/hyssoptack/entry/callerserver.py
@@ -17,10 +17,10 @@
 from hyssoptack.core import catalog
 from hyssoptack.core import query
 from hyssoptack.core import refusal
-from hyssoptack.entry import actor
-from hyssoptack.entry import coordinator
+from hyssoptack.entry import actioncoordinator
 from hyssoptack.entry import metrics
-from hyssoptack.entry import problem
+from hyssoptack.entry import querycoordinator
+from hyssoptack.entry import responses
 from hyssoptack.entry import state
 from hyssoptack.events import log
 
@@ -95,7 +95,7 @@
 
 
 Environ = dict[str, object]
-Work = collections.abc.Coroutine[object, object, problem.Response]
+Work = collections.abc.Coroutine[object, object, responses.Response]
 
 
 class CallerServer:
@@ -104,8 +104,8 @@
     def __init__(
         self,
         knowledge: state.InstanceState,
-        queries: coordinator.QueryCoordinator,
-        actions: actor.ActionCoordinator,
+        queries: querycoordinator.QueryCoordinator,
+        actions: actioncoordinator.ActionCoordinator,
         counts: metrics.Metrics,
         loop: asyncio.AbstractEventLoop,
     ):
@@ -165,10 +165,10 @@
         ]
         if self._state.is_leaving():
             headers.append(("Connection", "close"))
-        start_response(problem.STATUS_LINES[page.status], headers)
+        start_response(responses.STATUS_LINES[page.status], headers)
         return [page.body]
 
-    def _page(self, environ: Environ) -> problem.Response:
+    def _page(self, environ: Environ) -> responses.Response:
         try:
             work = self._work(environ)
             page = asyncio.run_coroutine_threadsafe(work, self._loop).result()
@@ -176,10 +176,10 @@
             if refused.refusal.reason in _BODY_UNREAD:
                 # The library would wait for the rest of the body first.
                 environ[_REQUEST].close_connection = True
-            return problem.refusal_response(refused.refusal)
+            return responses.refusal_response(refused.refusal)
         except Exception as error:  # A fault of ours must still be answered.
             log.write(log.Event.REQUEST_FAULT, error=repr(error))
-            return problem.refusal_response(
+            return responses.refusal_response(
                 refusal.Refusal(
                     reason=refusal.Reason.INTERNAL,
                     ran=refusal.Ran.UNKNOWN,
@@ -224,14 +224,14 @@
         )
         return self._run_query(asked)
 
-    async def _run_query(self, asked: query.Query) -> problem.Response:
+    async def _run_query(self, asked: query.Query) -> responses.Response:
         result = await self._queries.run_query(asked)
         decided_s = time.perf_counter()
         match result:
             case query.Answer():
-                return problem.answer_response(result)
+                return responses.answer_response(result)
             case refusal.Refusal():
-                page = problem.refusal_response(result)
+                page = responses.refusal_response(result)
                 took_ms = (time.perf_counter() - decided_s) * MS_PER_S
                 self._metrics.refusal_write_ms.observe({}, took_ms)
                 return page
@@ -256,8 +256,8 @@
         )
         return self._run_action(asked)
 
-    async def _run_action(self, asked: action.Action) -> problem.Response:
-        return problem.outcome_response(await self._actions.run_action(asked))
+    async def _run_action(self, asked: action.Action) -> responses.Response:
+        return responses.outcome_response(await self._actions.run_action(asked))
 
     def _look_up(self, service_name: str, key: str) -> Work:
         self._deadline(service_name, None)
@@ -268,9 +268,9 @@
 
     async def _run_look_up(
         self, service_name: str, key: str
-    ) -> problem.Response:
+    ) -> responses.Response:
         outcome = await self._actions.read_outcome(service_name, key)
-        return problem.outcome_response(outcome)
+        return responses.outcome_response(outcome)
 
     def _want_actions(self, service_name: str) -> None:
         if not self._state.catalog.services[service_name].accepts_actions:
--- a/hyssoptack/entry/daemon.py
+++ b/hyssoptack/entry/daemon.py
@@ -12,14 +12,14 @@
 from hyssoptack.charts import chart
 from hyssoptack.core import clock
 from hyssoptack.core import message
-from hyssoptack.entry import actor
-from hyssoptack.entry import burn
-from hyssoptack.entry import claims
-from hyssoptack.entry import coordinator
-from hyssoptack.entry import executor
-from hyssoptack.entry import front
+from hyssoptack.entry import actioncoordinator
+from hyssoptack.entry import actionexecutor
+from hyssoptack.entry import burncounts
+from hyssoptack.entry import callerserver
+from hyssoptack.entry import claimstore
 from hyssoptack.entry import metrics
-from hyssoptack.entry import operations
+from hyssoptack.entry import operatorserver
+from hyssoptack.entry import querycoordinator
 from hyssoptack.entry import state
 from hyssoptack.events import log
 from hyssoptack.peers import codec
@@ -30,8 +30,8 @@
 from hyssoptack.relay import client
 from hyssoptack.relay import relay
 from hyssoptack.revisions import configuration
-from hyssoptack.revisions import follower
 from hyssoptack.revisions import members
+from hyssoptack.revisions import platformwatch
 from hyssoptack.revisions import store
 from hyssoptack.settings import instance
 
@@ -63,7 +63,7 @@
         self._config = configuration.ActiveConfiguration()
         self._client = client.UpstreamClient()
         self._metrics = metrics.Metrics()
-        self._burn = burn.BurnCounts()
+        self._burn = burncounts.BurnCounts()
         store_client = store.StoreClient(settings.platform)
         self._links = link.Links(
             settings.peer_address,
@@ -79,7 +79,7 @@
             self._state.upstream_health,
             self._on_drain,
         )
-        self._coordinator = coordinator.QueryCoordinator(
+        self._coordinator = querycoordinator.QueryCoordinator(
             self._state,
             self._relay,
             self._send_to,
@@ -87,14 +87,14 @@
             self._burn,
             admits,
         )
-        self._claims = claims.ClaimStore(store_client, self._threads)
-        self._executor = executor.ActionExecutor(
+        self._claims = claimstore.ClaimStore(store_client, self._threads)
+        self._executor = actionexecutor.ActionExecutor(
             self._state,
             self._relay,
             self._claims,
             self._send_to,
         )
-        self._actor = actor.ActionCoordinator(
+        self._actor = actioncoordinator.ActionCoordinator(
             self._state,
             self._relay,
             self._executor,
@@ -104,7 +104,7 @@
         self._gossip = gossip.Gossip(
             self._state, self._config, self._links.send, self._on_config
         )
-        self._follower = follower.PlatformWatcher(
+        self._follower = platformwatch.PlatformWatcher(
             self._state,
             self._config,
             store_client,
@@ -112,15 +112,15 @@
             self._threads,
             self._on_config,
         )
-        self._front = front.CallerServer(
+        self._front = callerserver.CallerServer(
             self._state,
             self._coordinator,
             self._actor,
             self._metrics,
             self._loop,
         )
-        self._operations = operations.OperatorServer(
-            operations.StatusSources(
+        self._operations = operatorserver.OperatorServer(
+            operatorserver.StatusSources(
                 state=self._state,
                 configuration=self._config,
                 query_coordinator=self._coordinator,
--- a/hyssoptack/entry/operations.py
+++ b/hyssoptack/entry/operatorserver.py
@@ -8,17 +8,17 @@
 from cheroot import wsgi
 
 from hyssoptack.core import clock
-from hyssoptack.entry import actor
-from hyssoptack.entry import burn
-from hyssoptack.entry import claims
-from hyssoptack.entry import coordinator
+from hyssoptack.entry import actioncoordinator
+from hyssoptack.entry import burncounts
+from hyssoptack.entry import claimstore
 from hyssoptack.entry import metrics
-from hyssoptack.entry import problem
+from hyssoptack.entry import querycoordinator
+from hyssoptack.entry import responses
 from hyssoptack.entry import state
 from hyssoptack.peers import link
 from hyssoptack.relay import relay
 from hyssoptack.revisions import configuration
-from hyssoptack.revisions import follower
+from hyssoptack.revisions import platformwatch
 
 THREAD_COUNT = 4
 TEXT_TYPE = "text/plain; charset=utf-8"
@@ -34,14 +34,14 @@
 
     state: state.InstanceState
     configuration: configuration.ActiveConfiguration
-    query_coordinator: coordinator.QueryCoordinator
-    action_coordinator: actor.ActionCoordinator
-    claim_store: claims.ClaimStore
+    query_coordinator: querycoordinator.QueryCoordinator
+    action_coordinator: actioncoordinator.ActionCoordinator
+    claim_store: claimstore.ClaimStore
     relay: relay.Relay
     links: link.Links
-    platform_watcher: follower.PlatformWatcher
+    platform_watcher: platformwatch.PlatformWatcher
     metrics: metrics.Metrics
-    burn_counts: burn.BurnCounts
+    burn_counts: burncounts.BurnCounts
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -144,14 +144,14 @@
                 text = self._parts.state.chart_state + "\n"
                 return line, TEXT_TYPE, text.encode()
             case "/status":
-                page = problem.json_response(self._status())
-                return STATUS_LINE_OK, problem.JSON_TYPE, page.body
+                page = responses.json_response(self._status())
+                return STATUS_LINE_OK, responses.JSON_TYPE, page.body
             case "/burn":
                 windows = self._parts.burn_counts.window_sums(
                     BURN_WINDOWS_MS, clock.now_ms()
                 )
-                page = problem.json_response(windows)
-                return STATUS_LINE_OK, problem.JSON_TYPE, page.body
+                page = responses.json_response(windows)
+                return STATUS_LINE_OK, responses.JSON_TYPE, page.body
             case _:
                 text = b"paths: /metrics /healthz /readyz /status /burn\n"
                 return STATUS_LINE_NOT_FOUND, TEXT_TYPE, text
--- a/hyssoptack/entry/coordinator.py
+++ b/hyssoptack/entry/querycoordinator.py
@@ -11,7 +11,7 @@
 from hyssoptack.core import message
 from hyssoptack.core import query
 from hyssoptack.core import refusal
-from hyssoptack.entry import burn
+from hyssoptack.entry import burncounts
 from hyssoptack.entry import metrics
 from hyssoptack.entry import state
 from hyssoptack.events import log
@@ -57,7 +57,7 @@
         own_relay: relay.Relay,
         send_to: SendTo,
         counts: metrics.Metrics,
-        burned: burn.BurnCounts,
+        burned: burncounts.BurnCounts,
         policy: admission.Policy,
     ):
         self._state = knowledge
--- a/hyssoptack/relay/relay.py
+++ b/hyssoptack/relay/relay.py
@@ -12,7 +12,7 @@
 from hyssoptack.policy import health
 from hyssoptack.policy import ownership
 from hyssoptack.relay import client
-from hyssoptack.relay import lane
+from hyssoptack.relay import upstreamqueue
 from hyssoptack.settings import instance
 
 DEADLINE_MARGIN_MS = 2.0
@@ -49,8 +49,8 @@
         self._catalog = catalog.EMPTY
         self._owned: frozenset[str] = frozenset()
         self._owned_until_ms = 0.0
-        self._lanes: dict[str, lane.UpstreamQueue] = {}
-        self._jobs: dict[tuple[str, int], lane.Job] = {}
+        self._lanes: dict[str, upstreamqueue.UpstreamQueue] = {}
+        self._jobs: dict[tuple[str, int], upstreamqueue.Job] = {}
         self.call_count = 0
         self._action_count = 0
 
@@ -76,15 +76,15 @@
         """Returns the calls that wait or run."""
         return len(self._jobs) + self._action_count
 
-    def upstream_queues(self) -> dict[str, lane.UpstreamQueue]:
+    def upstream_queues(self) -> dict[str, upstreamqueue.UpstreamQueue]:
         """Returns the lanes by upstream, for the operator port."""
         return self._lanes
 
-    def _lane(self, upstream: catalog.Upstream) -> lane.UpstreamQueue:
+    def _lane(self, upstream: catalog.Upstream) -> upstreamqueue.UpstreamQueue:
         share = ownership.share_of(upstream, self._settings.owner_count)
         found = self._lanes.get(upstream.upstream_id)
         if found is None:
-            found = lane.UpstreamQueue(
+            found = upstreamqueue.UpstreamQueue(
                 share.slot_count, self._settings.queue_limit_count
             )
             self._lanes[upstream.upstream_id] = found
@@ -127,7 +127,7 @@
         upstream = self._catalog.services[sub.service].upstreams[
             ask.upstream_id
         ]
-        job = lane.Job(
+        job = upstreamqueue.Job(
             query_id=sub.query_id,
             call_id=ask.call_id,
             urgency=sub.urgency,
@@ -260,7 +260,7 @@
         def give_up(_status: message.CallStatus) -> None:
             done.set_result(client.DidNotRun(detail="no free slot in time"))
 
-        job = lane.Job(
+        job = upstreamqueue.Job(
             query_id="",
             call_id=0,
             urgency=query.Urgency.URGENT,
--- a/hyssoptack/relay/lane_test.py
+++ b/hyssoptack/relay/upstreamqueue_test.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from hyssoptack.core import query
-from hyssoptack.relay import lane
+from hyssoptack.relay import upstreamqueue
 
 _URGENT = query.Urgency.URGENT
 _BROWSING = query.Urgency.BROWSING
@@ -22,7 +22,7 @@
             self.order.append(call_id)
             await self.gate.wait()
 
-        return lane.Job(
+        return upstreamqueue.Job(
             query_id="q",
             call_id=call_id,
             urgency=urgency,
@@ -35,7 +35,7 @@
 def test_a_call_cancelled_before_it_started_frees_its_slot():
     async def scenario():
         calls = _Calls()
-        own = lane.UpstreamQueue(slot_count=1, queue_limit_count=4)
+        own = upstreamqueue.UpstreamQueue(slot_count=1, queue_limit_count=4)
         first = calls.job(1)
         assert own.submit(first, 0.0, 5.0)
         first.task.cancel()
@@ -52,8 +52,8 @@
 def test_a_call_that_waits_past_its_time_is_given_up():
     async def scenario():
         calls = _Calls()
-        own = lane.UpstreamQueue(slot_count=1, queue_limit_count=4)
-        now_ms = lane.clock.now_ms()
+        own = upstreamqueue.UpstreamQueue(slot_count=1, queue_limit_count=4)
+        now_ms = upstreamqueue.clock.now_ms()
         assert own.submit(calls.job(1), now_ms, 5.0)
         waits = calls.job(2, expires_ms=now_ms + 20)
         assert own.submit(waits, now_ms, 5.0)
@@ -67,7 +67,7 @@
 def test_urgent_calls_go_before_browsing_ones():
     async def scenario():
         calls = _Calls()
-        own = lane.UpstreamQueue(slot_count=1, queue_limit_count=9)
+        own = upstreamqueue.UpstreamQueue(slot_count=1, queue_limit_count=9)
         for call_id, urgency in ((1, _BROWSING), (2, _BROWSING), (3, _URGENT)):
             assert own.submit(calls.job(call_id, urgency), 0.0, 5.0)
         calls.gate.set()
@@ -81,7 +81,7 @@
 def test_a_call_that_can_not_run_in_time_is_not_taken():
     async def scenario():
         calls = _Calls()
-        own = lane.UpstreamQueue(slot_count=1, queue_limit_count=9)
+        own = upstreamqueue.UpstreamQueue(slot_count=1, queue_limit_count=9)
         assert own.submit(calls.job(1), 0.0, 50.0)
         assert not own.submit(calls.job(2, expires_ms=40.0), 0.0, 50.0)
 
--- a/hyssoptack/reports/burn.py
+++ b/hyssoptack/reports/burn.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from hyssoptack.core import catalog
-from hyssoptack.entry import burn
+from hyssoptack.entry import burncounts
 
-_DECODER_TYPE = dict[str, dict[str, burn.ServiceCounts]]
+_DECODER_TYPE = dict[str, dict[str, burncounts.ServiceCounts]]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -53,18 +53,20 @@
     extra_load_burn_rate: float
 
 
-def merge(documents: list[object]) -> dict[str, dict[str, burn.ServiceCounts]]:
+def merge(
+    documents: list[object],
+) -> dict[str, dict[str, burncounts.ServiceCounts]]:
     """Adds up what several instances answered under `/burn`."""
-    totals: dict[str, dict[str, burn.ServiceCounts]] = {}
+    totals: dict[str, dict[str, burncounts.ServiceCounts]] = {}
     for document in documents:
         for service, windows in msgspec.convert(
             document, _DECODER_TYPE, strict=False
         ).items():
             for window, each in windows.items():
                 total = totals.setdefault(service, {}).setdefault(
-                    window, burn.ServiceCounts()
+                    window, burncounts.ServiceCounts()
                 )
-                burn.add_counts(total, each)
+                burncounts.add_counts(total, each)
     return totals
 
 
@@ -77,16 +79,16 @@
     for index in sorted(latency):
         seen += latency[index]
         if seen >= ratio * total:
-            last = len(burn.LATENCY_BOUNDS_MS) - 1
-            return float(burn.LATENCY_BOUNDS_MS[min(index, last)])
-    return float(burn.LATENCY_BOUNDS_MS[-1])
+            last = len(burncounts.LATENCY_BOUNDS_MS) - 1
+            return float(burncounts.LATENCY_BOUNDS_MS[min(index, last)])
+    return float(burncounts.LATENCY_BOUNDS_MS[-1])
 
 
 def _row(
     service: str,
     profile: catalog.Profile,
     window: str,
-    each: burn.ServiceCounts,
+    each: burncounts.ServiceCounts,
 ) -> Row:
     refused_count = sum(each.refused.values())
     request_count = each.answered_count + refused_count
@@ -116,7 +118,8 @@
 
 
 def rows(
-    totals: dict[str, dict[str, burn.ServiceCounts]], current: catalog.Catalog
+    totals: dict[str, dict[str, burncounts.ServiceCounts]],
+    current: catalog.Catalog,
 ) -> list[Row]:
     """Returns the report's rows, by service and then by window."""
     result = []
