--- a/hyssoptack/gateway/harness.py
+++ b/hyssoptack/gateway/harness.py
@@ -7,9 +7,9 @@
 from hyssoptack.gateway import daemon
 from hyssoptack.http1 import message
 from hyssoptack.settings import gateway
+from hyssoptack.standins import fakeupstream
 from hyssoptack.standins import kvstore
 from hyssoptack.standins import ports
-from hyssoptack.standins import service
 
 HOST = "shop.example"
 START_TIMEOUT_S = 5.0
@@ -42,7 +42,7 @@
 
     def __init__(self) -> None:
         self.store = kvstore.Store()
-        self.services: dict[str, service.FakeUpstream] = {}
+        self.services: dict[str, fakeupstream.FakeUpstream] = {}
         self.gateways: dict[str, daemon.Gateway] = {}
         self.settings: dict[str, gateway.GatewaySettings] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
@@ -67,9 +67,9 @@
         service_name: str,
         body: bytes = b"x" * 16,
         zone: str = "north",
-    ) -> service.FakeUpstream:
+    ) -> fakeupstream.FakeUpstream:
         """Starts an upstream and lists it."""
-        added = service.FakeUpstream(upstream_id, body)
+        added = fakeupstream.FakeUpstream(upstream_id, body)
         await added.start()
         self.services[upstream_id] = added
         self.put_upstream_entry(upstream_id, service_name, zone)
--- a/hyssoptack/gateway/pool_test.py
+++ b/hyssoptack/gateway/pool_test.py
@@ -6,7 +6,7 @@
 from hyssoptack.gateway import pool
 from hyssoptack.http1 import httpclient
 from hyssoptack.http1 import message
-from hyssoptack.standins import service
+from hyssoptack.standins import fakeupstream
 
 WAIT_S = 2.0
 
@@ -14,7 +14,7 @@
 class _Caller:
     """Calls one upstream and keeps what becomes of the calls."""
 
-    def __init__(self, called: service.FakeUpstream):
+    def __init__(self, called: fakeupstream.FakeUpstream):
         self.pools = pool.Pools(b"x-request-id")
         self.pools.on_upstream_exit = lambda _, jobs: self.ended.append(jobs)
         self.ended: list[tuple[pool.Job, ...]] = []
@@ -60,7 +60,7 @@
 
 def test_an_upstream_that_ends_names_the_calls_that_it_had_in_hand():
     async def test():
-        called = service.FakeUpstream("i-1")
+        called = fakeupstream.FakeUpstream("i-1")
         called.behaviour.crashes_on = b"/bad"
         called.behaviour.delay_ms = 20.0
         await called.start()
@@ -78,7 +78,7 @@
 def test_an_end_is_found_though_the_first_look_is_still_taken():
     # The system of an ending process may take a connection, and reset it.
     async def test():
-        called = service.FakeUpstream("i-1")
+        called = fakeupstream.FakeUpstream("i-1")
         taken = []
 
         async def take(reader, writer):
@@ -102,7 +102,7 @@
 
 def test_a_connection_that_ends_alone_is_no_end_of_its_upstream():
     async def test():
-        called = service.FakeUpstream("i-1")
+        called = fakeupstream.FakeUpstream("i-1")
         called.behaviour.reset_count = 1
         await called.start()
         caller = _Caller(called)
--- a/hyssoptack/standins/ports_test.py
+++ b/hyssoptack/standins/ports_test.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
+from hyssoptack.standins import fakeupstream
 from hyssoptack.standins import ports
-from hyssoptack.standins import service
 
 
 def test_a_port_is_given_once(monkeypatch):
@@ -16,7 +16,7 @@
 
 def test_no_outgoing_connection_takes_the_port_of_an_upstream_that_is_down():
     async def test():
-        started = service.FakeUpstream("i-0")
+        started = fakeupstream.FakeUpstream("i-0")
         await started.start()
         started.stop()
         port = int(started.address.rpartition(":")[2])
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -8,7 +8,7 @@
 from hyssoptack.core import clock
 from hyssoptack.gateway import harness
 from hyssoptack.http1 import message
-from soak import world
+from soak import environment
 
 DEADLINE_MS = 1_500
 ANSWER_LIMIT_S = 3.0
@@ -23,11 +23,11 @@
 """Between two of a caller that does not wait for upstreams' return (2 s)."""
 
 PATHS = (
-    world.SINGLE_PATH,
-    world.MOVED_PATH,
-    world.NON_IDEMPOTENT_PATH,
-    world.FANOUT_PATH,
-    world.FANOUT_PATH,
+    environment.SINGLE_PATH,
+    environment.MOVED_PATH,
+    environment.NON_IDEMPOTENT_PATH,
+    environment.FANOUT_PATH,
+    environment.FANOUT_PATH,
 )
 
 
@@ -81,17 +81,17 @@
 
     async def _ask(self, request_id: str) -> None:
         path = self._dice.choice(PATHS)
-        await self._send(request_id, path, world.NORMAL_SUFFIX)
+        await self._send(request_id, path, environment.NORMAL_SUFFIX)
 
     async def _send(self, request_id: str, path: str, tail: bytes) -> None:
         gateway = self._dice.choice(tuple(self._gateways))
-        method = "POST" if path == world.NON_IDEMPOTENT_PATH else "GET"
-        body = b"book" if path == world.NON_IDEMPOTENT_PATH else b""
+        method = "POST" if path == environment.NON_IDEMPOTENT_PATH else "GET"
+        body = b"book" if path == environment.NON_IDEMPOTENT_PATH else b""
         data = message.request_bytes(
             method.encode(),
             path.encode() + tail,
             [
-                (b"Host", world.HOST.encode()),
+                (b"Host", environment.HOST.encode()),
                 (b"X-Request-Id", request_id.encode()),
                 (b"X-Request-Deadline", b"%d" % DEADLINE_MS),
             ],
@@ -178,4 +178,4 @@
 
     async def _ask(self, request_id: str) -> None:
         await asyncio.sleep(self._dice.uniform(*BAD_PAUSE_RANGE_S))
-        await self._send(request_id, self._path, world.CRASHING_SUFFIX)
+        await self._send(request_id, self._path, environment.CRASHING_SUFFIX)
--- a/soak/world.py
+++ b/soak/environment.py
@@ -6,8 +6,8 @@
 import random
 
 from hyssoptack.core import clock
+from hyssoptack.standins import fakeupstream
 from hyssoptack.standins import kvstore
-from hyssoptack.standins import service
 from soak import faults
 from soak import proxy
 
@@ -52,7 +52,7 @@
     moved_route_service: str
 
 
-class RecordingUpstream(service.FakeUpstream):
+class RecordingUpstream(fakeupstream.FakeUpstream):
     """A stand-in whose runs are kept with their times."""
 
     def __init__(
--- a/soak/referee.py
+++ b/soak/invariants.py
@@ -10,7 +10,7 @@
 
 from hyssoptack.policy import records
 from soak import callers
-from soak import world
+from soak import environment
 
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 SETTLE_MS = 4_000.0
@@ -58,7 +58,7 @@
 
     def __init__(
         self,
-        seen: world.Environment,
+        seen: environment.Environment,
         harms: list[FaultWindow],
         planned_stops: list[FaultWindow],
         calm_ms: float,
@@ -116,7 +116,7 @@
 
     def _judge_runs(self, each: callers.RequestRecord) -> None:
         runs = self._seen.runs_by_request.get(each.request_id, [])
-        if each.path == world.NON_IDEMPOTENT_PATH and len(runs) > 1:
+        if each.path == environment.NON_IDEMPOTENT_PATH and len(runs) > 1:
             self._break("ran twice", each, str(runs))
         if each.response.status in NOT_RUN_STATUSES and runs:
             self._break("said not to have run", each, str(runs))
@@ -126,14 +126,14 @@
         self._judge_attempts(each, runs)
 
     def _judge_attempts(
-        self, each: callers.RequestRecord, runs: list[world.Run]
+        self, each: callers.RequestRecord, runs: list[environment.Run]
     ) -> None:
         """A request runs on no more upstreams of a service than allowed."""
         upstreams: dict[str, set[str]] = {}
         for run in runs:
             upstreams.setdefault(run.service, set()).add(run.upstream_id)
         for service, some in upstreams.items():
-            if len(some) > world.MAX_ATTEMPTS_COUNT:
+            if len(some) > environment.MAX_ATTEMPTS_COUNT:
                 self._break("too many upstreams", each, f"{service}: {some}")
 
     def _judge_answer(self, each: callers.RequestRecord) -> None:
@@ -141,7 +141,7 @@
             self._break("proper request denied", each, str(each.response.body))
         if each.response.status != 200:
             return
-        if each.path == world.FANOUT_PATH:
+        if each.path == environment.FANOUT_PATH:
             self._judge_merged(each)
             return
         signature = each.response.headers.get("x-server-stamp", "")
@@ -165,15 +165,18 @@
         services = {upstream.service_name for upstream in upstreams}
         missing = int(got.headers.get("x-missing-parts", "0"))
         if len(services) != len(named) or not services <= set(
-            world.SHARD_SERVICES
+            environment.SHARD_SERVICES
         ):
             self._break("parts not of one set", each, str(signatures))
-        if len(named) + missing != world.SHARD_COUNT:
+        if len(named) + missing != environment.SHARD_COUNT:
             self._break("parts miscounted", each, f"{named} and {missing}")
-        if len(named) < world.COVERAGE_FLOOR_RATIO * world.SHARD_COUNT:
+        if (
+            len(named)
+            < environment.COVERAGE_FLOOR_RATIO * environment.SHARD_COUNT
+        ):
             self._break("below the floor", each, str(signatures))
         bodies = tuple(upstream.body for upstream in upstreams)
-        if got.body != records.greatest(bodies, world.TOP_COUNT):
+        if got.body != records.greatest(bodies, environment.TOP_COUNT):
             self._break("records not the greatest", each, str(signatures))
 
     def _judge_heeded(self, each: callers.RequestRecord) -> None:
@@ -182,7 +185,7 @@
             left_ms = self._seen.departure_ms.get(run.upstream_id)
             if left_ms is not None and each.sent_ms > left_ms + HEED_MS:
                 self._break("sent to one that leaves", each, str(run))
-        if each.path != world.MOVED_PATH:
+        if each.path != environment.MOVED_PATH:
             return
         known = [
             version
@@ -267,11 +270,11 @@
 
 def _services(path: str) -> tuple[str, ...]:
     match path:
-        case world.FANOUT_PATH:
-            return world.SHARD_SERVICES
-        case world.SINGLE_PATH:
-            return world.UNSHARDED_SERVICES[:1]
-        case world.NON_IDEMPOTENT_PATH:
-            return world.UNSHARDED_SERVICES[1:]
+        case environment.FANOUT_PATH:
+            return environment.SHARD_SERVICES
+        case environment.SINGLE_PATH:
+            return environment.UNSHARDED_SERVICES[:1]
+        case environment.NON_IDEMPOTENT_PATH:
+            return environment.UNSHARDED_SERVICES[1:]
         case _:
-            return world.UNSHARDED_SERVICES
+            return environment.UNSHARDED_SERVICES
--- a/soak/play.py
+++ b/soak/play.py
@@ -11,9 +11,9 @@
 from hyssoptack.gateway import harness
 from hyssoptack.standins import ports
 from soak import callers
+from soak import environment
 from soak import faults
-from soak import referee
-from soak import world
+from soak import invariants
 
 MS_PER_S = 1000.0
 STALL_CHECK_MS = 50.0
@@ -21,7 +21,10 @@
 """From here on the soak's own process counts as stalled: its upstreams did not
 answer and its clock ran on, so that promises in time can't be judged."""
 
-FAULT_TARGET_SERVICES = (*world.SERVICES, *5 * world.UNSHARDED_SERVICES)
+FAULT_TARGET_SERVICES = (
+    *environment.SERVICES,
+    *5 * environment.UNSHARDED_SERVICES,
+)
 """Services that faults choose from: more often those whose requests may run
 once only, or move with the configuration."""
 
@@ -63,17 +66,17 @@
 
     def __init__(self, settings: Settings):
         self._settings = settings
-        self._world = world.Environment(settings.seed)
+        self._world = environment.Environment(settings.seed)
         self._processes: dict[str, asyncio.subprocess.Process] = {}
         self._addresses: dict[str, dict[str, str]] = {}
         self._busy: set[str] = set()
-        self._harms: list[referee.FaultWindow] = []
-        self._stops: list[referee.FaultWindow] = []
+        self._harms: list[invariants.FaultWindow] = []
+        self._stops: list[invariants.FaultWindow] = []
         self._ended: list[str] = []
         self._started_ms = 0.0
         self._stall_count = 0
 
-    async def run(self) -> referee.Report:
+    async def run(self) -> invariants.Report:
         """Plays the run and returns what it came to."""
         await self._world.start()
         names = [f"g-{n}" for n in range(self._settings.gateway_count)]
@@ -93,7 +96,7 @@
             # Tasks of connections see their ends before the loop goes.
             await asyncio.sleep(0.3)
 
-    async def _play(self, names: tuple[str, ...]) -> referee.Report:
+    async def _play(self, names: tuple[str, ...]) -> invariants.Report:
         settings = self._settings
         self._started_ms = clock.now_ms()
         planned = faults.draw_schedule(
@@ -121,7 +124,7 @@
         # What was cut off may still run for a moment.
         await asyncio.sleep(1.0)
         stalls.cancel()
-        judge = referee.InvariantChecker(
+        judge = invariants.InvariantChecker(
             self._world, self._harms, self._stops, calm_ms
         )
         asked = [each for one in asking for each in one.sent_requests]
@@ -132,7 +135,7 @@
             "stalls of the soak": self._stall_count,
             "crashes of upstreams": len(self._world.crash_times_ms),
         }
-        return referee.Report(violations=broken, outcome_counts=counts)
+        return invariants.Report(violations=broken, outcome_counts=counts)
 
     async def _watch_stalls(self) -> None:
         """Notes when this process itself did not run."""
@@ -237,8 +240,10 @@
             case faults.ReloadGateway(gateway=gateway):
                 self._signal(gateway, signal.SIGHUP)
 
-    def _note_harm(self, gateway: str, start_ms: float) -> referee.FaultWindow:
-        harm = referee.FaultWindow(
+    def _note_harm(
+        self, gateway: str, start_ms: float
+    ) -> invariants.FaultWindow:
+        harm = invariants.FaultWindow(
             gateway=gateway, start_ms=start_ms, end_ms=clock.now_ms()
         )
         self._harms.append(harm)
@@ -320,10 +325,10 @@
             setattr(manners, how, False)
 
 
-def run(settings: Settings) -> referee.Report:
+def run(settings: Settings) -> invariants.Report:
     """Plays one run on an event loop of its own."""
 
-    async def main() -> referee.Report:
+    async def main() -> invariants.Report:
         task = asyncio.current_task()
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGHUP):
