--- a/bench/proofs/actions_test.py
+++ b/bench/proofs/actions_test.py
@@ -32,7 +32,7 @@
 @pytest.fixture
 def calls(run):
     yield callers.CallerClient(run)
-    run.store_faults(
+    run.set_store_faults(
         outage=False,
         slow_ms=0,
         lose_write_ratio=0.0,
@@ -45,7 +45,7 @@
 def _run_counts(run) -> dict[str, int]:
     counts: dict[str, int] = {}
     for upstream_id in run.upstream_ids(SERVICE):
-        for key, count in run.account(upstream_id)["runs"].items():
+        for key, count in run.upstream_counters(upstream_id)["runs"].items():
             counts[key] = counts.get(key, 0) + count
     return counts
 
@@ -66,18 +66,18 @@
     domain = run.upstream(upstream_id).failure_domain
     for each in run.instances:
         if each["failure_domain"] != domain:
-            return calls.front(each["instance_id"])
+            return calls.front_address(each["instance_id"])
     raise AssertionError
 
 
 def test_one_key_sent_everywhere_at_once_runs_once(run, calls):
     told: dict[str, list[str]] = {}
-    fronts = [calls.front(each["instance_id"]) for each in run.instances]
+    fronts = [calls.front_address(each["instance_id"]) for each in run.instances]
     with concurrent.futures.ThreadPoolExecutor(len(fronts)) as threads:
         for number in range(20):
             key, subject = f"same-{number}", f"Awa {number}"
             told[key] = [
-                reply.ran()
+                reply.execution_status()
                 for reply in threads.map(
                     lambda front, key=key, subject=subject: calls.act(
                         front, SERVICE, key, subject
@@ -91,9 +91,9 @@
 
 
 def test_a_repeat_gets_the_recorded_outcome(run, calls):
-    fronts = [calls.front(each["instance_id"]) for each in run.instances]
+    fronts = [calls.front_address(each["instance_id"]) for each in run.instances]
     first = calls.act(fronts[0], SERVICE, "repeat", "Binta")
-    assert first.ran() == "yes"
+    assert first.execution_status() == "yes"
     time.sleep(0.3)
     for front in fronts:
         again = calls.act(front, SERVICE, "repeat", "Binta")
@@ -103,21 +103,21 @@
 
 
 def test_a_key_reused_for_another_request_is_refused(run, calls):
-    front = calls.front("plateau-1")
-    assert calls.act(front, SERVICE, "reused", "Coumba").ran() == "yes"
+    front = calls.front_address("plateau-1")
+    assert calls.act(front, SERVICE, "reused", "Coumba").execution_status() == "yes"
     time.sleep(0.3)
     other = calls.act(front, SERVICE, "reused", "Coumba", request={"x": 1})
     assert (other.status, other.body["reason"]) == (422, "key_reused")
 
 
 def test_lost_store_answers_neither_double_nor_lie(run, calls):
-    run.store_faults(lose_write_ratio=0.5)
+    run.set_store_faults(lose_write_ratio=0.5)
     told = {}
     for number in range(30):
         key = f"lost-{number}"
-        front = calls.front(run.instances[number % 9]["instance_id"])
-        told[key] = [calls.act(front, SERVICE, key, f"Demba {number}").ran()]
-    run.store_faults(lose_write_ratio=0.0)
+        front = calls.front_address(run.instances[number % 9]["instance_id"])
+        told[key] = [calls.act(front, SERVICE, key, f"Demba {number}").execution_status()]
+    run.set_store_faults(lose_write_ratio=0.0)
     _check(run, told)
     assert sum(answers == ["yes"] for answers in told.values()) == 30
 
@@ -125,11 +125,11 @@
 def test_swallowed_store_writes_neither_double_nor_lie(run, calls):
     told = {}
     for number in range(10):
-        run.store_faults(swallow_write_count=number % 4)
+        run.set_store_faults(swallow_write_count=number % 4)
         key = f"swallowed-{number}"
-        front = calls.front("almadies-1")
-        told[key] = [calls.act(front, SERVICE, key, f"Fama {number}").ran()]
-    run.store_faults(swallow_write_count=0)
+        front = calls.front_address("almadies-1")
+        told[key] = [calls.act(front, SERVICE, key, f"Fama {number}").execution_status()]
+    run.set_store_faults(swallow_write_count=0)
     _check(run, told)
     assert sum(answers == ["yes"] for answers in told.values()) == 10
 
@@ -139,15 +139,15 @@
     for number in range(10):
         key, subject = f"upstream-lost-{number}", f"Gora {number}"
         upstream_id = callers.upstream_for(run, SERVICE, subject)
-        run.behave(upstream_id, lose_act_count=1)
-        front = calls.front(run.instances[number % 9]["instance_id"])
-        told[key] = [calls.act(front, SERVICE, key, subject).ran()]
+        run.set_behaviour(upstream_id, lose_act_count=1)
+        front = calls.front_address(run.instances[number % 9]["instance_id"])
+        told[key] = [calls.act(front, SERVICE, key, subject).execution_status()]
         time.sleep(0.1)
         for each in run.instances[:3]:
             again = calls.act(
-                calls.front(each["instance_id"]), SERVICE, key, subject
+                calls.front_address(each["instance_id"]), SERVICE, key, subject
             )
-            told[key].append(again.ran())
+            told[key].append(again.execution_status())
         assert told[key] == ["unknown"] * 4
     _check(run, told)
     counts = _run_counts(run)
@@ -155,16 +155,16 @@
 
 
 def test_a_store_outage_refuses_truthfully_and_at_once(run, calls):
-    run.store_faults(outage=True)
+    run.set_store_faults(outage=True)
     told = {}
     replies = []
     for number in range(9):
         key = f"outage-{number}"
-        front = calls.front(run.instances[number]["instance_id"])
+        front = calls.front_address(run.instances[number]["instance_id"])
         reply = calls.act(front, SERVICE, key, f"Hawa {number}")
-        told[key] = [reply.ran()]
+        told[key] = [reply.execution_status()]
         replies.append(reply)
-    run.store_faults(outage=False)
+    run.set_store_faults(outage=False)
     reasons = {each.body["reason"] for each in replies}
     assert reasons == {"store_unavailable"}, [each.body for each in replies]
     assert all(int(each.retry_after) >= 1 for each in replies)
@@ -179,16 +179,16 @@
     owner = callers.owners_for(run, upstream_id, 1)[0]
     front = _far_front(run, calls, upstream_id)
     key = f"frozen-{number}"
-    run.store_faults(slow_ms=60)
+    run.set_store_faults(slow_ms=60)
     with concurrent.futures.ThreadPoolExecutor(1) as threads:
         asked = threads.submit(calls.act, front, SERVICE, key, subject)
         time.sleep(moment_s)
-        run.freeze(owner)
-        first = asked.result().ran()
+        run.pause(owner)
+        first = asked.result().execution_status()
     # The instance's entry in the list lapses while it is stopped.
     time.sleep(1.5)
-    run.thaw(owner)
-    run.store_faults(slow_ms=0)
+    run.resume(owner)
+    run.set_store_faults(slow_ms=0)
     time.sleep(1.0)
     return key, first
 
@@ -206,8 +206,8 @@
         subject = callers.subject_for_upstream(
             run, SERVICE, upstream_id, number
         )
-        front = calls.front("pikine-2")
-        told[key].append(calls.act(front, SERVICE, key, subject).ran())
+        front = calls.front_address("pikine-2")
+        told[key].append(calls.act(front, SERVICE, key, subject).execution_status())
     _check(run, told)
 
 
@@ -219,16 +219,16 @@
     owner = callers.owners_for(run, upstream_id, 1)[0]
     front = _far_front(run, calls, upstream_id)
     key = f"killed-{number}"
-    run.store_faults(slow_ms=60)
-    run.behave(upstream_id, act_ms=60)
+    run.set_store_faults(slow_ms=60)
+    run.set_behaviour(upstream_id, act_ms=60)
     with concurrent.futures.ThreadPoolExecutor(1) as threads:
         asked = threads.submit(calls.act, front, SERVICE, key, subject)
         time.sleep(moment_s)
         run.kill(owner)
-        told = {key: [asked.result().ran()]}
-    run.store_faults(slow_ms=0)
+        told = {key: [asked.result().execution_status()]}
+    run.set_store_faults(slow_ms=0)
     _check(run, told)
     run.start_instance(owner)
     run.wait_ready([owner])
-    told[key].append(calls.act(front, SERVICE, key, subject).ran())
+    told[key].append(calls.act(front, SERVICE, key, subject).execution_status())
     _check(run, told)
--- a/bench/proofs/answers_test.py
+++ b/bench/proofs/answers_test.py
@@ -41,7 +41,7 @@
     for upstream_id in run.upstream_ids(SERVICE):
         if run.processes[upstream_id].poll() is not None:
             continue
-        for query_id, version, low, high in run.account(upstream_id, False)[
+        for query_id, version, low, high in run.upstream_counters(upstream_id, False)[
             "answered"
         ]:
             logs[(query_id, version)].append(keyspace.KeyRange(low, high))
@@ -97,10 +97,10 @@
     load = _load(run)
     for version in (2, 3):
         for upstream_id in run.upstream_ids(SERVICE):
-            run.behave(upstream_id, versions=[version - 1, version])
+            run.set_behaviour(upstream_id, versions=[version - 1, version])
             time.sleep(0.03)
         for upstream_id in run.upstream_ids(SERVICE):
-            run.behave(upstream_id, versions=[version])
+            run.set_behaviour(upstream_id, versions=[version])
             time.sleep(0.03)
     replies = load.stop()
     counts = _referee(run, replies)
@@ -119,9 +119,9 @@
     load = _load(run)
     for number in range(6):
         for index, upstream_id in enumerate(ids):
-            run.behave(upstream_id, versions=[3 + (index + number) % 2])
+            run.set_behaviour(upstream_id, versions=[3 + (index + number) % 2])
     for upstream_id in ids:
-        run.behave(upstream_id, versions=[3, 4])
+        run.set_behaviour(upstream_id, versions=[3, 4])
     time.sleep(1.0)
     replies = load.stop()
     counts = _referee(run, replies)
@@ -137,7 +137,7 @@
     run.catalog_path.write_text(
         yaml.safe_dump(document, allow_unicode=True), "utf-8"
     )
-    run.cli("config", "apply", str(run.catalog_path))
+    run.run_cli("config", "apply", str(run.catalog_path))
 
 
 @pytest.mark.parametrize("first", ["overlap", "gap"])
@@ -149,17 +149,17 @@
     time.sleep(0.5)
     # Shard 1 changes before shard 2: for a while keys belong to both or none.
     for upstream_id in shards[0].upstream_ids:
-        run.behave(upstream_id, high=new)
+        run.set_behaviour(upstream_id, high=new)
         time.sleep(0.2)
     for upstream_id in shards[1].upstream_ids:
-        run.behave(upstream_id, low=new)
+        run.set_behaviour(upstream_id, low=new)
         time.sleep(0.2)
     _apply_boundary(run, new)
     time.sleep(1.0)
     for upstream_id in shards[0].upstream_ids:
-        run.behave(upstream_id, high=old)
+        run.set_behaviour(upstream_id, high=old)
     for upstream_id in shards[1].upstream_ids:
-        run.behave(upstream_id, low=old)
+        run.set_behaviour(upstream_id, low=old)
     _apply_boundary(run, old)
     replies = load.stop()
     counts = _referee(run, replies)
@@ -171,16 +171,16 @@
     ids = run.upstream_ids(SERVICE)
     load = _load(run)
     for upstream_id in ids[::10]:
-        run.behave(upstream_id, slow_factor=30.0)
+        run.set_behaviour(upstream_id, slow_factor=30.0)
     time.sleep(1.0)
-    run.freeze(ids[4])
-    run.cut([("plateau", "pikine")])
+    run.pause(ids[4])
+    run.set_partitions([("plateau", "pikine")])
     time.sleep(1.0)
-    run.cut([])
-    run.thaw(ids[4])
+    run.set_partitions([])
+    run.resume(ids[4])
     time.sleep(1.0)
     for upstream_id in ids[::10]:
-        run.behave(upstream_id, slow_factor=1.0)
+        run.set_behaviour(upstream_id, slow_factor=1.0)
     replies = load.stop()
     counts = _referee(run, replies)
     print("stragglers, freeze, cut:", counts)
--- a/bench/proofs/configuration_test.py
+++ b/bench/proofs/configuration_test.py
@@ -74,7 +74,7 @@
 
 def _apply(run, deadline_ms: int, *words: str) -> dict:
     path = _variant(run, deadline_ms)
-    done = run.cli("config", "apply", str(path), "--json", *words, check=False)
+    done = run.run_cli("config", "apply", str(path), "--json", *words, check=False)
     return {"code": done.returncode, **json.loads(done.stdout or "{}")}
 
 
@@ -125,9 +125,9 @@
 
 def test_a_lost_answer_is_settled_by_a_read(run):
     before = run.status("plateau-1")["revision"]
-    run.store_faults(lose_write_count=2)
+    run.set_store_faults(lose_write_count=2)
     outcome = _apply(run, 540)
-    run.store_faults(lose_write_count=0)
+    run.set_store_faults(lose_write_count=0)
     assert outcome["outcome"] in ("applied", "notapplied")
     if outcome["outcome"] == "notapplied":
         outcome = _apply(run, 540)
@@ -137,38 +137,38 @@
 
 def test_an_instance_that_joins_in_an_outage_takes_it_from_peers(run):
     revision = run.status("plateau-1")["revision"]
-    run.store_faults(outage=True)
+    run.set_store_faults(outage=True)
     run.kill("pikine-3")
     run.start_instance("pikine-3")
     time.sleep(0.5)
     assert not run.is_ready("pikine-3")
     seconds = run.wait_for(lambda: run.is_ready("pikine-3"), "pikine-3", 15.0)
     joined = run.status("pikine-3")["revision"]
-    run.store_faults(outage=False)
+    run.set_store_faults(outage=False)
     print("joined in an outage after, s:", round(seconds, 2))
     assert joined == revision
 
 
 def test_a_domain_that_was_cut_off_catches_up(run):
-    run.cut([("pikine", "plateau"), ("pikine", "almadies")])
-    run.store_faults(cut_domains=["pikine"])
-    run.members_faults(cut_domains=["pikine"])
+    run.set_partitions([("pikine", "plateau"), ("pikine", "almadies")])
+    run.set_store_faults(cut_domains=["pikine"])
+    run.set_instance_list_faults(cut_domains=["pikine"])
     applied = _apply(run, 550)
     reachable = [name for name in _all(run) if not name.startswith("pikine")]
     inside = [name for name in _all(run) if name.startswith("pikine")]
     _wait_in_force(run, applied["revision"], reachable)
     assert _revisions(run, inside) == {applied["revision"] - 1}
-    run.cut([])
-    run.store_faults(cut_domains=[])
-    run.members_faults(cut_domains=[])
+    run.set_partitions([])
+    run.set_store_faults(cut_domains=[])
+    run.set_instance_list_faults(cut_domains=[])
     seconds = _wait_in_force(run, applied["revision"], _all(run))
     print("caught up after the cut in, s:", round(seconds, 2))
 
 
 def test_a_slow_store_delays_but_reverts_nothing(run):
-    run.store_faults(slow_ms=300)
+    run.set_store_faults(slow_ms=300)
     applied = _apply(run, 560)
-    run.store_faults(slow_ms=0)
+    run.set_store_faults(slow_ms=0)
     _wait_in_force(run, applied["revision"], _all(run))
 
 
--- a/bench/proofs/leaving_test.py
+++ b/bench/proofs/leaving_test.py
@@ -50,13 +50,13 @@
     victim = run.upstream_ids(SERVICE)[0]
     load = callers.LoadGenerator(run, SERVICE, TEXTS, 8)
     time.sleep(1.0)
-    run.behave(victim, draining=True)
+    run.set_behaviour(victim, draining=True)
     time.sleep(DRAIN_LIMIT_S)
-    before = run.account(victim)["new_work_while_draining_count"]
+    before = run.upstream_counters(victim)["new_work_while_draining_count"]
     time.sleep(4.0)
-    after = run.account(victim)["new_work_while_draining_count"]
+    after = run.upstream_counters(victim)["new_work_while_draining_count"]
     replies = load.stop()
-    run.behave(victim, draining=False)
+    run.set_behaviour(victim, draining=False)
     print("draining upstream: new work", before, "then", after - before)
     assert after == before
     _check_uncut(replies)
@@ -66,12 +66,12 @@
     victim = run.upstream_ids(SERVICE)[5]
     load = callers.LoadGenerator(run, SERVICE, TEXTS, 8)
     time.sleep(0.5)
-    before = run.account(victim)["new_work_while_draining_count"]
-    run.behave(victim, draining=True)
+    before = run.upstream_counters(victim)["new_work_while_draining_count"]
+    run.set_behaviour(victim, draining=True)
     time.sleep(1.0)
     replies = load.stop()
-    count = run.account(victim)["new_work_while_draining_count"] - before
-    run.behave(victim, draining=False)
+    count = run.upstream_counters(victim)["new_work_while_draining_count"] - before
+    run.set_behaviour(victim, draining=False)
     print("calls that met an upstream in its first second of leaving:", count)
     # Its three owners each may have one call on its way.
     assert count <= 6
@@ -106,9 +106,9 @@
     load = callers.LoadGenerator(run, SERVICE, TEXTS, 4)
     time.sleep(1.5)
     steady = _calls_in(run, 1.5)
-    run.cut(others)
-    run.store_faults(cut_domains=["pikine"])
-    run.members_faults(cut_domains=["pikine"])
+    run.set_partitions(others)
+    run.set_store_faults(cut_domains=["pikine"])
+    run.set_instance_list_faults(cut_domains=["pikine"])
     time.sleep(2.0)
     alone = [
         calls.search(inside, SERVICE, "member", deadline_ms=600)
@@ -117,9 +117,9 @@
     assert all(reply.status == 200 for reply in alone[5:])
     # Each shard has a replica in Pikine: being cut off costs no coverage.
     assert all(each.body["coverage_ratio"] == 1.0 for each in alone[5:])
-    run.cut([])
-    run.store_faults(cut_domains=[])
-    run.members_faults(cut_domains=[])
+    run.set_partitions([])
+    run.set_store_faults(cut_domains=[])
+    run.set_instance_list_faults(cut_domains=[])
     peaks = [_calls_in(run, 0.5) for _ in range(6)]
     replies = load.stop()
     ratio = max(peaks) / steady
@@ -150,7 +150,7 @@
 
 def test_an_upstream_never_sees_more_connections_or_slots_than_it_has(run):
     for upstream_id in run.upstream_ids(SERVICE):
-        account = run.account(upstream_id)
+        account = run.upstream_counters(upstream_id)
         upstream = run.upstream(upstream_id)
         assert account["over_limit_count"] == 0
         assert (
--- a/bench/slopes/plan.py
+++ b/bench/slopes/plan.py
@@ -27,7 +27,7 @@
     replies = [example.answer_reply(ask, current) for ask in asks]
     with fit.Stopwatch() as second:
         for reply in replies:
-            know.upstream_health.note(current.name, reply, 1.0)
+            know.upstream_health.record_reply(current.name, reply, 1.0)
             commands = plan.on_reply(reply, 1.0)
             plan.next_deadline_ms()
     assert isinstance(commands[-1], querycommand.Finish)
--- a/hyssoptack/entry/actioncoordinator_test.py
+++ b/hyssoptack/entry/actioncoordinator_test.py
@@ -38,8 +38,8 @@
         ),
         incarnation=f"{example.OWN_ID}-1",
         catalog=types.SimpleNamespace(services={"service": current}),
-        awaited=membership.PendingAnswers(),
-        router=types.SimpleNamespace(lanes=lambda *_: [lane]),
+        pending_answers=membership.PendingAnswers(),
+        router=types.SimpleNamespace(paths=lambda *_: [lane]),
         upstream_health=types.SimpleNamespace(is_draining=lambda *_: False),
     )
 
@@ -62,6 +62,6 @@
 
     assert asyncio.run(run()) == done
     later_ms = clock.now_ms() + 2 * SUSPECT_AFTER_MS
-    assert not knowledge.awaited.is_suspect(
+    assert not knowledge.pending_answers.is_overdue(
         EXECUTOR_ID, SUSPECT_AFTER_MS, later_ms
     )
--- a/hyssoptack/gateway/callrelay_test.py
+++ b/hyssoptack/gateway/callrelay_test.py
@@ -32,7 +32,7 @@
 
 
 def _runs(site, request_id):
-    return [s.runs[request_id] for s in site.services.values()]
+    return [s.run_counts[request_id] for s in site.services.values()]
 
 
 def test_an_instance_beside_the_upstreams_makes_the_calls():
--- a/hyssoptack/gateway/delegation_attempts_test.py
+++ b/hyssoptack/gateway/delegation_attempts_test.py
@@ -60,10 +60,10 @@
 def _disagree(site, narrow):
     """Lets two instances prefer different upstreams of a silent shard."""
     for copy in range(COPY_COUNT):
-        site.services[f"i-0-{copy}"].manners.never = True
+        site.services[f"i-0-{copy}"].behaviour.never = True
     for copy in range(ATTEMPTS_COUNT):
         for _ in range(BUSY_COUNT):
-            narrow._placing.sent(f"i-0-{copy}", 0.0)
+            narrow._placing.begin_call(f"i-0-{copy}", 0.0)
 
 
 def test_a_query_taken_back_from_a_late_neighbour_keeps_to_its_attempts():
@@ -121,7 +121,7 @@
 def test_a_neighbour_hedges_once_its_sender_has_heard_of_the_beginning(
     monkeypatch,
 ):
-    monkeypatch.setattr(delegation, "BEGUN_WAIT_MS", PATIENT_MS)
+    monkeypatch.setattr(delegation, "ACCEPT_TIMEOUT_MS", PATIENT_MS)
 
     async def test():
         async with harness.Site() as site:
--- a/hyssoptack/gateway/querydelegation_test.py
+++ b/hyssoptack/gateway/querydelegation_test.py
@@ -231,7 +231,7 @@
 
 
 def test_an_answer_that_can_not_be_in_time_is_given_time_to_be_whole():
-    route = types.SimpleNamespace(goal_ms=150.0)
+    route = types.SimpleNamespace(latency_goal_ms=150.0)
     query = inbound.Request(
         exchange=types.SimpleNamespace(
             request=types.SimpleNamespace(received_ms=1_000.0)
--- a/hyssoptack/gateway/restarted_test.py
+++ b/hyssoptack/gateway/restarted_test.py
@@ -41,7 +41,7 @@
     """Kills the narrow instance with a query under way and starts it again."""
     address = site.settings["narrow"].peer_address
     for each in site.services.values():
-        each.manners.delay_ms = WORK_MS
+        each.behaviour.delay_ms = WORK_MS
     lost = asyncio.create_task(
         site.get("/all/x", "r1", deadline_ms=8_000, name="narrow")
     )
@@ -49,7 +49,7 @@
     site.kill("narrow")
     lost.cancel()
     for each in site.services.values():
-        each.manners.delay_ms = 0.0
+        each.behaviour.delay_ms = 0.0
     narrow = await site.start("narrow", link_mbps=0.5, peer_address=address)
     await _ready(site, narrow, lambda: ready(narrow))
 
--- a/hyssoptack/policy/attempts_test.py
+++ b/hyssoptack/policy/attempts_test.py
@@ -28,7 +28,7 @@
         "route": whole.route,
         "services": whole.services,
         "goal_at_ms": whole.goal_at_ms,
-        "ends_at_ms": whole.deadline_at_ms,
+        "deadline_at_ms": whole.deadline_at_ms,
         **changes,
     }
     return callplan.CallPlan(callcommand.PlanRequest(**fields), know, 0.0)
--- a/hyssoptack/policy/callresult.py
+++ b/hyssoptack/policy/callresult.py
@@ -45,7 +45,7 @@
         )
         return callcommand.Answer(replies=replies, part_count=len(parts.all))
     unanswered = [part for part in parts.all if part.reply is None]
-    lost = [part for part in unanswered if part.lost]
+    lost = [part for part in unanswered if part.abandoned]
     worst = (lost or unanswered)[0]
     reason = "deadline" if timed_out else worst.last_reason
     if may_have_run:
--- a/hyssoptack/policy/evacuation_test.py
+++ b/hyssoptack/policy/evacuation_test.py
@@ -13,7 +13,7 @@
     change = evacuation.EvacuationChange(
         failure_domain=domain, ended=ended, store_position=at
     )
-    known.take_changes([change], at)
+    known.apply_changes([change], at)
 
 
 def test_news_that_is_older_changes_nothing():
--- a/hyssoptack/policy/membership.py
+++ b/hyssoptack/policy/membership.py
@@ -79,7 +79,7 @@
         known = dataclasses.replace(
             old.member, leaving=old.member.leaving or sender.leaving
         )
-        new = dataclasses.replace(old, member=known, heard_ms=now_ms)
+        new = dataclasses.replace(old, member=known, last_message_ms=now_ms)
     # In place: a copy for each message would grow with the fleet.
     roster.sightings[sender.incarnation] = new
     return roster
--- a/hyssoptack/policy/quarantine_test.py
+++ b/hyssoptack/policy/quarantine_test.py
@@ -24,7 +24,7 @@
     ending = suspectrecord.UpstreamCrash(
         upstream_id=name or f"u-{now_ms}", at_ms=now_ms, proven=proven
     )
-    each.note_ending(fingerprint, ending, now_ms)
+    each.record_crash(fingerprint, ending, now_ms)
 
 
 def block(each, now_ms=0.0, fingerprint=BAD):
@@ -33,8 +33,8 @@
 
 
 def tell(one, other, now_ms, name="g-1"):
-    for told in one.take_news(99, now_ms):
-        other.take_told(told, name, now_ms)
+    for told in one.pop_new_notices(99, now_ms):
+        other.merge_notice(told, name, now_ms)
 
 
 def test_one_event_that_takes_many_upstreams_bars_nothing():
@@ -228,11 +228,11 @@
     """A round: each in its time tells all others what it holds, and news."""
     for one in instances:
         now_ms += 250.0
-        one.forget_old(now_ms)
-        for told in (*one.some(99, now_ms), *one.take_news(99, now_ms)):
+        one.expire(now_ms)
+        for told in (*one.sample_notices(99, now_ms), *one.pop_new_notices(99, now_ms)):
             for other in instances:
                 if other is not one:
-                    other.take_told(told, "g", now_ms + 900.0)
+                    other.merge_notice(told, "g", now_ms + 900.0)
 
 
 def test_what_is_told_round_is_forgotten_by_all_in_the_end():
--- a/hyssoptack/policy/readerelection_test.py
+++ b/hyssoptack/policy/readerelection_test.py
@@ -32,14 +32,14 @@
 
 
 def test_an_instance_that_hears_nobody_reads_at_once():
-    assert all(each.wait_ms(0.0) == 0.0 for _, each in members())
+    assert all(each.read_delay_ms(0.0) == 0.0 for _, each in members())
 
 
 def test_those_who_hear_the_first_wait_and_take_over_by_rank():
     (first, _), *others = members()
     for _, each in others:
-        each.heard(first, 1_000.0, 0.0)
-    waits = [each.wait_ms(1_000.0) for _, each in others]
+        each.record_other_reader(first, 1_000.0, 0.0)
+    waits = [each.read_delay_ms(1_000.0) for _, each in others]
     assert waits == sorted(waits)
     assert waits[0] == pytest.approx(PACE.silence_ms)
     assert waits[-1] < 3_000.0
@@ -47,21 +47,21 @@
 
 def test_the_first_is_not_held_up_by_lower_ones():
     (_, first), (second, _), *_ = members()
-    first.heard(second, 1_000.0, 0.0)
-    assert first.wait_ms(1_000.0) == 0.0
+    first.record_other_reader(second, 1_000.0, 0.0)
+    assert first.read_delay_ms(1_000.0) == 0.0
 
 
 def test_one_that_fails_to_read_listens_to_anybody():
     (_, first), (second, _), *_ = members()
-    first.read_failed()
-    first.heard(second, 1_000.0, 0.0)
-    assert first.wait_ms(1_000.0) > 0.0
+    first.record_read_failure()
+    first.record_other_reader(second, 1_000.0, 0.0)
+    assert first.read_delay_ms(1_000.0) > 0.0
 
 
 def test_shares_go_by_the_most_instances_ever_seen():
     (_, each), *_ = members()
     each.install((), 0)
-    assert each.most_count == len(NAMES)
+    assert each.peak_instance_count == len(NAMES)
 
 
 def test_an_old_reading_that_is_told_holds_nobody_back_for_long():
@@ -69,9 +69,9 @@
     # before its reader was lost kept the others from reading until a change
     # was 5.4 s old, of 5.0 s.
     (first, _), (_, second), *_ = members()
-    second.heard(first, 1_000.0, 0.0)
-    second.heard(first, 2_000.0, 1_000.0)
-    waited_ms = 1_000.0 + second.wait_ms(2_000.0)
+    second.record_other_reader(first, 1_000.0, 0.0)
+    second.record_other_reader(first, 2_000.0, 1_000.0)
+    waited_ms = 1_000.0 + second.read_delay_ms(2_000.0)
     assert waited_ms + PACE.list_timeout_ms < 3_000.0
 
 
--- a/hyssoptack/policy/routing_test.py
+++ b/hyssoptack/policy/routing_test.py
@@ -23,7 +23,7 @@
 
 
 def _best(know, current, upstream_ids, now_ms=0.0):
-    return know.router.best(current, upstream_ids, frozenset(), now_ms)
+    return know.router.best_path(current, upstream_ids, frozenset(), now_ms)
 
 
 def test_the_own_domain_is_preferred_among_equals():
--- a/hyssoptack/policy/windowbudget_test.py
+++ b/hyssoptack/policy/windowbudget_test.py
@@ -29,7 +29,7 @@
 def spent_count(book, now_ms):
     """Returns how many extra calls may be made at once."""
     count = 0
-    while book.spend("s", now_ms):
+    while book.try_spend("s", now_ms):
         count += 1
     return count
 
--- a/hyssoptack/revisions/configuration_test.py
+++ b/hyssoptack/revisions/configuration_test.py
@@ -22,7 +22,7 @@
 
 
 def _taken(config, *offer):
-    return type(config.offer(*offer)).__name__
+    return type(config.merge_offer(*offer)).__name__
 
 
 def test_later_revisions_come_into_force_and_older_ones_do_not():
