--- a/bench/proofs/actions_test.py
+++ b/bench/proofs/actions_test.py
@@ -72,7 +72,9 @@
 
 def test_one_key_sent_everywhere_at_once_runs_once(run, calls):
     told: dict[str, list[str]] = {}
-    fronts = [calls.front_address(each["instance_id"]) for each in run.instances]
+    fronts = [
+        calls.front_address(each["instance_id"]) for each in run.instances
+    ]
     with concurrent.futures.ThreadPoolExecutor(len(fronts)) as threads:
         for number in range(20):
             key, subject = f"same-{number}", f"Awa {number}"
@@ -91,7 +93,9 @@
 
 
 def test_a_repeat_gets_the_recorded_outcome(run, calls):
-    fronts = [calls.front_address(each["instance_id"]) for each in run.instances]
+    fronts = [
+        calls.front_address(each["instance_id"]) for each in run.instances
+    ]
     first = calls.act(fronts[0], SERVICE, "repeat", "Binta")
     assert first.execution_status() == "yes"
     time.sleep(0.3)
@@ -104,7 +108,10 @@
 
 def test_a_key_reused_for_another_request_is_refused(run, calls):
     front = calls.front_address("plateau-1")
-    assert calls.act(front, SERVICE, "reused", "Coumba").execution_status() == "yes"
+    assert (
+        calls.act(front, SERVICE, "reused", "Coumba").execution_status()
+        == "yes"
+    )
     time.sleep(0.3)
     other = calls.act(front, SERVICE, "reused", "Coumba", request={"x": 1})
     assert (other.status, other.body["reason"]) == (422, "key_reused")
@@ -116,7 +123,9 @@
     for number in range(30):
         key = f"lost-{number}"
         front = calls.front_address(run.instances[number % 9]["instance_id"])
-        told[key] = [calls.act(front, SERVICE, key, f"Demba {number}").execution_status()]
+        told[key] = [
+            calls.act(front, SERVICE, key, f"Demba {number}").execution_status()
+        ]
     run.set_store_faults(lose_write_ratio=0.0)
     _check(run, told)
     assert sum(answers == ["yes"] for answers in told.values()) == 30
@@ -128,7 +137,9 @@
         run.set_store_faults(swallow_write_count=number % 4)
         key = f"swallowed-{number}"
         front = calls.front_address("almadies-1")
-        told[key] = [calls.act(front, SERVICE, key, f"Fama {number}").execution_status()]
+        told[key] = [
+            calls.act(front, SERVICE, key, f"Fama {number}").execution_status()
+        ]
     run.set_store_faults(swallow_write_count=0)
     _check(run, told)
     assert sum(answers == ["yes"] for answers in told.values()) == 10
@@ -207,7 +218,9 @@
             run, SERVICE, upstream_id, number
         )
         front = calls.front_address("pikine-2")
-        told[key].append(calls.act(front, SERVICE, key, subject).execution_status())
+        told[key].append(
+            calls.act(front, SERVICE, key, subject).execution_status()
+        )
     _check(run, told)
 
 
--- a/bench/proofs/answers_test.py
+++ b/bench/proofs/answers_test.py
@@ -41,9 +41,9 @@
     for upstream_id in run.upstream_ids(SERVICE):
         if run.processes[upstream_id].poll() is not None:
             continue
-        for query_id, version, low, high in run.upstream_counters(upstream_id, False)[
-            "answered"
-        ]:
+        for query_id, version, low, high in run.upstream_counters(
+            upstream_id, False
+        )["answered"]:
             logs[(query_id, version)].append(keyspace.KeyRange(low, high))
     return logs
 
--- a/bench/proofs/configuration_test.py
+++ b/bench/proofs/configuration_test.py
@@ -74,7 +74,9 @@
 
 def _apply(run, deadline_ms: int, *words: str) -> dict:
     path = _variant(run, deadline_ms)
-    done = run.run_cli("config", "apply", str(path), "--json", *words, check=False)
+    done = run.run_cli(
+        "config", "apply", str(path), "--json", *words, check=False
+    )
     return {"code": done.returncode, **json.loads(done.stdout or "{}")}
 
 
--- a/bench/proofs/leaving_test.py
+++ b/bench/proofs/leaving_test.py
@@ -70,7 +70,9 @@
     run.set_behaviour(victim, draining=True)
     time.sleep(1.0)
     replies = load.stop()
-    count = run.upstream_counters(victim)["new_work_while_draining_count"] - before
+    count = (
+        run.upstream_counters(victim)["new_work_while_draining_count"] - before
+    )
     run.set_behaviour(victim, draining=False)
     print("calls that met an upstream in its first second of leaving:", count)
     # Its three owners each may have one call on its way.
--- a/bench/slopes/gossip.py
+++ b/bench/slopes/gossip.py
@@ -102,7 +102,7 @@
                 case message.ConfigOffer():
                     self.gossip.on_config_offer(body)
 
-    def _on_config(self, taken: configuration.NewConfiguration) -> None:
+    def _on_config(self, taken: configuration.InForce) -> None:
         self.revised_ms[taken.manifest.revision] = clock.now_ms()
         self.gossip.send_heartbeat()
 
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -128,7 +128,7 @@
                     return
                 case _:
                     pass
-        self._push(plan.next_time_ms(), "time", number, None)
+        self._push(plan.next_deadline_ms(), "time", number, None)
 
     def _outcome(self) -> Outcome:
         answers = [
--- a/hyssoptack/core/message.py
+++ b/hyssoptack/core/message.py
@@ -168,4 +168,4 @@
     8: ConfigWanted,
     9: ConfigOffer,
 }
-"""Kinds by number, for `peers.codec`; `core.notice` has the others."""
+"""Kinds by number, for `peers.codec`; `core.gatewaymessage` has the others."""
--- a/hyssoptack/entry/daemon.py
+++ b/hyssoptack/entry/daemon.py
@@ -214,7 +214,7 @@
         await self._client.close()
         self._threads.shutdown(wait=False, cancel_futures=True)
 
-    def _on_config(self, taken: configuration.NewConfiguration) -> None:
+    def _on_config(self, taken: configuration.InForce) -> None:
         now_ms = clock.now_ms()
         self._state.apply_catalog(taken.catalog, now_ms)
         self._state.refresh(self._relay, now_ms)
--- a/hyssoptack/gateway/budgetshare.py
+++ b/hyssoptack/gateway/budgetshare.py
@@ -18,7 +18,7 @@
 
 USED_EXTRA_RATIO = 0.9
 """Part of the budget's ratio that is used: the instances' fullest windows
-differ (`policy.extrawindow`)."""
+differ (`policy.windowbudget`)."""
 
 
 def even_share(
--- a/hyssoptack/gateway/delegation_attempts_test.py
+++ b/hyssoptack/gateway/delegation_attempts_test.py
@@ -50,7 +50,7 @@
     """Returns the most upstreams of one shard that ran a request."""
     return max(
         sum(
-            site.services[f"i-{shard}-{copy}"].runs[request_id] > 0
+            site.services[f"i-{shard}-{copy}"].run_counts[request_id] > 0
             for copy in range(COPY_COUNT)
         )
         for shard in range(SHARD_COUNT)
--- a/hyssoptack/gateway/partitionmonitor.py
+++ b/hyssoptack/gateway/partitionmonitor.py
@@ -20,8 +20,8 @@
 """Between two looks while cut off: other domains are used again that soon."""
 
 PROBE_COUNT = 6
-"""Upstreams tried at a time (`policy.reach.LOOKS_COUNT` says how many show a
-cut)."""
+"""Upstreams tried at a time (`policy.partitiondetector.FAILED_CHECK_COUNT` says
+how many show a cut)."""
 
 
 async def accepts_connection(address: str) -> bool:
--- a/hyssoptack/gateway/quarantinesync.py
+++ b/hyssoptack/gateway/quarantinesync.py
@@ -1,6 +1,6 @@
 """Requests that crash upstreams: what is found here, and what others find.
 
-`policy.suspicion` holds the beliefs; here they are logged and told. News go to
+`policy.quarantine` holds the beliefs; here they are logged and told. News go to
 some instances of the own failure domain and of others at once, who pass them on
 when they are news to them, too. Each second a part of all that is held is told
 to one of each: what was lost, or found while a domain was cut off, is made up
--- a/hyssoptack/gateway/quarantinesync_test.py
+++ b/hyssoptack/gateway/quarantinesync_test.py
@@ -19,7 +19,9 @@
 
 async def _wait_blocked(site, *names):
     async with asyncio.timeout(TOLD_S):
-        while not all(_suspicions(site, each).blocked_count for each in names):
+        while not all(
+            _suspicions(site, each).quarantined_count for each in names
+        ):
             await asyncio.sleep(0.02)
 
 
--- a/hyssoptack/gateway/restarted_test.py
+++ b/hyssoptack/gateway/restarted_test.py
@@ -27,7 +27,7 @@
     async with asyncio.timeout(WAIT_S):
         while not ready():
             await asyncio.sleep(0.05)
-    narrow._delegating.selector.note_reply("route-0", REPLY_BYTES)
+    narrow._delegating.selector.record_reply_size("route-0", REPLY_BYTES)
 
 
 async def _stamps(site, request_id):
@@ -64,7 +64,7 @@
             await site.start("wide", link_mbps=1_000.0)
 
             def knows(each):
-                return bool(each.readers.neighbours())
+                return bool(each.reader_election.neighbours())
 
             await _ready(site, narrow, lambda: knows(narrow))
             await _restart(site, knows)
--- a/hyssoptack/gateway/storewatch.py
+++ b/hyssoptack/gateway/storewatch.py
@@ -1,6 +1,6 @@
 """Keeps the beliefs up to date from the platform's store.
 
-Few instances read; the others hear from them (`policy.readership`).
+Few instances read; the others hear from them (`policy.readerelection`).
 """
 
 import asyncio
--- a/hyssoptack/peers/gossip.py
+++ b/hyssoptack/peers/gossip.py
@@ -26,7 +26,7 @@
 REDRAW_MS = 60_000.0
 
 Send = collections.abc.Callable[[str, message.Message], None]
-OnConfig = collections.abc.Callable[[configuration.NewConfiguration], None]
+OnConfig = collections.abc.Callable[[configuration.InForce], None]
 
 
 class Gossip:
@@ -143,5 +143,5 @@
     def on_config_offer(self, offer: message.ConfigOffer) -> None:
         """Takes a configuration from a peer."""
         taken = self._config.merge_offer(offer.manifest_text, offer.parts)
-        if isinstance(taken, configuration.NewConfiguration):
+        if isinstance(taken, configuration.InForce):
             self._on_config(taken)
--- a/hyssoptack/policy/attempts_test.py
+++ b/hyssoptack/policy/attempts_test.py
@@ -94,10 +94,10 @@
         self._now_ms += 20.0
         match kind:
             case "time":
-                self.take(self.plan.on_time(self._now_ms))
+                self.take(self.plan.on_timeout(self._now_ms))
             case "dries":
                 ids = [each.call_id for each in self._open]
-                self.take(self.plan.on_dried_up(ids, self._now_ms))
+                self.take(self.plan.on_stalled(ids, self._now_ms))
             case _ if self._open:
                 self._end(self._open.pop(0), kind)
 
@@ -113,7 +113,7 @@
 
     def grant(self):
         """Grants the other attempts."""
-        self.take(self.plan.on_granted(self._now_ms))
+        self.take(self.plan.on_attempts_granted(self._now_ms))
 
 
 @hypothesis.settings(max_examples=150, deadline=None)
--- a/hyssoptack/policy/callcommand.py
+++ b/hyssoptack/policy/callcommand.py
@@ -17,7 +17,8 @@
         route: Its route.
         services: One service for each part.
         goal_at_ms: When an answer loses most of its use.
-        deadline_at_ms: When the caller stops waiting, or the route's timeout ends.
+        deadline_at_ms: When the caller stops waiting, or the route's timeout
+            ends.
         may_have_run: Whether it was begun elsewhere: its first calls then are
             extra ones, and it has an attempt less.
         awaits_grant: Whether it has one attempt only until its sender grants
@@ -95,7 +96,8 @@
         extra_reason: Why it is not the part's first call.
         is_probe: Whether it goes from here and over a new connection, which
             shows that the upstream lives.
-        cross_domain_only: Whether the own failure domain has no upstream for it.
+        cross_domain_only: Whether the own failure domain has no upstream for
+            it.
     """
 
     call_id: int
--- a/hyssoptack/policy/callerlatency.py
+++ b/hyssoptack/policy/callerlatency.py
@@ -63,7 +63,8 @@
         Args:
             route_name: The request's route.
             wait_ms: How long the caller still waits; None where it is silent.
-            first_on_connection: Whether the request is the first of its connection.
+            first_on_connection: Whether the request is the first of its
+                connection.
         """
         if wait_ms is None:
             return 0.0
--- a/hyssoptack/policy/callpart.py
+++ b/hyssoptack/policy/callpart.py
@@ -18,7 +18,7 @@
             connection.
         overdue_at_ms: When an outcome is overdue, where another instance makes
             the call; None where it is made from here.
-        is_probe: Whether it goes over a new connection (`policy.caution`).
+        is_probe: Whether it goes over a new connection (`policy.probeguard`).
     """
 
     call_id: int
@@ -38,7 +38,8 @@
     Attributes:
         service: The service.
         calls: The calls that are out, by number.
-        tried_upstream_ids: Upstreams that were chosen; no other call goes there by choice.
+        tried_upstream_ids: Upstreams that were chosen; no other call goes there
+            by choice.
         reached_upstream_ids: Upstreams that may have seen the request.
         call_counts: Calls that each upstream may have seen.
         shed_upstream_ids: Upstreams that refused it and may be asked again.
--- a/hyssoptack/policy/callresult.py
+++ b/hyssoptack/policy/callresult.py
@@ -17,7 +17,7 @@
 
 CRASHES_UPSTREAMS = "crashes_upstreams"
 """Why a request is refused, here or by the instance that was to call for it:
-upstreams ended each time that it ran (`policy.suspicion`)."""
+upstreams ended each time that it ran (`policy.quarantine`)."""
 
 NOT_LISTED_AT_GATHERER = "not_listed_there"
 """Why a call was not made: the instance that was to make it knows no such
--- a/hyssoptack/policy/connections.py
+++ b/hyssoptack/policy/connections.py
@@ -25,7 +25,8 @@
     """Instances that share the upstreams.
 
     Attributes:
-        same_domain_count: Instances in this instance's failure domain, itself included.
+        same_domain_count: Instances in this instance's failure domain, itself
+            included.
         other_domain_count: All others.
     """
 
--- a/hyssoptack/policy/hedgequeue.py
+++ b/hyssoptack/policy/hedgequeue.py
@@ -1,8 +1,8 @@
 """The calls of one request that may still be hedged, in the order of time.
 
 Those that this instance makes are hedged by what it sees of their like
-(`policy.hedgetime`). Those that another instance makes are hedged when it says
-that they wait for their upstreams, or is overdue itself: what is seen here
+(`policy.hedgetiming`). Those that another instance makes are hedged when it
+says that they wait for their upstreams, or is overdue itself: what is seen here
 tells nothing of them.
 """
 
--- a/hyssoptack/policy/loadbalancer.py
+++ b/hyssoptack/policy/loadbalancer.py
@@ -110,8 +110,8 @@
         Args:
             upstreams: The upstreams that may be called.
             now_ms: The time now.
-            restored_domains: Failure domains whose upstreams got nothing before: they
-                may be cold, whatever their entries said then.
+            restored_domains: Failure domains whose upstreams got nothing
+                before: they may be cold, whatever their entries said then.
         """
         known = self.upstream_states
         self.upstream_states = {}
--- a/hyssoptack/policy/partitiondetector.py
+++ b/hyssoptack/policy/partitiondetector.py
@@ -53,7 +53,8 @@
     Attributes:
         others_alive: Whether anything in another failure domain lives.
         store_alive: Whether the platform's store answers.
-        covers_all_services: Whether the own domain has an upstream for every service.
+        covers_all_services: Whether the own domain has an upstream for every
+            service.
     """
 
     others_alive: bool
--- a/hyssoptack/policy/probeguard.py
+++ b/hyssoptack/policy/probeguard.py
@@ -1,7 +1,7 @@
 """How one request is sent while it may crash the upstreams that run it.
 
 With care: one call at a time, over a connection opened for it, until one is
-answered (`policy.suspicion` says why). What else is due waits here meanwhile.
+answered (`policy.quarantine` says why). What else is due waits here meanwhile.
 """
 
 import collections
--- a/hyssoptack/policy/quarantine.py
+++ b/hyssoptack/policy/quarantine.py
@@ -18,7 +18,7 @@
 served again at the price of one upstream where it has not.
 
 Entries are bounded in number and in time; instances tell each other of them
-(`gateway.suspecting`).
+(`gateway.quarantinesync`).
 """
 
 import collections
@@ -40,7 +40,7 @@
 
 ENTRY_LIMIT_COUNT = 4_096
 """Most suspected requests, and most blocked ones, of one instance: 2.5 and 5 MB
-(`suspicion_test`, 50,000 and 20,000 requests), a sixteenth of what it may use.
+(`quarantine_test`, 50,000 and 20,000 requests), a sixteenth of what it may use.
 Beyond it the oldest are forgotten."""
 
 
--- a/hyssoptack/policy/quarantine_test.py
+++ b/hyssoptack/policy/quarantine_test.py
@@ -229,7 +229,10 @@
     for one in instances:
         now_ms += 250.0
         one.expire(now_ms)
-        for told in (*one.sample_notices(99, now_ms), *one.pop_new_notices(99, now_ms)):
+        for told in (
+            *one.sample_notices(99, now_ms),
+            *one.pop_new_notices(99, now_ms),
+        ):
             for other in instances:
                 if other is not one:
                     other.merge_notice(told, "g", now_ms + 900.0)
--- a/hyssoptack/policy/retrydelay.py
+++ b/hyssoptack/policy/retrydelay.py
@@ -50,7 +50,8 @@
 
     Attributes:
         cause: What it is for.
-        partitioned_for_ms: How long the domain has been cut off; 0 where it is not.
+        partitioned_for_ms: How long the domain has been cut off; 0 where it
+            is not.
     """
 
     cause: RefusalCause
--- a/hyssoptack/policy/upstreamstate.py
+++ b/hyssoptack/policy/upstreamstate.py
@@ -30,7 +30,8 @@
         failure_count: Failures to connect in a row.
         ejected_until_ms: No calls before this time.
         shed_until_ms: Lately had no room; others are preferred until then.
-        last_slow_ms: When a slow call that counted last ended, here or elsewhere.
+        last_slow_ms: When a slow call that counted last ended, here or
+            elsewhere.
         last_quick_ms: When an own call last was quick.
         sample_to_share: The last own call that neighbours should know of.
     """
--- a/hyssoptack/revisions/configuration.py
+++ b/hyssoptack/revisions/configuration.py
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class NewConfiguration:
+class InForce:
     """A new revision to put in force."""
 
     catalog: catalog.Catalog
@@ -45,7 +45,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class MissingParts:
+class Lacking:
     """Parts that have to be fetched first."""
 
     digests: tuple[str, ...]
@@ -58,7 +58,7 @@
     reason: str
 
 
-OfferResult = NewConfiguration | MissingParts | Ignored
+OfferResult = InForce | Lacking | Ignored
 
 
 class ActiveConfiguration:
@@ -117,7 +117,7 @@
                 self._parts[digest] = part
         lacking = tuple(sorted(set(manifest.parts.values()) - set(self._parts)))
         if lacking:
-            return MissingParts(digests=lacking)
+            return Lacking(digests=lacking)
         return self._assemble(manifest)
 
     def on_fetch_failed(self) -> None:
@@ -153,7 +153,7 @@
             revision=manifest.revision,
             change_id=manifest.change_id,
         )
-        return NewConfiguration(catalog=current, manifest=manifest)
+        return InForce(catalog=current, manifest=manifest)
 
     def _step(self, event: str) -> None:
         self._state = _CHART.step(self._state, event)
--- a/hyssoptack/revisions/configuration_test.py
+++ b/hyssoptack/revisions/configuration_test.py
@@ -38,7 +38,7 @@
     config = configuration.ActiveConfiguration()
     text, parts = _offer(1)
     lacking = config.merge_offer(text, {})
-    assert lacking == configuration.MissingParts(digests=tuple(parts))
+    assert lacking == configuration.Lacking(digests=tuple(parts))
     assert config.revision() == 0
     assert _taken(config, text, parts) == "InForce"
 
--- a/hyssoptack/revisions/platformwatch.py
+++ b/hyssoptack/revisions/platformwatch.py
@@ -26,7 +26,7 @@
 RETRY = backoff.Backoff(min_ms=100.0, max_ms=3_000.0)
 WATCH_ROLE = "config-watch"
 
-OnConfig = collections.abc.Callable[[configuration.NewConfiguration], None]
+OnConfig = collections.abc.Callable[[configuration.InForce], None]
 
 
 class PlatformWatcher:
@@ -128,14 +128,14 @@
 
     async def _take_head(self, head: store.Stored) -> bool:
         taken = self._config.merge_offer(head.value, {})
-        if isinstance(taken, configuration.MissingParts):
+        if isinstance(taken, configuration.Lacking):
             parts = await self._fetch(taken.digests)
             if len(parts) < len(taken.digests):
                 self._config.on_fetch_failed()
                 return False
             taken = self._config.merge_offer(head.value, parts)
         self._config.head_version = head.version
-        if isinstance(taken, configuration.NewConfiguration):
+        if isinstance(taken, configuration.InForce):
             self._on_config(taken)
         return True
 
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -109,7 +109,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class UpstreamFault:
-    """An upstream treats its next requests badly (see `service.Manners`)."""
+    """An upstream treats its next requests badly (`fakeupstream.Behaviour`)."""
 
     service: str
     fault_name: str
--- a/soak/invariants.py
+++ b/soak/invariants.py
@@ -78,7 +78,8 @@
 
         Args:
             requests: What callers asked and got.
-            crashing_requests: The same of the one whose requests crash upstreams.
+            crashing_requests: The same of the one whose requests crash
+                upstreams.
         """
         for each in (*requests, *crashing_requests):
             self._judge_runs(each)
@@ -103,7 +104,8 @@
     ) -> None:
         self._broken.append(
             f"{promise}: {each.request_id} {each.path} at {each.gateway} sent "
-            f"{each.sent_ms:.0f}: {each.outcome} {each.response.status}: {detail}"
+            f"{each.sent_ms:.0f}: {each.outcome} {each.response.status}: "
+            f"{detail}"
         )
 
     def _left_alone(self, gateway: str, start_ms: float, end_ms: float) -> bool:
