--- a/bench/baseline_entry.py
+++ b/bench/baseline_entry.py
@@ -13,7 +13,7 @@
 application = cyclopts.App(name="baseline-entry")
 
 
-def _hedging(text: str) -> hedging.Hedging:
+def _hedging(text: str) -> hedging.HedgePolicy:
     if text == "none":
         return hedging.NoHedge()
     if text.startswith("fixed:"):
@@ -35,7 +35,7 @@
     read, errors = instance.load(settings)
     if read is None:
         sys.exit("\n".join(map(str, errors)))
-    gate = admission.Adaptive() if admits else admission.Everyone()
+    gate = admission.Adaptive() if admits else admission.AdmitAll()
     daemon.run(read, _hedging(hedges), gate)
 
 
--- a/bench/slopes/gossip.py
+++ b/bench/slopes/gossip.py
@@ -74,8 +74,8 @@
     def __init__(self, number: int, total: int):
         loop = asyncio.get_running_loop()
         settings = _settings(number)
-        self.state = state.State(settings, hedging.NoHedge())
-        self.config = configuration.Configuration()
+        self.state = state.InstanceState(settings, hedging.NoHedge())
+        self.config = configuration.ActiveConfiguration()
         self.revised_ms: dict[int, float] = {}
         self.links = link.Links(
             settings.peer_address,
@@ -89,22 +89,22 @@
             self.state, self.config, self.links.send, self._on_config
         )
         members = tuple(_member(each) for each in range(total))
-        self.state.note_listed(members, clock.now_ms())
+        self.state.merge_listed(members, clock.now_ms())
         self.links.start()
 
-    def _on_received(self, received: link.Received) -> None:
+    def _on_received(self, received: link.ReceivedFrame) -> None:
         for body in received.decoded.messages:
             match body:
                 case message.Heartbeat():
                     self.gossip.on_heartbeat(body)
                 case message.ConfigWanted():
-                    self.gossip.on_wanted(body)
+                    self.gossip.on_config_wanted(body)
                 case message.ConfigOffer():
-                    self.gossip.on_offer(body)
+                    self.gossip.on_config_offer(body)
 
     def _on_config(self, taken: configuration.InForce) -> None:
         self.revised_ms[taken.manifest.revision] = clock.now_ms()
-        self.gossip.tell()
+        self.gossip.send_heartbeat()
 
     def put(self, revision: int) -> None:
         """Takes a new revision, as a watcher does."""
@@ -118,7 +118,7 @@
             applied_at_text="",
             parts={"profiles": digest},
         )
-        taken = self.config.offer(
+        taken = self.config.merge_offer(
             configuration.manifest_text(manifest), {digest: text}
         )
         self._on_config(taken)
@@ -127,7 +127,7 @@
 async def _serve(first: int, count: int, total: int) -> None:
     """Runs endpoints; obeys lines on standard input."""
     ends = [Endpoint(first + index, total) for index in range(count)]
-    beats = [asyncio.ensure_future(each.gossip.beat()) for each in ends]
+    beats = [asyncio.ensure_future(each.gossip.run()) for each in ends]
     loop = asyncio.get_running_loop()
     print("ready", flush=True)
     while True:
@@ -145,7 +145,7 @@
 
 
 def _report(end: Endpoint) -> dict:
-    traffic = end.links.traffic
+    traffic = end.links.counters
     return {
         "bytes": traffic.sent_bytes + traffic.received_bytes,
         "messages": traffic.sent_message_count + traffic.received_message_count,
@@ -205,11 +205,13 @@
         for process in processes:
             process.line()
         time.sleep(4.0)
-        cpu_s = sum(fit.cpu_of(each.popen.pid) for each in processes)
+        cpu_s = sum(fit.process_cpu_s(each.popen.pid) for each in processes)
         before = _reports(processes)
         time.sleep(REST_S)
         after = _reports(processes)
-        used_s = sum(fit.cpu_of(each.popen.pid) for each in processes) - cpu_s
+        used_s = (
+            sum(fit.process_cpu_s(each.popen.pid) for each in processes) - cpu_s
+        )
         spreads = [
             _spread_ms(processes, revision)
             for revision in range(1, SPREAD_COUNT + 1)
@@ -241,7 +243,7 @@
         return
     rows = [_measure(size) for size in SIZES]
     lines = {
-        name: fit.line(list(SIZES), [row[name] for row in rows])
+        name: fit.fit_line(list(SIZES), [row[name] for row in rows])
         for name in (
             "cpu_percent_of_core",
             "bytes_per_s",
@@ -249,7 +251,7 @@
             "spread_ms_median",
         )
     }
-    fit.show("gossip", rows, lines)
+    fit.report("gossip", rows, lines)
 
 
 if __name__ == "__main__":
--- a/bench/slopes/memory.py
+++ b/bench/slopes/memory.py
@@ -19,7 +19,7 @@
     know = example.knowledge(service)
     for upstream_id in service.upstreams:
         know.upstream_health.upstreams[upstream_id].held_versions = (1, 2)
-        know.router.lanes(service, upstream_id)
+        know.router.paths(service, upstream_id)
     return service, know
 
 
@@ -34,7 +34,7 @@
         )
         for number in range(count)
     )
-    return membership.listed(membership.Roster(), members, 1.0)
+    return membership.merge_listed(membership.Roster(), members, 1.0)
 
 
 def _queries(count: int) -> object:
@@ -43,7 +43,11 @@
     plans = []
     for number in range(count):
         plan = queryplan.QueryPlan(
-            example.asked(number=number), example.profile(), service, know, 0.0
+            example.browsing_query(number=number),
+            example.profile(),
+            service,
+            know,
+            0.0,
         )
         plans.append((plan, plan.start(0.0)))
     return plans
@@ -55,9 +59,9 @@
 def _child(kind: str, count: int) -> None:
     import os
 
-    before = fit.memory_of(os.getpid())
+    before = fit.process_memory_mb(os.getpid())
     kept = _KINDS[kind](count)
-    print(fit.memory_of(os.getpid()) - before)
+    print(fit.process_memory_mb(os.getpid()) - before)
     del kept
 
 
@@ -83,8 +87,8 @@
             {"of": kind, "count": count, "megabytes": round(value, 2)}
             for count, value in zip(counts, values, strict=True)
         ]
-        lines[f"megabytes by {kind}"] = fit.line(list(counts), values)
-    fit.show("memory", rows, lines)
+        lines[f"megabytes by {kind}"] = fit.fit_line(list(counts), values)
+    fit.report("memory", rows, lines)
 
 
 if __name__ == "__main__":
--- a/bench/slopes/plan.py
+++ b/bench/slopes/plan.py
@@ -16,16 +16,20 @@
     """Runs one query; returns the processor ms of its decisions alone."""
     with fit.Stopwatch() as first:
         plan = queryplan.QueryPlan(
-            example.asked(number=number), example.profile(), current, know, 0.0
+            example.browsing_query(number=number),
+            example.profile(),
+            current,
+            know,
+            0.0,
         )
         commands = plan.start(0.0)
-    asks = [each for each in commands if isinstance(each, querycommand.Ask)]
-    replies = [example.answer_to(ask, current) for ask in asks]
+    asks = [each for each in commands if isinstance(each, querycommand.Send)]
+    replies = [example.answer_reply(ask, current) for ask in asks]
     with fit.Stopwatch() as second:
         for reply in replies:
-            know.upstream_health.note(current.name, reply, 1.0)
+            know.upstream_health.record_reply(current.name, reply, 1.0)
             commands = plan.on_reply(reply, 1.0)
-            plan.next_time_ms()
+            plan.next_deadline_ms()
     assert isinstance(commands[-1], querycommand.Finish)
     return first.cpu_ms + second.cpu_ms
 
@@ -50,8 +54,8 @@
                 "cpu_us_an_upstream": round(cpu_ms * 1000 / size, 1),
             }
         )
-    lines = {"cpu ms a query": fit.line(list(SIZES), cpus)}
-    fit.show("plan", rows, lines)
+    lines = {"cpu ms a query": fit.fit_line(list(SIZES), cpus)}
+    fit.report("plan", rows, lines)
 
 
 if __name__ == "__main__":
--- a/bench/slopes/upstream_client.py
+++ b/bench/slopes/upstream_client.py
@@ -77,7 +77,7 @@
     decoder = msgspec.json.Decoder(client.SearchReply)
 
     def call(upstream: catalog.Upstream) -> client.SearchReply:
-        body = client.SearchBody(
+        body = client.SearchRequest(
             query_id="q",
             service="wide",
             text="baguette",
@@ -135,10 +135,10 @@
                     }
                 )
     lines = {
-        f"cpu ms a query, {way}": fit.line(list(SIZES), values)
+        f"cpu ms a query, {way}": fit.fit_line(list(SIZES), values)
         for way, values in cpus.items()
     }
-    fit.show("upstream_client", rows, lines)
+    fit.report("upstream_client", rows, lines)
 
 
 if __name__ == "__main__":
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -49,7 +49,7 @@
     upstream_ms: tuple[tuple[float, ...], ...]
 
 
-def load(name: str) -> Trace:
+def read_trace(name: str) -> Trace:
     """Reads a trace."""
     document = json.loads((FOLDER / f"{name}.json").read_text("utf-8"))
     upstream_ms = tuple(tuple(each) for each in document["upstream_ms"])
@@ -59,7 +59,7 @@
 class Replay:
     """One run of the decisions over a trace, in virtual time."""
 
-    def __init__(self, trace: Trace, hedges: hedging.Hedging):
+    def __init__(self, trace: Trace, hedges: hedging.HedgePolicy):
         self._service = example.service(len(trace.upstream_ms) // 3, 3)
         self._know = example.knowledge(self._service, hedges)
         self._times = {
@@ -89,7 +89,7 @@
     def _step(self, now_ms: float, kind: str, number: int, body) -> None:
         if kind == "start":
             plan = queryplan.QueryPlan(
-                example.asked(number=number),
+                example.browsing_query(number=number),
                 example.profile(),
                 self._service,
                 self._know,
@@ -100,22 +100,24 @@
             return
         if kind == "reply":
             # Late answers still show how slow the upstream is.
-            self._know.upstream_health.note(self._service.name, body, now_ms)
+            self._know.upstream_health.record_reply(
+                self._service.name, body, now_ms
+            )
         plan = self._plans.get(number)
         if plan is None:
             return
         if kind == "reply":
             commands = plan.on_reply(body, now_ms)
         else:
-            commands = plan.on_time(now_ms)
+            commands = plan.on_timeout(now_ms)
         self._carry(plan, number, commands, now_ms)
 
     def _carry(self, plan, number: int, commands, now_ms: float) -> None:
         for command in commands:
             match command:
-                case querycommand.Ask():
-                    took_ms = next(self._times[command.lane.upstream_id])
-                    reply = example.answer_to(
+                case querycommand.Send():
+                    took_ms = next(self._times[command.path.upstream_id])
+                    reply = example.answer_reply(
                         command, self._service, service_ms=took_ms
                     )
                     at_ms = now_ms + took_ms + HOP_MS
@@ -126,7 +128,7 @@
                     return
                 case _:
                     pass
-        self._push(plan.next_time_ms(), "time", number, None)
+        self._push(plan.next_deadline_ms(), "time", number, None)
 
     def _outcome(self) -> Outcome:
         answers = [
@@ -159,9 +161,9 @@
     ):
         if harm:
             harm(run)
-        measures.load(run, measures.STEADY_PER_S)
+        measures.run_load(run, measures.STEADY_PER_S)
         upstream_ms = [
-            run.account(upstream_id)["taken_ms"][:KEEP_COUNT]
+            run.upstream_counters(upstream_id)["taken_ms"][:KEEP_COUNT]
             for upstream_id in run.upstream_ids(measures.SERVICE)
         ]
     # An upstream routed around early has few times: repeat what it has.
@@ -179,11 +181,11 @@
                 hedging.HedgeAfterDelay(delay_ms=100.0),
                 hedging.NoHedge(),
             ):
-                outcome = Replay(load(name), hedges).run()
+                outcome = Replay(read_trace(name), hedges).run()
                 print(name, type(hedges).__name__, outcome)
         return
     _record("healthy", None)
-    _record("stragglers", measures.straggle)
+    _record("stragglers", measures.slow_every_tenth)
 
 
 if __name__ == "__main__":
--- a/hyssoptack/entry/actor_test.py
+++ b/hyssoptack/entry/actioncoordinator_test.py
@@ -7,7 +7,7 @@
 from hyssoptack.core import clock
 from hyssoptack.core import message
 from hyssoptack.core import refusal
-from hyssoptack.entry import actor
+from hyssoptack.entry import actioncoordinator
 from hyssoptack.policy import example
 from hyssoptack.policy import membership
 from hyssoptack.policy import routing
@@ -28,7 +28,7 @@
 
 def _state(current) -> types.SimpleNamespace:
     """Returns a state whose only way to each upstream is another instance."""
-    lane = routing.Lane(
+    lane = routing.RelayPath(
         upstream_id="any", instance_id=EXECUTOR_ID, slot_count=1
     )
     return types.SimpleNamespace(
@@ -38,8 +38,8 @@
         ),
         incarnation=f"{example.OWN_ID}-1",
         catalog=types.SimpleNamespace(services={"service": current}),
-        awaited=membership.Awaited(),
-        router=types.SimpleNamespace(lanes=lambda *_: [lane]),
+        pending_answers=membership.PendingAnswers(),
+        router=types.SimpleNamespace(paths=lambda *_: [lane]),
         upstream_health=types.SimpleNamespace(is_draining=lambda *_: False),
     )
 
@@ -55,11 +55,13 @@
             asyncio.get_running_loop().call_soon(acting.on_reply, reply)
             return True
 
-        acting = actor.Actor(knowledge, None, None, None, send_to)
-        return await acting.act(_asked())
+        acting = actioncoordinator.ActionCoordinator(
+            knowledge, None, None, None, send_to
+        )
+        return await acting.run_action(_asked())
 
     assert asyncio.run(run()) == done
     later_ms = clock.now_ms() + 2 * SUSPECT_AFTER_MS
-    assert not knowledge.awaited.is_suspect(
+    assert not knowledge.pending_answers.is_overdue(
         EXECUTOR_ID, SUSPECT_AFTER_MS, later_ms
     )
--- a/hyssoptack/entry/executor.py
+++ b/hyssoptack/entry/actionexecutor.py
@@ -19,7 +19,7 @@
 from hyssoptack.core import clock
 from hyssoptack.core import message
 from hyssoptack.core import refusal
-from hyssoptack.entry import claims
+from hyssoptack.entry import claimstore
 from hyssoptack.entry import state
 from hyssoptack.events import log
 from hyssoptack.policy import claim
@@ -73,19 +73,19 @@
         Raises:
             chart.BrokenInvariant: The state does not take the event.
         """
-        if not _CHART.takes(self.chart_state, event):
+        if not _CHART.accepts(self.chart_state, event):
             raise chart.BrokenInvariant(f"{event} in {self.chart_state}")
         self.chart_state = _CHART.step(self.chart_state, event)
 
 
-class Executor:
+class ActionExecutor:
     """Runs attempts on the upstreams that this instance owns."""
 
     def __init__(
         self,
-        knowledge: state.State,
+        knowledge: state.InstanceState,
         own_relay: relay.Relay,
-        own_claims: claims.Claims,
+        own_claims: claimstore.ClaimStore,
         send_to: SendTo,
     ):
         self._state = knowledge
@@ -96,7 +96,7 @@
         self._random = random.Random()
         self._tasks: set[asyncio.Task] = set()
 
-    def open_task_count(self) -> int:
+    def unfinished_task_count(self) -> int:
         """Returns attempts and records that are not finished."""
         return len(self._tasks)
 
@@ -120,7 +120,7 @@
         service = self._state.catalog.services.get(ask.action.service)
         upstream = service.upstreams.get(ask.upstream_id) if service else None
         if upstream is None or not self._relay.owns(ask.upstream_id, now_ms):
-            return claim.not_run(
+            return claim.not_run_outcome(
                 refusal.Reason.UPSTREAM_UNAVAILABLE,
                 f"upstream {ask.upstream_id} is not served from here now",
             )
@@ -160,7 +160,7 @@
                     attempt.version = held_version
                     attempt.held = found
                     return None
-            wanted = claim.held(
+            wanted = claim.held_claim(
                 found,
                 attempt.attempt_id,
                 attempt.digest,
@@ -173,7 +173,7 @@
         attempt.take("store_unreachable")
         # The claim may exist although nobody will send: let it go later.
         self._start(self._record_release(attempt, "the store was lost"))
-        return claim.not_run(
+        return claim.not_run_outcome(
             refusal.Reason.STORE_UNAVAILABLE,
             "the claim could not be made; nothing was sent",
         )
@@ -188,8 +188,8 @@
         match written:
             case expression.Result(tag="ok", ok=new_version):
                 return wanted, new_version
-            case expression.Result(error=store.Conflict(found=found)):
-                return claims.claim_of(found)
+            case expression.Result(error=store.Conflict(current_value=found)):
+                return claimstore.parse_claim(found)
             case _:
                 # The answer was lost; the write may have taken effect.
                 return await self._claims.read(attempt.key)
@@ -204,15 +204,15 @@
         if now_ms >= expires_ms:
             attempt.take("too_late")
             self._start(self._record_release(attempt, "claimed too late"))
-            return claim.not_run(
+            return claim.not_run_outcome(
                 refusal.Reason.UPSTREAM_UNAVAILABLE, "claimed too late to send"
             )
         attempt.take("send_started")
-        result = await self._relay.act(
+        result = await self._relay.send_action(
             attempt.upstream, attempt.asked, attempt.attempt_id, expires_ms
         )
         match result:
-            case client.Ran(receipt=receipt):
+            case client.DidRun(receipt=receipt):
                 attempt.take("receipt")
                 done = action.ClaimState.DONE
                 self._start(self._record(attempt, done, receipt, ""))
@@ -220,14 +220,14 @@
             case client.DidNotRun(detail=detail):
                 attempt.take("upstream_did_not_run")
                 self._start(self._record_release(attempt, detail))
-                return claim.not_run(
+                return claim.not_run_outcome(
                     refusal.Reason.UPSTREAM_UNAVAILABLE, detail
                 )
             case client.MayHaveRun(detail=detail):
                 attempt.take("answer_lost")
                 lost = action.ClaimState.UNKNOWN
                 self._start(self._record(attempt, lost, "", detail))
-                return claim.unknown(detail)
+                return claim.unknown_outcome(detail)
 
     async def _record(
         self,
@@ -244,7 +244,7 @@
 
     async def _record_release(self, attempt: _Attempt, note: str) -> None:
         """Releases the claim, if it exists, so that the key can be used."""
-        wanted = claim.released(
+        wanted = claim.released_claim(
             attempt.held, attempt.request_id, attempt.digest, note
         )
         await self._keep_writing(attempt, wanted)
--- a/hyssoptack/entry/daemon.py
+++ b/hyssoptack/entry/daemon.py
@@ -12,14 +12,14 @@
 from hyssoptack.charts import chart
 from hyssoptack.core import clock
 from hyssoptack.core import message
-from hyssoptack.entry import actor
-from hyssoptack.entry import burn
-from hyssoptack.entry import claims
-from hyssoptack.entry import coordinator
-from hyssoptack.entry import executor
-from hyssoptack.entry import front
+from hyssoptack.entry import actioncoordinator
+from hyssoptack.entry import actionexecutor
+from hyssoptack.entry import burncounts
+from hyssoptack.entry import callerserver
+from hyssoptack.entry import claimstore
 from hyssoptack.entry import metrics
-from hyssoptack.entry import operations
+from hyssoptack.entry import operatorserver
+from hyssoptack.entry import querycoordinator
 from hyssoptack.entry import state
 from hyssoptack.events import log
 from hyssoptack.peers import codec
@@ -30,8 +30,8 @@
 from hyssoptack.relay import client
 from hyssoptack.relay import relay
 from hyssoptack.revisions import configuration
-from hyssoptack.revisions import follower
 from hyssoptack.revisions import members
+from hyssoptack.revisions import platformwatch
 from hyssoptack.revisions import store
 from hyssoptack.settings import instance
 
@@ -49,7 +49,7 @@
     def __init__(
         self,
         settings: instance.InstanceSettings,
-        hedges: hedging.Hedging,
+        hedges: hedging.HedgePolicy,
         admits: admission.Policy,
     ):
         self._settings = settings
@@ -59,11 +59,11 @@
         self._threads = concurrent.futures.ThreadPoolExecutor(
             THREAD_COUNT, thread_name_prefix="platform"
         )
-        self._state = state.State(settings, hedges)
-        self._config = configuration.Configuration()
+        self._state = state.InstanceState(settings, hedges)
+        self._config = configuration.ActiveConfiguration()
         self._client = client.UpstreamClient()
         self._metrics = metrics.Metrics()
-        self._burn = burn.Burn()
+        self._burn = burncounts.BurnCounts()
         store_client = store.StoreClient(settings.platform)
         self._links = link.Links(
             settings.peer_address,
@@ -79,7 +79,7 @@
             self._state.upstream_health,
             self._on_drain,
         )
-        self._coordinator = coordinator.Coordinator(
+        self._coordinator = querycoordinator.QueryCoordinator(
             self._state,
             self._relay,
             self._send_to,
@@ -87,14 +87,14 @@
             self._burn,
             admits,
         )
-        self._claims = claims.Claims(store_client, self._threads)
-        self._executor = executor.Executor(
+        self._claims = claimstore.ClaimStore(store_client, self._threads)
+        self._executor = actionexecutor.ActionExecutor(
             self._state,
             self._relay,
             self._claims,
             self._send_to,
         )
-        self._actor = actor.Actor(
+        self._actor = actioncoordinator.ActionCoordinator(
             self._state,
             self._relay,
             self._executor,
@@ -104,7 +104,7 @@
         self._gossip = gossip.Gossip(
             self._state, self._config, self._links.send, self._on_config
         )
-        self._follower = follower.Follower(
+        self._follower = platformwatch.PlatformWatcher(
             self._state,
             self._config,
             store_client,
@@ -112,25 +112,25 @@
             self._threads,
             self._on_config,
         )
-        self._front = front.Front(
+        self._front = callerserver.CallerServer(
             self._state,
             self._coordinator,
             self._actor,
             self._metrics,
             self._loop,
         )
-        self._operations = operations.Operations(
-            operations.Parts(
+        self._operations = operatorserver.OperatorServer(
+            operatorserver.StatusSources(
                 state=self._state,
                 configuration=self._config,
-                coordinator=self._coordinator,
-                actor=self._actor,
-                claims=self._claims,
+                query_coordinator=self._coordinator,
+                action_coordinator=self._actor,
+                claim_store=self._claims,
                 relay=self._relay,
                 links=self._links,
-                follower=self._follower,
+                platform_watcher=self._follower,
                 metrics=self._metrics,
-                burn=self._burn,
+                burn_counts=self._burn,
             ),
             self._loop,
         )
@@ -146,9 +146,9 @@
             asyncio.ensure_future(each)
             for each in (
                 self._refresh(),
-                self._follower.follow_list(),
-                self._follower.follow_config(),
-                self._gossip.beat(),
+                self._follower.poll_instances(),
+                self._follower.watch_configuration(),
+                self._gossip.run(),
             )
         ]
         stopping = asyncio.ensure_future(self._stop_asked.wait())
@@ -179,18 +179,18 @@
     async def _leave(self) -> None:
         """Tells everyone, waits out the balancer's lag, finishes all work."""
         shutdown = self._settings.shutdown
-        self._state.take("stop_asked")
-        self._gossip.tell_many()
+        self._state.apply_event("stop_asked")
+        self._gossip.broadcast_heartbeat()
         if self._state.chart_state == "leaving":
             await self._wait_or_hurry(shutdown.balancer_lag_ms)
-            self._state.take("balancer_informed")
+            self._state.apply_event("balancer_informed")
         ends_ms = clock.now_ms() + shutdown.drain_limit_ms
         while not self._is_idle():
             if clock.now_ms() >= ends_ms or self._hurried.is_set():
-                self._state.take("drain_limit")
+                self._state.apply_event("drain_limit")
                 return
             await asyncio.sleep(IDLE_CHECK_MS / MS_PER_S)
-        self._state.take("idle")
+        self._state.apply_event("idle")
 
     async def _wait_or_hurry(self, wait_ms: float) -> None:
         try:
@@ -200,11 +200,11 @@
 
     def _is_idle(self) -> bool:
         return (
-            self._front.open_count() == 0
+            self._front.open_request_count() == 0
             and self._coordinator.in_flight_count() == 0
             and self._actor.in_flight_count == 0
-            and self._executor.open_task_count() == 0
-            and self._relay.open_count() == 0
+            and self._executor.unfinished_task_count() == 0
+            and self._relay.open_call_count() == 0
         )
 
     async def _close(self) -> None:
@@ -216,9 +216,9 @@
 
     def _on_config(self, taken: configuration.InForce) -> None:
         now_ms = clock.now_ms()
-        self._state.put_in_force(taken.catalog, now_ms)
+        self._state.apply_catalog(taken.catalog, now_ms)
         self._state.refresh(self._relay, now_ms)
-        self._gossip.tell()
+        self._gossip.send_heartbeat()
 
     def _send_to(self, instance_id: str, body: message.Message) -> bool:
         address = self._state.peer_address(instance_id)
@@ -243,7 +243,7 @@
             address=address,
             kind=type(body).__name__,
         )
-        instance_id = self._state.instance_at(address)
+        instance_id = self._state.instance_id_at(address)
         match body:
             case message.SubQuery():
                 self._coordinator.on_undelivered(instance_id, body)
@@ -252,7 +252,7 @@
             case _:
                 pass
 
-    def _on_received(self, received: link.Received) -> None:
+    def _on_received(self, received: link.ReceivedFrame) -> None:
         if received.decoded.dropped_count:
             log.write(
                 log.Event.PEER_UNREADABLE,
@@ -265,7 +265,7 @@
     def _on_message(self, body: message.Message) -> None:
         match body:
             case message.SubQuery():
-                self._relay.handle(body, self._sink_to(body))
+                self._relay.run_sub_query(body, self._sink_to(body))
             case message.SubAnswer():
                 self._coordinator.on_sub_answer(body)
             case message.Cancel():
@@ -281,17 +281,17 @@
         match body:
             case message.UpstreamNote(upstream_id=upstream_id):
                 if self._state.catalog.upstream(upstream_id) is not None:
-                    self._state.upstream_health.drain_seen(
+                    self._state.upstream_health.record_drain(
                         upstream_id, clock.now_ms()
                     )
             case message.Heartbeat():
                 self._gossip.on_heartbeat(body)
             case message.ConfigWanted():
-                self._gossip.on_wanted(body)
+                self._gossip.on_config_wanted(body)
             case message.ConfigOffer():
-                self._gossip.on_offer(body)
+                self._gossip.on_config_offer(body)
 
-    def _sink_to(self, sub: message.SubQuery) -> relay.Sink:
+    def _sink_to(self, sub: message.SubQuery) -> relay.OnReplies:
         def sink(replies: tuple[message.UpstreamReply, ...]) -> None:
             answer = message.SubAnswer(
                 origin=self._settings.instance_id,
@@ -326,7 +326,7 @@
 
 async def _main(
     settings: instance.InstanceSettings,
-    hedges: hedging.Hedging,
+    hedges: hedging.HedgePolicy,
     admits: admission.Policy,
 ) -> None:
     asyncio.get_running_loop().set_exception_handler(_on_loop_error)
@@ -338,7 +338,7 @@
 
 def run(
     settings: instance.InstanceSettings,
-    hedges: hedging.Hedging | None = None,
+    hedges: hedging.HedgePolicy | None = None,
     admits: admission.Policy | None = None,
 ) -> None:
     """Runs an entry instance until it is told to stop.
--- a/hyssoptack/entry/operations.py
+++ b/hyssoptack/entry/operatorserver.py
@@ -8,17 +8,17 @@
 from cheroot import wsgi
 
 from hyssoptack.core import clock
-from hyssoptack.entry import actor
-from hyssoptack.entry import burn
-from hyssoptack.entry import claims
-from hyssoptack.entry import coordinator
+from hyssoptack.entry import actioncoordinator
+from hyssoptack.entry import burncounts
+from hyssoptack.entry import claimstore
 from hyssoptack.entry import metrics
-from hyssoptack.entry import problem
+from hyssoptack.entry import querycoordinator
+from hyssoptack.entry import responses
 from hyssoptack.entry import state
 from hyssoptack.peers import link
 from hyssoptack.relay import relay
 from hyssoptack.revisions import configuration
-from hyssoptack.revisions import follower
+from hyssoptack.revisions import platformwatch
 
 THREAD_COUNT = 4
 TEXT_TYPE = "text/plain; charset=utf-8"
@@ -29,19 +29,19 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Parts:
+class StatusSources:
     """The tasks that the port reads from."""
 
-    state: state.State
-    configuration: configuration.Configuration
-    coordinator: coordinator.Coordinator
-    actor: actor.Actor
-    claims: claims.Claims
+    state: state.InstanceState
+    configuration: configuration.ActiveConfiguration
+    query_coordinator: querycoordinator.QueryCoordinator
+    action_coordinator: actioncoordinator.ActionCoordinator
+    claim_store: claimstore.ClaimStore
     relay: relay.Relay
     links: link.Links
-    follower: follower.Follower
+    platform_watcher: platformwatch.PlatformWatcher
     metrics: metrics.Metrics
-    burn: burn.Burn
+    burn_counts: burncounts.BurnCounts
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -77,17 +77,17 @@
     upstream_call_count: int
     search_count: int
     claim_write_count: int
-    peer_traffic: link.Traffic
+    peer_traffic: link.LinkCounters
     admission_limits: dict[str, float]
     extra_call_tokens: dict[str, float]
     upstream_p95_ms: dict[str, float | None]
     upstreams: tuple[UpstreamStatus, ...]
 
 
-class Operations:
+class OperatorServer:
     """Owns the operators' socket."""
 
-    def __init__(self, parts: Parts, loop: asyncio.AbstractEventLoop):
+    def __init__(self, parts: StatusSources, loop: asyncio.AbstractEventLoop):
         self._parts = parts
         self._loop = loop
         address = parts.state.settings.operator_address
@@ -144,43 +144,43 @@
                 text = self._parts.state.chart_state + "\n"
                 return line, TEXT_TYPE, text.encode()
             case "/status":
-                page = problem.of_value(self._status())
-                return STATUS_LINE_OK, problem.JSON_TYPE, page.body
+                page = responses.json_response(self._status())
+                return STATUS_LINE_OK, responses.JSON_TYPE, page.body
             case "/burn":
-                windows = self._parts.burn.windows(
+                windows = self._parts.burn_counts.window_sums(
                     BURN_WINDOWS_MS, clock.now_ms()
                 )
-                page = problem.of_value(windows)
-                return STATUS_LINE_OK, problem.JSON_TYPE, page.body
+                page = responses.json_response(windows)
+                return STATUS_LINE_OK, responses.JSON_TYPE, page.body
             case _:
                 text = b"paths: /metrics /healthz /readyz /status /burn\n"
                 return STATUS_LINE_NOT_FOUND, TEXT_TYPE, text
 
     def _set_gauges(self) -> None:
         parts = self._parts
-        traffic = parts.links.traffic
+        traffic = parts.links.counters
         facts = {
             "revision": parts.configuration.revision(),
             "ready": int(parts.state.is_ready()),
-            "queries_in_flight": parts.coordinator.in_flight_count(),
-            "actions_in_flight": parts.actor.in_flight_count,
-            "claim_writes": parts.claims.write_count,
-            "watches": parts.follower.watch_count,
+            "queries_in_flight": parts.query_coordinator.in_flight_count(),
+            "actions_in_flight": parts.action_coordinator.in_flight_count,
+            "claim_writes": parts.claim_store.write_count,
+            "watches": parts.platform_watcher.watch_count,
             "upstream_calls_made": parts.relay.call_count,
             **dataclasses.asdict(traffic),
         }
         for name, value in facts.items():
-            parts.metrics.instance.set({"fact": name}, value)
+            parts.metrics.instance_facts.set({"fact": name}, value)
 
     def _status(self) -> Status:
         parts = self._parts
         now_ms = clock.now_ms()
         settings = parts.state.settings
         manifest = parts.configuration.manifest
-        since_ms = parts.state.in_force_since_ms
+        since_ms = parts.state.catalog_applied_ms
         limits = {
             name: round(gate.limit_count, 2)
-            for name, gate in parts.coordinator.gates().items()
+            for name, gate in parts.query_coordinator.limiters().items()
         }
         return Status(
             instance_id=settings.instance_id,
@@ -193,18 +193,20 @@
             revision=parts.configuration.revision(),
             change_id=manifest.change_id if manifest else "",
             in_force_ms=now_ms - since_ms if since_ms else 0.0,
-            is_watcher=parts.follower.is_watcher(),
-            watch_count=parts.follower.watch_count,
-            usable_instances=tuple(sorted(parts.state.usable(now_ms))),
-            query_count=parts.coordinator.in_flight_count(),
-            action_count=parts.actor.in_flight_count,
+            is_watcher=parts.platform_watcher.is_watcher(),
+            watch_count=parts.platform_watcher.watch_count,
+            usable_instances=tuple(sorted(parts.state.usable_members(now_ms))),
+            query_count=parts.query_coordinator.in_flight_count(),
+            action_count=parts.action_coordinator.in_flight_count,
             upstream_call_count=parts.relay.call_count,
-            search_count=parts.coordinator.started_count,
-            claim_write_count=parts.claims.write_count,
-            peer_traffic=parts.links.traffic,
+            search_count=parts.query_coordinator.started_count,
+            claim_write_count=parts.claim_store.write_count,
+            peer_traffic=parts.links.counters,
             admission_limits=limits,
             extra_call_tokens={
-                name: round(parts.state.budgets.of(name).token_count, 2)
+                name: round(
+                    parts.state.retry_budgets.for_service(name).token_count, 2
+                )
                 for name in parts.state.catalog.services
             },
             upstream_p95_ms={
--- a/hyssoptack/entry/coordinator.py
+++ b/hyssoptack/entry/querycoordinator.py
@@ -11,7 +11,7 @@
 from hyssoptack.core import message
 from hyssoptack.core import query
 from hyssoptack.core import refusal
-from hyssoptack.entry import burn
+from hyssoptack.entry import burncounts
 from hyssoptack.entry import metrics
 from hyssoptack.entry import state
 from hyssoptack.events import log
@@ -33,7 +33,7 @@
 class _Sent:
     """A call in flight: where it went and when."""
 
-    lane: routing.Lane
+    lane: routing.RelayPath
     sent_ms: float
 
 
@@ -48,16 +48,16 @@
     timer: asyncio.TimerHandle | None = None
 
 
-class Coordinator:
+class QueryCoordinator:
     """Owns the queries of this instance's callers; runs on the event loop."""
 
     def __init__(
         self,
-        knowledge: state.State,
+        knowledge: state.InstanceState,
         own_relay: relay.Relay,
         send_to: SendTo,
         counts: metrics.Metrics,
-        burned: burn.Burn,
+        burned: burncounts.BurnCounts,
         policy: admission.Policy,
     ):
         self._state = knowledge
@@ -70,14 +70,14 @@
         self._numbers = itertools.count(1)
         self._random = random.Random()
         self._running: dict[str, _Running] = {}
-        self._gates: dict[str, admission.Gate] = {}
+        self._gates: dict[str, admission.Limiter] = {}
         self.started_count = 0
 
     def in_flight_count(self) -> int:
         """Returns the queries in flight."""
         return len(self._running)
 
-    def gates(self) -> dict[str, admission.Gate]:
+    def limiters(self) -> dict[str, admission.Limiter]:
         """Returns admission's view by service, for the operator port."""
         return self._gates
 
@@ -102,34 +102,34 @@
         if refused is not None:
             self._count(asked, profile, refused, 0.0)
             return refused
-        self._gates[asked.service] = admission.enter(gate, asked.urgency)
+        self._gates[asked.service] = admission.begin_query(gate, asked.urgency)
         self.started_count += 1
         plan = queryplan.QueryPlan(
-            asked, profile, service, self._state.knowledge, now_ms
+            asked, profile, service, self._state.plan_context, now_ms
         )
         result = await self._run(plan, service, now_ms)
         self._close(plan, profile, result, now_ms)
         return result
 
-    def _gate(self, service: str) -> admission.Gate:
+    def _gate(self, service: str) -> admission.Limiter:
         front = self._state.settings.front
         if service not in self._gates:
-            self._gates[service] = admission.new_gate(
+            self._gates[service] = admission.new_limiter(
                 front.max_query_count, front.urgent_reserve_count
             )
         return self._gates[service]
 
     def _admit(
-        self, gate: admission.Gate, asked: query.Query
+        self, gate: admission.Limiter, asked: query.Query
     ) -> refusal.Refusal | None:
         match self._policy:
-            case admission.Everyone():
+            case admission.AdmitAll():
                 return None
             case admission.Adaptive():
                 return self._admit_adaptively(gate, asked)
 
     def _admit_adaptively(
-        self, gate: admission.Gate, asked: query.Query
+        self, gate: admission.Limiter, asked: query.Query
     ) -> refusal.Refusal | None:
         total = len(self._running)
         if total >= self._state.settings.front.max_query_count:
@@ -142,7 +142,7 @@
                 gate, asked, self._random.random(), clock.now_ms()
             )
         if not isinstance(decision, admission.Admitted):
-            self._gates[asked.service] = admission.refused(
+            self._gates[asked.service] = admission.record_refusal(
                 gate, asked.urgency, clock.now_ms()
             )
         match decision:
@@ -155,7 +155,7 @@
                     detail="too many queries are in flight for this service",
                     retry_after_ms=retry_after_ms,
                 )
-            case admission.TooShort(expected_ms=expected_ms):
+            case admission.DeadlineTooShort(expected_ms=expected_ms):
                 return refusal.Refusal(
                     reason=refusal.Reason.DEADLINE_TOO_SHORT,
                     ran=refusal.Ran.NO,
@@ -195,10 +195,10 @@
         result: Result | None = None
         for command in commands:
             match command:
-                case querycommand.Ask(lane=lane):
+                case querycommand.Send(path=lane):
                     group = asks.setdefault(lane.instance_id, [])
                     group.append(self._note_ask(running, command, now_ms))
-                case querycommand.Drop(
+                case querycommand.Cancel(
                     call_id=call_id, instance_id=instance_id
                 ):
                     running.sent.pop(call_id, None)
@@ -215,12 +215,12 @@
             self._arm(running, now_ms)
 
     def _note_ask(
-        self, running: _Running, ask: querycommand.Ask, now_ms: float
+        self, running: _Running, ask: querycommand.Send, now_ms: float
     ) -> message.UpstreamAsk:
-        running.sent[ask.call_id] = _Sent(lane=ask.lane, sent_ms=now_ms)
+        running.sent[ask.call_id] = _Sent(lane=ask.path, sent_ms=now_ms)
         return message.UpstreamAsk(
             call_id=ask.call_id,
-            upstream_id=ask.lane.upstream_id,
+            upstream_id=ask.path.upstream_id,
             index_version=ask.index_version,
         )
 
@@ -250,17 +250,17 @@
             text=asked.text,
             limit_count=asked.limit_count,
             urgency=asked.urgency,
-            remaining_ms=running.plan.ends_ms - now_ms,
+            remaining_ms=running.plan.end_ms - now_ms,
             asks=asks,
         )
         if instance_id == self._own_id:
-            self._relay.handle(sub, self._local_sink(asked.query_id))
+            self._relay.run_sub_query(sub, self._local_sink(asked.query_id))
             return
-        self._state.awaited.asked(instance_id, now_ms)
+        self._state.pending_answers.record_request(instance_id, now_ms)
         if not self._send_to(instance_id, sub):
             self.on_undelivered(instance_id, sub)
 
-    def _local_sink(self, query_id: str) -> relay.Sink:
+    def _local_sink(self, query_id: str) -> relay.OnReplies:
         """Returns where the own relay's replies go: never re-entrant."""
         loop = asyncio.get_running_loop()
 
@@ -273,7 +273,7 @@
         """Sets the timer for the plan's next step in time."""
         if running.timer is not None:
             running.timer.cancel()
-        wait_s = max(0.0, running.plan.next_time_ms() - now_ms) / MS_PER_S
+        wait_s = max(0.0, running.plan.next_deadline_ms() - now_ms) / MS_PER_S
         loop = asyncio.get_running_loop()
         running.timer = loop.call_later(wait_s, self._on_time, running)
 
@@ -281,16 +281,16 @@
         if running.done.done():
             return
         now_ms = clock.now_ms()
-        self._carry(running, running.plan.on_time(now_ms), now_ms)
+        self._carry(running, running.plan.on_timeout(now_ms), now_ms)
 
     def on_sub_answer(self, answer: message.SubAnswer) -> None:
         """Takes upstream replies from a peer's relay."""
-        self._state.awaited.heard(answer.origin)
+        self._state.pending_answers.record_response(answer.origin)
         now_ms = clock.now_ms()
         service = self._service_of(answer)
         if service:
             for reply in answer.replies:
-                self._state.upstream_health.note(service, reply, now_ms)
+                self._state.upstream_health.record_reply(service, reply, now_ms)
         self._on_replies(answer.origin, answer.query_id, answer.replies)
 
     def _service_of(self, answer: message.SubAnswer) -> str:
@@ -324,13 +324,13 @@
             del running.sent[reply.call_id]
             if reply.status is message.CallStatus.ANSWERED:
                 added_ms = now_ms - sent.sent_ms - reply.service_ms
-                self._state.router.note_overhead(instance_id, added_ms)
+                self._state.router.record_overhead(instance_id, added_ms)
             commands.extend(running.plan.on_reply(reply, now_ms))
         self._carry(running, commands, now_ms)
 
     def on_undelivered(self, instance_id: str, sub: message.SubQuery) -> None:
         """Takes back a sub-query that could not be sent to a peer."""
-        self._state.awaited.failed(instance_id)
+        self._state.pending_answers.record_unreachable(instance_id)
         replies = tuple(
             message.UpstreamReply(
                 call_id=ask.call_id,
@@ -352,8 +352,8 @@
         now_ms = clock.now_ms()
         elapsed_ms = now_ms - started_ms
         asked = plan.query
-        good = isinstance(result, query.Answer) and not plan.shed_seen
-        self._gates[asked.service] = admission.leave(
+        good = isinstance(result, query.Answer) and not plan.was_shed
+        self._gates[asked.service] = admission.end_query(
             self._gates[asked.service],
             asked.urgency,
             elapsed_ms,
@@ -361,7 +361,7 @@
             asked.deadline_ms,
             now_ms,
         )
-        self._burn.called(
+        self._burn.record_calls(
             asked.service,
             plan.upstream_call_count,
             plan.extra_call_count,
@@ -383,7 +383,7 @@
         labels = {"service": asked.service, "kind": asked.urgency.value}
         match result:
             case query.Answer(coverage_ratio=coverage_ratio):
-                self._burn.answered(
+                self._burn.record_answer(
                     asked.service,
                     elapsed_ms,
                     profile.deadline_ms,
@@ -392,10 +392,10 @@
                 )
                 self._metrics.requests.inc({**labels, "result": "answered"})
                 name = {"service": asked.service}
-                self._metrics.latency_ms.observe(name, elapsed_ms)
-                self._metrics.coverage.set(name, coverage_ratio)
+                self._metrics.answer_latency_ms.observe(name, elapsed_ms)
+                self._metrics.last_coverage_ratio.set(name, coverage_ratio)
             case refusal.Refusal(reason=reason):
-                self._burn.refused(asked.service, reason.value, now_ms)
+                self._burn.record_refusal(asked.service, reason.value, now_ms)
                 self._metrics.requests.inc({**labels, "result": reason.value})
                 log.write(
                     log.Event.QUERY_REFUSED,
--- a/hyssoptack/entry/state.py
+++ b/hyssoptack/entry/state.py
@@ -22,51 +22,51 @@
 OWNERSHIP_VALID_RATIO = 0.5
 """Ownership not renewed for this part of the list's lag is over."""
 
-GONE_LAGS_COUNT = 2.0
+GONE_AFTER_LAGS_COUNT = 2.0
 """Unseen for this many lags while the list is read: gone."""
 
-LATELY_COUNT = 16
+RECENT_SENDER_LIMIT_COUNT = 16
 """Instances heard from last that heartbeats choose from to pass on."""
 
-KEEP_LAGS_COUNT = 10
+RETENTION_LAGS_COUNT = 10
 """Unseen incarnations are forgotten after this many lags."""
 
 
-class State:
+class InstanceState:
     """The shared knowledge of an instance's tasks."""
 
     def __init__(
         self,
         settings: instance.InstanceSettings,
-        hedges: hedging.Hedging,
+        hedges: hedging.HedgePolicy,
     ):
         self.settings = settings
         self.chart_state = _CHART.initial
         self.incarnation = f"{settings.instance_id}-{secrets.token_hex(4)}"
         self.catalog = catalog.EMPTY
-        self.in_force_since_ms = 0.0
+        self.catalog_applied_ms = 0.0
         self.roster = membership.Roster()
-        self.awaited = membership.Awaited()
-        self.addresses: dict[str, str] = {}
-        self.lately_heard: collections.deque[member.Member] = collections.deque(
-            maxlen=LATELY_COUNT
+        self.pending_answers = membership.PendingAnswers()
+        self.peer_addresses: dict[str, str] = {}
+        self.recent_senders: collections.deque[member.Member] = (
+            collections.deque(maxlen=RECENT_SENDER_LIMIT_COUNT)
         )
-        self.upstream_health = health.Health()
-        self.budgets = budget.Book()
+        self.upstream_health = health.HealthTracker()
+        self.retry_budgets = budget.ServiceBudgets()
         self.router = routing.Router(settings.instance_id, self.upstream_health)
-        self.knowledge = queryplan.Knowledge(
+        self.plan_context = queryplan.QueryPlanContext(
             router=self.router,
             upstream_health=self.upstream_health,
-            budgets=self.budgets,
-            hedges=hedges,
+            retry_budgets=self.retry_budgets,
+            hedge_policy=hedges,
             current_service=lambda name: self.catalog.services.get(name),
         )
         self.visible_since_ms = 0.0
         self._refreshed_ms = clock.now_ms()
-        self._view: routing.View | None = None
+        self._view: routing.RoutingView | None = None
         self._owned: frozenset[str] = frozenset()
 
-    def take(self, event: str) -> None:
+    def apply_event(self, event: str) -> None:
         """Steps the instance's state chart and logs the step."""
         before = self.chart_state
         self.chart_state = _CHART.step(before, event)
@@ -83,7 +83,7 @@
         """Tells whether the balancer may send new requests."""
         return self.chart_state == "serving"
 
-    def takes_requests(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Tells whether a request that arrives is still served."""
         return self.chart_state in ("serving", "leaving", "draining")
 
@@ -91,7 +91,7 @@
         """Tells whether this instance has said that it leaves."""
         return self.chart_state in ("leaving", "draining", "stopped")
 
-    def self_member(self) -> member.Member:
+    def own_member(self) -> member.Member:
         """Returns this instance as others should know it."""
         return member.Member(
             instance_id=self.settings.instance_id,
@@ -104,11 +104,11 @@
 
     def peer_address(self, instance_id: str) -> str | None:
         """Finds where to send messages for an instance."""
-        return self.addresses.get(instance_id)
+        return self.peer_addresses.get(instance_id)
 
-    def instance_at(self, peer_address: str) -> str:
+    def instance_id_at(self, peer_address: str) -> str:
         """Finds whose address this is; empty when nobody's."""
-        for name, address in self.addresses.items():
+        for name, address in self.peer_addresses.items():
             if address == peer_address:
                 return name
         return ""
@@ -117,38 +117,38 @@
         """Returns the instances that call an upstream."""
         for service in self.catalog.services.values():
             if upstream_id in service.upstreams:
-                lanes = self.router.lanes(service, upstream_id)
+                lanes = self.router.paths(service, upstream_id)
                 return {lane.instance_id for lane in lanes}
         return set()
 
-    def note_listed(
+    def merge_listed(
         self, members: tuple[member.Member, ...], now_ms: float
     ) -> None:
         """Takes the platform's list."""
-        self.roster = membership.listed(self.roster, members, now_ms)
+        self.roster = membership.merge_listed(self.roster, members, now_ms)
         mine = any(each.incarnation == self.incarnation for each in members)
         if mine and not self.visible_since_ms:
             self.visible_since_ms = now_ms
-        self.addresses = membership.addresses(self.roster)
+        self.peer_addresses = membership.addresses(self.roster)
 
-    def note_heard(self, sender: member.Member, now_ms: float) -> None:
+    def record_message(self, sender: member.Member, now_ms: float) -> None:
         """Takes a sign of life of a peer."""
         if sender.incarnation == self.incarnation:
             return
         known = sender.incarnation in self.roster.sightings
-        self.roster = membership.heard(self.roster, sender, now_ms)
-        self.awaited.heard(sender.instance_id)
-        self.lately_heard.append(sender)
+        self.roster = membership.record_message(self.roster, sender, now_ms)
+        self.pending_answers.record_response(sender.instance_id)
+        self.recent_senders.append(sender)
         if not known:
-            self.addresses = membership.addresses(self.roster)
+            self.peer_addresses = membership.addresses(self.roster)
 
-    def usable(self, now_ms: float) -> dict[str, member.Member]:
+    def usable_members(self, now_ms: float) -> dict[str, member.Member]:
         """Returns the instances that may get new work."""
         return membership.usable(
             self.roster,
-            self.awaited,
+            self.pending_answers,
             self.settings.peers.suspect_after_ms,
-            GONE_LAGS_COUNT * self.settings.platform.instance_list_lag_ms,
+            GONE_AFTER_LAGS_COUNT * self.settings.platform.instance_list_lag_ms,
             now_ms,
         )
 
@@ -166,29 +166,33 @@
             log.write(log.Event.THAWED, paused_ms=paused_ms)
             self.visible_since_ms = now_ms
         self.roster = membership.pruned(
-            self.roster, KEEP_LAGS_COUNT * max(lag_ms, 1.0), now_ms
+            self.roster, RETENTION_LAGS_COUNT * max(lag_ms, 1.0), now_ms
         )
         self._install_view(now_ms)
-        settled = bool(self.visible_since_ms) and ownership.may_use(
+        settled = bool(self.visible_since_ms) and ownership.may_use_shares(
             self.visible_since_ms, lag_ms, now_ms
         )
         owned = self._owned if settled else frozenset()
-        owner.install(self.catalog, owned, now_ms + max(valid_ms, 100.0))
+        owner.set_owned_upstreams(
+            self.catalog, owned, now_ms + max(valid_ms, 100.0)
+        )
         if settled:
-            self.take("settled")
+            self.apply_event("settled")
 
     def _install_view(self, now_ms: float) -> None:
         lag_ms = self.settings.platform.instance_list_lag_ms
         domains = {each.failure_domain for each in self._members()}
         domains.add(self.settings.failure_domain)
         assumed = {
-            domain: membership.assumed(self.roster, domain, lag_ms, now_ms)
+            domain: membership.recently_seen(
+                self.roster, domain, lag_ms, now_ms
+            )
             for domain in domains
         }
-        view = routing.View(
+        view = routing.RoutingView(
             catalog=self.catalog,
-            assumed=assumed,
-            usable=self.usable(now_ms),
+            recently_seen=assumed,
+            usable=self.usable_members(now_ms),
             owner_count=self.settings.relay.owner_count,
             column_size_count=self.settings.relay.column_size_count,
         )
@@ -207,9 +211,9 @@
     def _members(self) -> list[member.Member]:
         return [each.member for each in self.roster.sightings.values()]
 
-    def _upstreams_owned(self, view: routing.View) -> frozenset[str]:
+    def _upstreams_owned(self, view: routing.RoutingView) -> frozenset[str]:
         domain = self.settings.failure_domain
-        names = {*view.assumed.get(domain, ()), self.settings.instance_id}
+        names = {*view.recently_seen.get(domain, ()), self.settings.instance_id}
         candidates = tuple(sorted(names))
         owned: set[str] = set()
         for service in self.catalog.services.values():
@@ -223,7 +227,7 @@
                     owned.update(column.upstream_ids)
         return frozenset(owned)
 
-    def put_in_force(self, current: catalog.Catalog, now_ms: float) -> None:
+    def apply_catalog(self, current: catalog.Catalog, now_ms: float) -> None:
         """Replaces the configuration by a later revision.
 
         Raises:
@@ -232,14 +236,14 @@
         if current.revision <= self.catalog.revision:
             raise chart.BrokenInvariant("a revision would step down")
         self.catalog = current
-        self.in_force_since_ms = now_ms
-        self.take("configured")
+        self.catalog_applied_ms = now_ms
+        self.apply_event("configured")
 
 
-def _same_view(one: routing.View, other: routing.View) -> bool:
+def _same_view(one: routing.RoutingView, other: routing.RoutingView) -> bool:
     """Compares views cheaply: catalogs by identity."""
     return (
         one.catalog is other.catalog
-        and one.assumed == other.assumed
+        and one.recently_seen == other.recently_seen
         and one.usable == other.usable
     )
--- a/hyssoptack/gateway/relaying_test.py
+++ b/hyssoptack/gateway/callrelay_test.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from hyssoptack.core import notice
+from hyssoptack.core import gatewaymessage
 from hyssoptack.gateway import gateway_test
 from hyssoptack.gateway import harness
 
@@ -26,13 +26,13 @@
     north = await site.start("north")
     await site.start("south", failure_domain="south")
     async with asyncio.timeout(WAIT_S):
-        while north._relaying.known.choose("south", 0.0) is None:
+        while north._relaying.selector.choose("south", 0.0) is None:
             await asyncio.sleep(0.05)
     return north
 
 
 def _runs(site, request_id):
-    return [s.runs[request_id] for s in site.services.values()]
+    return [s.run_counts[request_id] for s in site.services.values()]
 
 
 def test_an_instance_beside_the_upstreams_makes_the_calls():
@@ -47,8 +47,8 @@
             assert got.body[:16] == bytes([200]) * 16
             assert _runs(site, b"r1") == [1] * SHARD_COUNT
             assert north._pools.opened_count == opened
-            assert not north._relaying.relayed
-            assert not site.gateways["south"]._gathering.gathers
+            assert not north._relaying.pending
+            assert not site.gateways["south"]._gathering.active_gathers
 
     asyncio.run(test())
 
@@ -72,16 +72,16 @@
     async def test():
         async with harness.Site() as site:
             north = await _across(site, both=True)
-            site.gateways["south"]._peering.on_query = lambda _: None
+            site.gateways["south"]._peering.on_message = lambda _: None
             got = await site.get("/all/x", "r1", name="north")
             assert got.status == 200
             shard_runs = [
-                site.services[f"i-{index}"].runs[b"r1"]
-                + site.services[f"w-{index}"].runs[b"r1"]
+                site.services[f"i-{index}"].run_counts[b"r1"]
+                + site.services[f"w-{index}"].run_counts[b"r1"]
                 for index in range(SHARD_COUNT)
             ]
             assert max(shard_runs) <= 2
-            assert not north._relaying.relayed
+            assert not north._relaying.pending
 
     asyncio.run(test())
 
@@ -94,7 +94,7 @@
             got = await site.get("/all/x", "r1", name="north")
             assert got.status == 200
             assert _runs(site, b"r1") == [1] * SHARD_COUNT
-            assert north._relaying.known.choose("south", 0.0) is None
+            assert north._relaying.selector.choose("south", 0.0) is None
 
     asyncio.run(test())
 
@@ -118,12 +118,14 @@
             await _across(site, both=True)
             south = site.gateways["south"]
             for index in range(SHARD_COUNT):
-                standing = south.beliefs.placing.standings[f"i-{index}"]
+                standing = south.view.load_balancer.upstream_states[
+                    f"i-{index}"
+                ]
                 object.__setattr__(standing.upstream, "draining", True)
             got = await site.get("/all/x", "r1", name="north")
             assert got.status == 200
             runs = [
-                site.services[f"i-{index}"].runs[b"r1"]
+                site.services[f"i-{index}"].run_counts[b"r1"]
                 for index in range(SHARD_COUNT)
             ]
             assert not any(runs)
@@ -136,20 +138,20 @@
         async with harness.Site() as site:
             await _across(site)
             for each in site.services.values():
-                each.manners.never = True
+                each.behaviour.never = True
             address = site.settings["north"].callers_address
             host, _, port = address.rpartition(":")
             _, writer = await asyncio.open_connection(host, int(port))
             writer.write(harness.request_bytes("/all/x", "r1"))
             await asyncio.sleep(0.1)
-            assert site.gateways["south"]._gathering.gathers
+            assert site.gateways["south"]._gathering.active_gathers
             writer.close()
             async with asyncio.timeout(0.5):
                 while any(
                     not s.cancelled_count for s in site.services.values()
                 ):
                     await asyncio.sleep(0.02)
-            assert not site.gateways["south"]._gathering.gathers
+            assert not site.gateways["south"]._gathering.active_gathers
 
     asyncio.run(test())
 
@@ -159,7 +161,7 @@
         async with harness.Site() as site:
             await _across(site, both=True)
             for index in range(SHARD_COUNT):
-                site.services[f"i-{index}"].manners.delay_ms = 700.0
+                site.services[f"i-{index}"].behaviour.delay_ms = 700.0
             begun = asyncio.create_task(site.get("/all/x", "r1", name="north"))
             await asyncio.sleep(0.05)
             site.kill("south")
@@ -174,14 +176,14 @@
     async def test():
         async with harness.Site() as site:
             north = await _across(site)
-            told = notice.RelayedOutcome(
+            told = gatewaymessage.RelayedOutcome(
                 call_id=1, kind="answered", signature=b"forged", records=b"z"
             )
-            batch = notice.RelayBatch(
+            batch = gatewaymessage.RelayBatch(
                 sender_address="127.0.0.1:1", ask_id=1, outcomes=(told,)
             )
             for each in site.services.values():
-                each.manners.delay_ms = 150.0
+                each.behaviour.delay_ms = 150.0
             begun = asyncio.create_task(site.get("/all/x", "r1", name="north"))
             await asyncio.sleep(0.05)
             north._relaying.on_batch(batch)
@@ -205,7 +207,7 @@
                 while sum(_runs(site, b"r1")) < SHARD_COUNT:
                     await asyncio.sleep(0.02)
             asked.cancel()
-            assert not north._relaying.relayed
-            assert not site.gateways["south"]._gathering.gathers
+            assert not north._relaying.pending
+            assert not site.gateways["south"]._gathering.active_gathers
 
     asyncio.run(test())
--- a/hyssoptack/gateway/daemon.py
+++ b/hyssoptack/gateway/daemon.py
@@ -11,43 +11,43 @@
 import uvloop
 
 from hyssoptack.core import clock
+from hyssoptack.core import gatewaymessage
 from hyssoptack.core import member
-from hyssoptack.core import notice
 from hyssoptack.core import traffic
 from hyssoptack.events import log
-from hyssoptack.gateway import beliefs
-from hyssoptack.gateway import blocklist
 from hyssoptack.gateway import budgetshare
-from hyssoptack.gateway import delegating
+from hyssoptack.gateway import callrelay
+from hyssoptack.gateway import derivedsettings
 from hyssoptack.gateway import earlyport
-from hyssoptack.gateway import faults
-from hyssoptack.gateway import following
-from hyssoptack.gateway import gathering
+from hyssoptack.gateway import exceptionlog
+from hyssoptack.gateway import gathererservice
+from hyssoptack.gateway import listeners
 from hyssoptack.gateway import metrics
-from hyssoptack.gateway import pages
-from hyssoptack.gateway import parts
+from hyssoptack.gateway import partitionmonitor
 from hyssoptack.gateway import peering
 from hyssoptack.gateway import pool
-from hyssoptack.gateway import ports
-from hyssoptack.gateway import reaching
-from hyssoptack.gateway import relaying
-from hyssoptack.gateway import serving
-from hyssoptack.gateway import suspecting
-from hyssoptack.http1 import callerside
+from hyssoptack.gateway import quarantinestore
+from hyssoptack.gateway import quarantinesync
+from hyssoptack.gateway import querydelegation
+from hyssoptack.gateway import replicatedview
+from hyssoptack.gateway import requesthandler
+from hyssoptack.gateway import statuspages
+from hyssoptack.gateway import storewatch
+from hyssoptack.http1 import httpserver
 from hyssoptack.http1 import message
 from hyssoptack.platform import headers
 from hyssoptack.platform import keyvalue
-from hyssoptack.platform import wire
+from hyssoptack.platform import storeformat
 from hyssoptack.policy import connections
 from hyssoptack.policy import delegation
-from hyssoptack.policy import extrawindow
 from hyssoptack.policy import gatherers
-from hyssoptack.policy import knowing
-from hyssoptack.policy import placing
-from hyssoptack.policy import reach
-from hyssoptack.policy import readership
-from hyssoptack.policy import suspicion
+from hyssoptack.policy import loadbalancer
+from hyssoptack.policy import partitiondetector
+from hyssoptack.policy import plancontext
+from hyssoptack.policy import quarantine
+from hyssoptack.policy import readerelection
 from hyssoptack.policy import warmup
+from hyssoptack.policy import windowbudget
 from hyssoptack.settings import gateway
 
 RESTART_FIELDS = frozenset(
@@ -89,135 +89,143 @@
         self._settings = settings
         self._path = path
         self._pools = pool.Pools(headers.REQUEST_ID)
-        self._warmups = warmup.Warmups(
-            parts.own_peer(settings),
+        self._warmups = warmup.WarmupLimiter(
+            derivedsettings.own_peer(settings),
             settings.warmup,
             clock.now_ms(),
         )
-        self._placing = placing.Placing(
-            parts.placing_settings(settings), self._warmups
+        self._placing = loadbalancer.LoadBalancer(
+            derivedsettings.load_balancer_settings(settings), self._warmups
         )
-        self.beliefs = beliefs.Beliefs(
-            placing=self._placing,
+        self.view = replicatedview.ReplicatedView(
+            load_balancer=self._placing,
             pools=self._pools,
             on_configuration=self._on_configuration,
-            keeps_lapsed=settings.mechanisms.grace,
+            keeps_lapsed_upstreams=settings.mechanisms.grace,
         )
-        self.readers = readership.Readership(
+        self.reader_election = readerelection.ReaderElection(
             settings.instance_id,
             settings.failure_domain,
-            readership.pace(settings.belief_bound_ms),
+            readerelection.read_timings(settings.propagation_bound_ms),
         )
-        self._extra_calls = extrawindow.Book(
-            budgetshare.share(settings.budget, 0), clock.now_ms()
+        self._extra_calls = windowbudget.WindowBudget(
+            budgetshare.even_share(settings.budget, 0), clock.now_ms()
         )
-        self._reach = reach.Reach()
-        self._suspicions = suspicion.Suspicions(
+        self._reach = partitiondetector.PartitionDetector()
+        self._suspicions = quarantine.SuspectRegistry(
             random.Random(), settings.mechanisms.suspicion
         )
-        self._suspicions.trust(settings.trusted_fingerprints, clock.now_ms())
+        self._suspicions.set_trusted(
+            settings.trusted_fingerprints, clock.now_ms()
+        )
         self._metrics = metrics.Metrics()
-        self._serving = serving.Serving(
-            self.beliefs,
+        self._serving = requesthandler.RequestHandler(
+            self.view,
             self._knowledge(),
             settings.failure_domain,
             self._metrics,
         )
-        self._callers = callerside.Server(
-            handler=self._serving.handle, on_refused=serving.log_refusal
+        self._callers = httpserver.Server(
+            handler=self._serving.handle,
+            on_refused=requesthandler.log_unreadable_request,
+        )
+        shown = statuspages.StatusPages(
+            self._metrics, self._is_ready, self._facts
         )
-        shown = pages.Pages(self._metrics, self._is_ready, self._facts)
-        self._probes = callerside.Server(handler=shown.answer_probe)
-        self._readings = callerside.Server(handler=shown.answer_metrics)
+        self._probes = httpserver.Server(handler=shown.answer_readiness)
+        self._readings = httpserver.Server(handler=shown.answer_metrics)
         # Connections to the store outlast any change of upstreams.
         self._store_pools = pool.Pools(headers.REQUEST_ID)
         self._store = keyvalue.Client(settings.store_address, self._store_pools)
         self._peering = peering.Peering(
             settings,
-            self.beliefs,
-            self.readers,
+            self.view,
+            self.reader_election,
             self._on_instances,
-            self._reach.note_told,
+            self._reach.on_neighbour_suspicion,
         )
-        self._delegating = delegating.Delegating(
-            delegation.Delegation(
-                parts.own_link_mbps(settings), random.Random()
+        self._delegating = querydelegation.Delegator(
+            delegation.DelegateSelector(
+                derivedsettings.delegation_link_mbps(settings), random.Random()
             ),
             settings.peer_address,
             self._peering.send,
-            self._serving.run_here,
-            self._serving.can_take_back,
+            self._serving.run_locally,
+            self._serving.can_rerun_locally,
         )
-        self._serving.delegating = self._delegating
-        self._relaying = relaying.Relaying(
-            gatherers.Gatherers(random.Random()),
+        self._serving.delegator = self._delegating
+        self._relaying = callrelay.CallRelay(
+            gatherers.GathererSelector(random.Random()),
             settings.peer_address,
             self._peering.send,
             settings.mechanisms.relaying,
         )
-        self._serving.relaying = self._relaying
-        self._gathering = gathering.Gathering(
-            self.beliefs,
+        self._serving.call_relay = self._relaying
+        self._gathering = gathererservice.GathererService(
+            self.view,
             settings.peer_address,
             self._peering.send,
             self._serving.connection_limit_count,
-            self._delegating.is_stale,
+            self._delegating.messages_may_be_stale,
             self._suspicions,
         )
-        self._suspecting = suspecting.Suspecting(
+        self._suspecting = quarantinesync.QuarantineSync(
             self._suspicions,
-            parts.own_peer(settings),
-            self.readers.neighbours,
-            self._relaying.known.peers,
+            derivedsettings.own_peer(settings),
+            self.reader_election.neighbours,
+            self._relaying.selector.peers,
             self._peering.send,
-            self._serving.note_blocked,
+            self._serving.on_quarantined,
             self._metrics,
         )
-        self._blocklist = blocklist.Blocklist(
-            self._suspicions, self._store, wire.BLOCKED_PREFIX
+        self._blocklist = quarantinestore.QuarantineStore(
+            self._suspicions, self._store, storeformat.BLOCKED_PREFIX
         )
-        self._pools.on_ended = self._suspecting.on_upstream_ended
-        self._peering.on_query = self._on_query
+        self._pools.on_upstream_exit = self._suspecting.on_upstream_exit
+        self._peering.on_message = self._on_query
         self._peering.on_undelivered = self._on_undelivered
         self._peering.on_link_lost = self._on_link_lost
-        self._reaching = reaching.Reaching(
-            self.beliefs,
+        self._reaching = partitionmonitor.PartitionMonitor(
+            self.view,
             self._reach,
             settings.failure_domain,
             lambda: self._settings.store_address,
             self._on_reach,
         )
         self._stop = asyncio.Event()
-        self._ports = ports.Ports()
+        self._ports = listeners.Listeners()
 
-    def _knowledge(self) -> knowing.Knowledge:
-        return knowing.Knowledge(
-            placing=self._placing,
-            extra_calls=self._extra_calls,
-            domains=self._reach,
+    def _knowledge(self) -> plancontext.PlanContext:
+        return plancontext.PlanContext(
+            load_balancer=self._placing,
+            extra_call_budget=self._extra_calls,
+            partition_detector=self._reach,
             mechanisms=self._settings.mechanisms,
             suspicions=self._suspicions,
         )
 
-    def _on_query(self, each: notice.Notice) -> None:
-        ready = self.beliefs.complete and not self._stop.is_set()
+    def _on_query(self, each: gatewaymessage.Message) -> None:
+        ready = self.view.is_complete and not self._stop.is_set()
         match each:
-            case notice.QueryAsk():
-                self._serving.take(each, ready)
-            case notice.RelayAsk():
-                self._gathering.take(each, ready)
-            case notice.RelayBatch():
+            case gatewaymessage.DelegationRequest():
+                self._serving.serve_delegated(each, ready)
+            case gatewaymessage.RelayRequest():
+                self._gathering.accept(each, ready)
+            case gatewaymessage.RelayBatch():
                 self._relaying.on_batch(each)
-            case notice.RelayLeft():
-                self._gathering.on_left(each)
-            case notice.SuspectsNotice() | notice.SuspectsWanted():
+            case gatewaymessage.RelayCancel():
+                self._gathering.on_cancel(each)
+            case (
+                gatewaymessage.SuspectsNotice()
+                | gatewaymessage.SuspectsRequest()
+            ):
                 self._suspecting.on_message(each)
             case _:
                 self._delegating.on_message(each)
 
-    def _on_undelivered(self, each: notice.Notice) -> None:
+    def _on_undelivered(self, each: gatewaymessage.Message) -> None:
         match each:
-            case notice.RelayAsk():
+            case gatewaymessage.RelayRequest():
                 self._relaying.on_undelivered(each)
             case _:
                 self._delegating.on_undelivered(each)
@@ -228,39 +236,39 @@
 
     def _on_configuration(self, offered: traffic.Configuration) -> None:
         self._callers.limits = offered.limits
-        self._warmups.install_services(offered.services)
-        self._extra_calls.gathered = offered.gathered_services
+        self._warmups.set_services(offered.services)
+        self._extra_calls.gathered_services = offered.shard_services
 
     def _on_reach(self) -> None:
         """Lets callers find another instance while this one is cut off."""
         away = self._reach.leaves_rotation
         self._callers.closing = away or self._stop.is_set()
-        if not self._reach.cut:
+        if not self._reach.is_partitioned:
             return
-        if self._reach.found_here:
-            self._peering.tell_cut()
-        self._serving.note_cut()
+        if self._reach.detected_locally:
+            self._peering.publish_partition()
+        self._serving.on_partition()
 
     def _is_ready(self) -> bool:
         return (
-            self.beliefs.complete
+            self.view.is_complete
             and not self._stop.is_set()
             and not self._reach.leaves_rotation
         )
 
     def _facts(self, now_ms: float) -> dict[str, float]:
         return {
-            "version": self.beliefs.version,
-            "version_age_ms": now_ms - self.beliefs.config_ms,
-            "list_age_ms": now_ms - self.beliefs.listed_ms,
-            "upstream_count": len(self.beliefs.upstreams),
-            "running_count": len(self._serving.running),
+            "version": self.view.version,
+            "version_age_ms": now_ms - self.view.config_applied_ms,
+            "list_age_ms": now_ms - self.view.list_read_ms,
+            "upstream_count": len(self.view.upstreams),
+            "running_count": len(self._serving.active_runs),
             "caller_connection_count": len(self._callers.connections),
             "opened_connection_count": self._pools.opened_count,
             "store_call_count": self._store.call_count,
-            "instance_count": self.readers.total_count,
+            "instance_count": self.reader_election.instance_count,
             "suspected_count": self._suspicions.suspected_count,
-            "blocked_count": self._suspicions.blocked_count,
+            "blocked_count": self._suspicions.quarantined_count,
         }
 
     async def run(self, callers_port: socket.socket | None = None) -> None:
@@ -270,12 +278,14 @@
             callers_port: The callers' port, where it is open already.
         """
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(faults.log_fault)
+        loop.set_exception_handler(exceptionlog.log_callback_exception)
         loop.add_signal_handler(signal.SIGTERM, self.stop)
         loop.add_signal_handler(signal.SIGINT, self.stop)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         if callers_port is None:
-            callers_port = earlyport.listening(self._settings.callers_address)
+            callers_port = earlyport.listening_socket(
+                self._settings.callers_address
+            )
         await self._ports.listen(self._settings.readiness_address, self._probes)
         if self._settings.metrics_address:
             await self._ports.listen(
@@ -295,21 +305,21 @@
 
     async def _serve_until_stopped(self, callers_port: socket.socket) -> None:
         loop = asyncio.get_running_loop()
-        follower = following.Follower(
+        follower = storewatch.StoreWatcher(
             self._settings,
-            self.beliefs,
+            self.view,
             self._store,
             self._peering,
             self._on_instances,
-            self._blocklist.settle,
+            self._blocklist.reconcile,
         )
         tasks = [
             loop.create_task(each)
             for each in (
-                follower.follow_list(),
-                follower.follow_configuration(),
-                follower.follow_instances(),
-                follower.stay_listed(),
+                follower.poll_upstreams(),
+                follower.watch_configuration(),
+                follower.poll_instances(),
+                follower.maintain_registration(),
                 self._follow_settings(),
                 self._delegating.watch_stalls(),
                 self._callers.sweep(),
@@ -319,9 +329,7 @@
             )
         ]
         tasks.extend(loop.create_task(each) for each in self._watches())
-        await self._ports.open_to_callers(
-            callers_port, self._callers, self.beliefs
-        )
+        await self._ports.accept_callers(callers_port, self._callers, self.view)
         stopped = loop.create_task(self._stop.wait())
         done, _ = await asyncio.wait(
             (*tasks, stopped), return_when=asyncio.FIRST_COMPLETED
@@ -334,24 +342,24 @@
         """Returns the tasks of mechanisms that can be switched off."""
         watches = []
         if self._settings.mechanisms.told_calls:
-            watches.append(self._peering.tell_calls())
+            watches.append(self._peering.publish_calls_periodically())
         if self._settings.mechanisms.suspicion:
-            watches.append(self._suspecting.tell())
+            watches.append(self._suspecting.share_periodically())
         if self._settings.mechanisms.cut_belief:
             watches.append(self._reaching.watch())
         return watches
 
     def stop(self) -> None:
         """Begins a planned stop."""
-        log.write(log.Event.STOP_ASKED, running=len(self._serving.running))
+        log.write(log.Event.STOP_ASKED, running=len(self._serving.active_runs))
         self._stop.set()
 
     async def _follow_settings(self) -> None:
         """Reads the settings file again when it has changed."""
-        changed_ns = gateway.changed_ns(self._path)
+        changed_ns = gateway.modified_ns(self._path)
         while True:
             await asyncio.sleep(SETTINGS_CHECK_S)
-            seen_ns = gateway.changed_ns(self._path)
+            seen_ns = gateway.modified_ns(self._path)
             if seen_ns != changed_ns:
                 changed_ns = seen_ns
                 self.reload()
@@ -377,31 +385,45 @@
         waiting = [name for name in changed if name in RESTART_FIELDS]
         log.write(log.Event.RELOADED, changed=changed, at_restart=waiting)
         self._settings = settings
-        self._store.move(settings.store_address)
-        self.readers.pace = readership.pace(settings.belief_bound_ms)
-        self._placing.settings = parts.placing_settings(settings)
+        self._store.set_address(settings.store_address)
+        self.reader_election.read_timings = readerelection.read_timings(
+            settings.propagation_bound_ms
+        )
+        self._placing.settings = derivedsettings.load_balancer_settings(
+            settings
+        )
         self._warmups.limits = settings.warmup
-        self._delegating.known.link_mbps = parts.own_link_mbps(settings)
-        budgetshare.install(self._extra_calls, self._settings, self.readers)
-        self._suspicions.trust(settings.trusted_fingerprints, clock.now_ms())
+        self._delegating.selector.link_mbps = (
+            derivedsettings.delegation_link_mbps(settings)
+        )
+        budgetshare.update_shares(
+            self._extra_calls, self._settings, self.reader_election
+        )
+        self._suspicions.set_trusted(
+            settings.trusted_fingerprints, clock.now_ms()
+        )
 
     def _on_instances(self, far_gatherers: tuple[member.Peer, ...]) -> None:
         """Takes a new list of instances: shares go by their number."""
-        self._delegating.known.install(self.readers.neighbours())
-        self._relaying.known.install(far_gatherers)
-        self._warmups.install_instances(
-            self.readers.neighbours(), clock.now_ms()
+        self._delegating.selector.install(self.reader_election.neighbours())
+        self._relaying.selector.install(far_gatherers)
+        self._warmups.update_instances(
+            self.reader_election.neighbours(), clock.now_ms()
+        )
+        own_count = len(self.reader_election.neighbours()) + 1
+        self._serving.instance_counts = connections.InstanceCounts(
+            same_domain_count=own_count,
+            other_domain_count=max(
+                0, self.reader_election.instance_count - own_count
+            ),
         )
-        own_count = len(self.readers.neighbours()) + 1
-        self._serving.crowd = connections.Crowd(
-            own_count=own_count,
-            other_count=max(0, self.readers.total_count - own_count),
+        budgetshare.update_shares(
+            self._extra_calls, self._settings, self.reader_election
         )
-        budgetshare.install(self._extra_calls, self._settings, self.readers)
 
     def _has_work(self) -> bool:
         """Whether queries of neighbours run here, or calls of their queries."""
-        return bool(self._serving.running or self._gathering.gathers)
+        return bool(self._serving.active_runs or self._gathering.active_gathers)
 
     async def _finish(self) -> None:
         """Turns callers away, finishes what is in progress, and ends."""
@@ -419,7 +441,7 @@
         log.write(
             log.Event.STOPPED,
             took_ms=round(clock.now_ms() - started_ms),
-            unfinished=len(self._serving.running),
+            unfinished=len(self._serving.active_runs),
         )
 
 
--- a/hyssoptack/gateway/attempts_test.py
+++ b/hyssoptack/gateway/delegation_attempts_test.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from hyssoptack.core import notice
+from hyssoptack.core import gatewaymessage
 from hyssoptack.gateway import harness
 from hyssoptack.policy import delegation
 
@@ -30,12 +30,12 @@
         for copy in range(COPY_COUNT):
             await site.add_upstream(f"i-{shard}-{copy}", f"s{shard}", body)
     site.configure({**SHARDS, **changes})
-    return await site.start_pair()
+    return await site.start_delegating_pair()
 
 
 def _delay(gateway, kinds, delay_s):
     """Makes a gateway late in reading some messages; their order stays."""
-    take, loop = gateway._peering.on_query, asyncio.get_running_loop()
+    take, loop = gateway._peering.on_message, asyncio.get_running_loop()
 
     def later(each):
         if isinstance(each, kinds):
@@ -43,14 +43,14 @@
         else:
             take(each)
 
-    gateway._peering.on_query = later
+    gateway._peering.on_message = later
 
 
 def _widest_count(site, request_id):
     """Returns the most upstreams of one shard that ran a request."""
     return max(
         sum(
-            site.services[f"i-{shard}-{copy}"].runs[request_id] > 0
+            site.services[f"i-{shard}-{copy}"].run_counts[request_id] > 0
             for copy in range(COPY_COUNT)
         )
         for shard in range(SHARD_COUNT)
@@ -60,10 +60,10 @@
 def _disagree(site, narrow):
     """Lets two instances prefer different upstreams of a silent shard."""
     for copy in range(COPY_COUNT):
-        site.services[f"i-0-{copy}"].manners.never = True
+        site.services[f"i-0-{copy}"].behaviour.never = True
     for copy in range(ATTEMPTS_COUNT):
         for _ in range(BUSY_COUNT):
-            narrow._placing.sent(f"i-0-{copy}", 0.0)
+            narrow._placing.begin_call(f"i-0-{copy}", 0.0)
 
 
 def test_a_query_taken_back_from_a_late_neighbour_keeps_to_its_attempts():
@@ -72,8 +72,8 @@
         async with harness.Site() as site:
             narrow, wide = await _pair(site)
             _disagree(site, narrow)
-            _delay(narrow, notice.QueryTaken, LATE_S)
-            _delay(wide, notice.QueryLeft, LATE_S)
+            _delay(narrow, gatewaymessage.DelegationStatus, LATE_S)
+            _delay(wide, gatewaymessage.DelegationCancel, LATE_S)
             got = await site.get("/all/x", "r1", name="narrow")
             await asyncio.sleep(LATE_S)
             assert got.status == 200
@@ -88,8 +88,8 @@
         async with harness.Site() as site:
             narrow, wide = await _pair(site)
             _disagree(site, narrow)
-            _delay(narrow, notice.QueryTaken, LOST_S)
-            _delay(wide, notice.QueryLeft, LOST_S)
+            _delay(narrow, gatewaymessage.DelegationStatus, LOST_S)
+            _delay(wide, gatewaymessage.DelegationCancel, LOST_S)
             begun = asyncio.create_task(site.get("/all/x", "r1", name="narrow"))
             await asyncio.sleep(0.01)
             narrow._delegating.on_link_lost(wide._settings.peer_address)
@@ -107,12 +107,12 @@
         async with harness.Site() as site:
             narrow, wide = await _pair(site, route_type="unsafe")
             for each in site.services.values():
-                each.manners.delay_ms = 60.0
-            _delay(narrow, notice.QueryTaken, LATE_S)
-            _delay(wide, notice.QueryLeft, LATE_S)
+                each.behaviour.delay_ms = 60.0
+            _delay(narrow, gatewaymessage.DelegationStatus, LATE_S)
+            _delay(wide, gatewaymessage.DelegationCancel, LATE_S)
             await site.get("/all/x", "r1", name="narrow", method="POST")
             await asyncio.sleep(0.2)
-            runs = [each.runs[b"r1"] for each in site.services.values()]
+            runs = [each.run_counts[b"r1"] for each in site.services.values()]
             assert sum(runs) == SHARD_COUNT
 
     asyncio.run(test())
@@ -121,7 +121,7 @@
 def test_a_neighbour_hedges_once_its_sender_has_heard_of_the_beginning(
     monkeypatch,
 ):
-    monkeypatch.setattr(delegation, "BEGUN_WAIT_MS", PATIENT_MS)
+    monkeypatch.setattr(delegation, "ACCEPT_TIMEOUT_MS", PATIENT_MS)
 
     async def test():
         async with harness.Site() as site:
--- a/hyssoptack/gateway/parts.py
+++ b/hyssoptack/gateway/derivedsettings.py
@@ -1,15 +1,15 @@
 """What a gateway's parts need of its settings."""
 
 from hyssoptack.core import member
-from hyssoptack.policy import placing
+from hyssoptack.policy import loadbalancer
 from hyssoptack.settings import gateway
 
 
-def placing_settings(
+def load_balancer_settings(
     settings: gateway.GatewaySettings,
-) -> placing.PlacingSettings:
+) -> loadbalancer.LoadBalancerSettings:
     """Returns how upstreams are weighed."""
-    return placing.PlacingSettings(
+    return loadbalancer.LoadBalancerSettings(
         failure_domain=settings.failure_domain,
         crossing_ratio=settings.crossing_ratio,
         mechanisms=settings.mechanisms,
@@ -26,6 +26,6 @@
     )
 
 
-def own_link_mbps(settings: gateway.GatewaySettings) -> float:
+def delegation_link_mbps(settings: gateway.GatewaySettings) -> float:
     """Returns the width by which queries are handed over; 0 for never."""
     return settings.link_mbps if settings.mechanisms.handing_over else 0.0
--- a/hyssoptack/gateway/evacuation_test.py
+++ b/hyssoptack/gateway/evacuation_test.py
@@ -6,7 +6,7 @@
 from hyssoptack.events import log
 from hyssoptack.gateway import gateway_test
 from hyssoptack.gateway import harness
-from hyssoptack.platform import wire
+from hyssoptack.platform import storeformat
 
 KEY = "op/evacuate/south"
 HEARD_TIMEOUT_S = 5.0
@@ -35,7 +35,7 @@
 
 def _southern_heads(site: harness.Site) -> int:
     return sum(
-        len(each.heads)
+        len(each.request_heads)
         for name, each in site.services.items()
         if name.startswith("s")
     )
@@ -45,7 +45,7 @@
     """Waits until all gateways know what is evacuated."""
     async with asyncio.timeout(HEARD_TIMEOUT_S):
         while any(
-            each.beliefs.evacuations.current(0.0) != domains
+            each.view.evacuations.evacuated_domains(0.0) != domains
             for each in site.gateways.values()
         ):
             await asyncio.sleep(0.02)
@@ -136,12 +136,14 @@
             await site.start()
             gateway = site.gateways["gateway-1"]
             # All requests go south, over one connection at a time.
-            gateway.beliefs.placing.settings = dataclasses.replace(
-                gateway.beliefs.placing.settings, failure_domain="south"
+            gateway.view.load_balancer.settings = dataclasses.replace(
+                gateway.view.load_balancer.settings, failure_domain="south"
             )
             gateway._serving.connection_limit_count = lambda _: 1
-            gateway.beliefs.placing.standings["n3"].ejected_until_ms = 1e15
-            site.services["s3"].manners.delay_ms = 700.0
+            gateway.view.load_balancer.upstream_states[
+                "n3"
+            ].ejected_until_ms = 1e15
+            site.services["s3"].behaviour.delay_ms = 700.0
             calls = [
                 asyncio.create_task(
                     site.get("/once/x", f"r{index}", method="POST", body=b"b")
@@ -156,7 +158,7 @@
                 200,
                 200,
             ]
-            assert len(site.services["s3"].heads) == 1
+            assert len(site.services["s3"].request_heads) == 1
 
     asyncio.run(test())
 
@@ -190,5 +192,5 @@
 
 def test_keys_of_operators_that_evacuate_nothing():
     for key in ("op/evacuate/", "op/config", "op/evacuate", "servers/a"):
-        assert wire.evacuated_domain(key) is None
-    assert wire.evacuated_domain("op/evacuate/north") == "north"
+        assert storeformat.evacuated_domain(key) is None
+    assert storeformat.evacuated_domain("op/evacuate/north") == "north"
--- a/hyssoptack/gateway/gathering.py
+++ b/hyssoptack/gateway/gathererservice.py
@@ -10,40 +10,40 @@
 import sys
 
 from hyssoptack.core import clock
-from hyssoptack.core import notice
+from hyssoptack.core import gatewaymessage
 from hyssoptack.core import traffic
-from hyssoptack.gateway import beliefs
 from hyssoptack.gateway import pool
+from hyssoptack.gateway import replicatedview
+from hyssoptack.http1 import httpclient
 from hyssoptack.http1 import message
-from hyssoptack.http1 import upstreamside
 from hyssoptack.platform import headers
 from hyssoptack.policy import callcommand
-from hyssoptack.policy import calllearning
+from hyssoptack.policy import callfeedback
 from hyssoptack.policy import callresult
 from hyssoptack.policy import gatherers
-from hyssoptack.policy import hedgetime
+from hyssoptack.policy import hedgetiming
+from hyssoptack.policy import quarantine
 from hyssoptack.policy import records
-from hyssoptack.policy import suspicion
 
 RELAYED_RANK = sys.maxsize
 """Urgency of relayed calls where an upstream is scarce: queries of its own
 domain go first."""
 
-Send = collections.abc.Callable[[str, notice.Notice], None]
+Send = collections.abc.Callable[[str, gatewaymessage.Message], None]
 LimitCount = collections.abc.Callable[[traffic.Upstream], int]
 
 
-class Gathering:
+class GathererService:
     """All calls that this instance makes for others."""
 
     def __init__(
         self,
-        believed: beliefs.Beliefs,
+        believed: replicatedview.ReplicatedView,
         own_address: str,
         send: Send,
         limit_count: LimitCount,
         is_stale: collections.abc.Callable[[], bool],
-        suspicions: suspicion.Suspicions,
+        suspicions: quarantine.SuspectRegistry,
     ):
         """Makes the calls of one instance, of which there are none yet.
 
@@ -55,15 +55,15 @@
             is_stale: Whether messages may be old, as this process stood still.
             suspicions: Which requests crash upstreams.
         """
-        self.beliefs = believed
+        self.view = believed
         self.own_address = own_address
         self.send = send
-        self.limit_count = limit_count
+        self.connection_limit_count = limit_count
         self._is_stale = is_stale
         self._suspicions = suspicions
-        self.gathers: dict[tuple[str, int], Gather] = {}
+        self.active_gathers: dict[tuple[str, int], GatherTask] = {}
 
-    def take(self, ask: notice.RelayAsk, ready: bool) -> None:
+    def accept(self, ask: gatewaymessage.RelayRequest, ready: bool) -> None:
         """Makes calls, or says at once that it makes none.
 
         Args:
@@ -71,43 +71,45 @@
             ready: Whether this instance takes new work.
         """
         key = ask.sender_address, ask.ask_id
-        if key in self.gathers:
+        if key in self.active_gathers:
             return
-        gather = Gather(self, ask)
+        gather = GatherTask(self, ask)
         if not ready or self._is_stale():
             gather.decline(callresult.GATHERER_DECLINED)
             return
-        if self._suspicions.is_blocked(ask.fingerprint, clock.now_ms()):
+        if self._suspicions.is_quarantined(ask.fingerprint, clock.now_ms()):
             gather.decline(callresult.CRASHES_UPSTREAMS)
             return
-        self.gathers[key] = gather
+        self.active_gathers[key] = gather
         gather.start()
 
-    def on_left(self, left: notice.RelayLeft) -> None:
+    def on_cancel(self, left: gatewaymessage.RelayCancel) -> None:
         """Ends the calls of a query that nobody waits for any more."""
-        gather = self.gathers.get((left.sender_address, left.ask_id))
+        gather = self.active_gathers.get((left.sender_address, left.ask_id))
         if gather is not None:
             gather.end()
 
 
-class Gather:
+class GatherTask:
     """The calls of one ask."""
 
-    def __init__(self, owner: Gathering, ask: notice.RelayAsk):
+    def __init__(
+        self, owner: GathererService, ask: gatewaymessage.RelayRequest
+    ):
         self._owner = owner
         self._ask = ask
         self._started_ms = clock.now_ms()
-        self._common = headers.Forwarded(head=ask.head, body=ask.body)
+        self._common = headers.ForwardedRequest(head=ask.head, body=ask.body)
         self._calls: dict[int, pool.Call] = {}
         self._open: dict[int, str] = {}
-        self._ready: list[notice.RelayedOutcome] = []
+        self._ready: list[gatewaymessage.RelayedOutcome] = []
         self._told = False
         self._flush_asked = False
         self._timer: asyncio.TimerHandle | None = None
         self._end_timer: asyncio.TimerHandle | None = None
         self._to_goal_ms = max(0.0, ask.to_goal_ms)
-        self._times = hedgetime.HedgeTime(
-            owner.beliefs.placing.typical(ask.route_name),
+        self._times = hedgetiming.HedgeTiming(
+            owner.view.load_balancer.latency_of(ask.route_name),
             self._to_goal_ms,
             self._started_ms + self._to_goal_ms,
             self._started_ms,
@@ -123,11 +125,11 @@
     def start(self) -> None:
         """Makes the calls."""
         for each in self._ask.calls:
-            upstream = self._owner.beliefs.placing.usable(
+            upstream = self._owner.view.load_balancer.usable_upstream(
                 each.upstream_id, RELAYED_RANK, self._started_ms
             )
             if upstream is None:
-                reason = callresult.NOT_LISTED_THERE
+                reason = callresult.NOT_LISTED_AT_GATHERER
                 self._ready.append(_spared(each.call_id, reason))
             else:
                 self._call(each.call_id, upstream)
@@ -141,34 +143,36 @@
 
     def _call(self, call_id: int, upstream: traffic.Upstream) -> None:
         self._open[call_id] = upstream.upstream_id
-        self._owner.beliefs.placing.sent(upstream.upstream_id, self._started_ms)
+        self._owner.view.load_balancer.begin_call(
+            upstream.upstream_id, self._started_ms
+        )
         job = pool.Job(
             upstream=upstream,
-            data=lambda: self._data(upstream),
+            build_request=lambda: self._data(upstream),
             request_id=self._ask.request_id,
-            to_head=False,
-            once=False,
-            proven=False,
-            sink=lambda outcome: self._on_outcome(call_id, outcome),
+            is_head=False,
+            needs_new_connection=False,
+            needs_recent_connection=False,
+            on_outcome=lambda outcome: self._on_outcome(call_id, outcome),
             fingerprint=self._ask.fingerprint,
         )
-        limit_count = self._owner.limit_count(upstream)
-        self._calls[call_id] = self._owner.beliefs.pools.call(job, limit_count)
+        limit_count = self._owner.connection_limit_count(upstream)
+        self._calls[call_id] = self._owner.view.pools.call(job, limit_count)
 
     def _data(self, upstream: traffic.Upstream) -> bytes:
         spent_ms = clock.now_ms() - self._started_ms
         remaining_ms = self._ask.remaining_ms - spent_ms
         return headers.upstream_request(self._common, upstream, remaining_ms)
 
-    def _on_outcome(self, call_id: int, outcome: upstreamside.Outcome) -> None:
+    def _on_outcome(self, call_id: int, outcome: httpclient.Outcome) -> None:
         now_ms = clock.now_ms()
         self._calls.pop(call_id, None)
         upstream_id = self._open.pop(call_id)
-        read = headers.call_outcome(outcome, to_merge=True)
-        known = self._owner.beliefs.placing
-        known.ended(upstream_id)
+        read = headers.call_outcome(outcome, is_part=True)
+        known = self._owner.view.load_balancer
+        known.end_call(upstream_id)
         # The asking instance learns from the call as well.
-        calllearning.learn(
+        callfeedback.record_outcome(
             known,
             self._ask.route_name,
             upstream_id,
@@ -176,9 +180,9 @@
             read,
             now_ms,
         )
-        answered = read.kind is callcommand.Kind.ANSWERED
+        answered = read.kind is callcommand.OutcomeKind.ANSWERED
         if answered:
-            self._times.note_answer(now_ms)
+            self._times.record_answer(now_ms)
         self._ready.append(self._told_outcome(call_id, read))
         # What failed may be sent again, and what is late is waited for.
         if not self._open or not answered or self._told:
@@ -188,23 +192,24 @@
 
     def _told_outcome(
         self, call_id: int, read: callcommand.Outcome
-    ) -> notice.RelayedOutcome:
+    ) -> gatewaymessage.RelayedOutcome:
         match read:
             case callcommand.Outcome(
-                kind=callcommand.Kind.ANSWERED, reply=message.Reply() as reply
+                kind=callcommand.OutcomeKind.ANSWERED,
+                reply=message.Reply() as reply,
             ):
                 top = records.greatest((reply.body,), self._ask.top_count)
                 signed = headers.signature(reply)
             case _:
                 top = signed = b""
-        return notice.RelayedOutcome(
+        return gatewaymessage.RelayedOutcome(
             call_id=call_id,
             kind=read.kind.value,
             reason=read.reason,
             reached=read.reached,
             signature=signed,
             records=top,
-            ended=read.ended,
+            ended=read.upstream_exited,
         )
 
     # Telling.
@@ -214,7 +219,7 @@
             return
         if self._timer is not None:
             self._timer.cancel()
-        dry_ms = self._times.dry_at_ms()
+        dry_ms = self._times.stall_at_ms()
         due_ms = self._started_ms + gatherers.REPORT_RATIO * self._to_goal_ms
         if dry_ms is not None:
             due_ms = min(due_ms, dry_ms)
@@ -240,7 +245,7 @@
         self._flush_asked = False
         if not self._ready and not alive:
             return
-        batch = notice.RelayBatch(
+        batch = gatewaymessage.RelayBatch(
             sender_address=self._owner.own_address,
             ask_id=self._ask.ask_id,
             outcomes=tuple(self._ready),
@@ -259,18 +264,18 @@
         for call in self._calls.values():
             call.cancel()
         for upstream_id in self._open.values():
-            self._owner.beliefs.placing.ended(upstream_id)
+            self._owner.view.load_balancer.end_call(upstream_id)
         self._calls.clear()
         self._open.clear()
         key = self._ask.sender_address, self._ask.ask_id
-        self._owner.gathers.pop(key, None)
+        self._owner.active_gathers.pop(key, None)
 
 
-def _spared(call_id: int, reason: str) -> notice.RelayedOutcome:
+def _spared(call_id: int, reason: str) -> gatewaymessage.RelayedOutcome:
     """Returns the outcome of a call that was not made."""
-    return notice.RelayedOutcome(
+    return gatewaymessage.RelayedOutcome(
         call_id=call_id,
-        kind=callcommand.Kind.NOT_RUN.value,
+        kind=callcommand.OutcomeKind.NOT_RUN.value,
         reason=reason,
         reached=False,
     )
--- a/hyssoptack/gateway/ports.py
+++ b/hyssoptack/gateway/listeners.py
@@ -4,9 +4,9 @@
 import socket
 
 from hyssoptack.core import clock
-from hyssoptack.gateway import beliefs
 from hyssoptack.gateway import earlyport
-from hyssoptack.http1 import callerside
+from hyssoptack.gateway import replicatedview
+from hyssoptack.http1 import httpserver
 
 FIRST_VIEWS_WAIT_MS = 100.0
 """Longest that callers wait for the first configuration and list after the
@@ -16,25 +16,25 @@
 FIRST_VIEWS_CHECK_S = 0.005
 
 
-class Ports:
+class Listeners:
     """The servers that listen."""
 
     def __init__(self) -> None:
         self._servers: list[asyncio.Server] = []
 
-    async def listen(self, address: str, server: callerside.Server) -> None:
+    async def listen(self, address: str, server: httpserver.Server) -> None:
         """Opens a port and accepts what comes.
 
         Raises:
             OSError: The address can't be listened on.
         """
-        await self._accept(earlyport.listening(address), server)
+        await self._accept(earlyport.listening_socket(address), server)
 
-    async def open_to_callers(
+    async def accept_callers(
         self,
         port: socket.socket,
-        server: callerside.Server,
-        believed: beliefs.Beliefs,
+        server: httpserver.Server,
+        believed: replicatedview.ReplicatedView,
     ) -> None:
         """Accepts callers once there is something to serve them from.
 
@@ -46,16 +46,16 @@
             believed: What they are served from.
         """
         limit_ms = clock.now_ms() + FIRST_VIEWS_WAIT_MS
-        while not believed.complete and clock.now_ms() < limit_ms:
+        while not believed.is_complete and clock.now_ms() < limit_ms:
             await asyncio.sleep(FIRST_VIEWS_CHECK_S)
         await self._accept(port, server)
 
     async def _accept(
-        self, port: socket.socket, server: callerside.Server
+        self, port: socket.socket, server: httpserver.Server
     ) -> None:
         loop = asyncio.get_running_loop()
         made = await loop.create_server(
-            server.connection, sock=port, backlog=earlyport.BACKLOG_COUNT
+            server.new_connection, sock=port, backlog=earlyport.BACKLOG_COUNT
         )
         self._servers.append(made)
 
--- a/hyssoptack/gateway/reaching_test.py
+++ b/hyssoptack/gateway/partitionmonitor_test.py
@@ -4,8 +4,8 @@
 
 from hyssoptack.gateway import gateway_test
 from hyssoptack.gateway import harness
-from hyssoptack.gateway import reaching
-from hyssoptack.policy import reach
+from hyssoptack.gateway import partitionmonitor
+from hyssoptack.policy import partitiondetector
 from hyssoptack.standins import ports
 
 
@@ -23,11 +23,11 @@
                 return alive
 
             running._reaching._probe = probe
-            assert await site.probe() == 200
-            running._reach.view = reach.View.DOUBTED
-            await asyncio.sleep(4 * reaching.CHECK_PERIOD_S)
-            assert running._reach.cut
-            assert await site.probe() == 503
+            assert await site.readiness_status() == 200
+            running._reach.state = partitiondetector.PartitionState.SUSPECTED
+            await asyncio.sleep(4 * partitionmonitor.CHECK_PERIOD_S)
+            assert running._reach.is_partitioned
+            assert await site.readiness_status() == 503
             got = await site.get("/near/x", "r1")
             assert got.status == 200
             assert got.headers["connection"] == "close"
@@ -38,8 +38,8 @@
             assert float(got.headers["retry-after"]) > 1.5
             assert site.run_count("r1") == 1
             alive = True
-            await asyncio.sleep(2 * reaching.CUT_PERIOD_S)
-            assert await site.probe() == 200
+            await asyncio.sleep(2 * partitionmonitor.PARTITIONED_CHECK_PERIOD_S)
+            assert await site.readiness_status() == 200
             got = await site.get("/one/x", "r2")
             assert "connection" not in got.headers
 
@@ -49,7 +49,7 @@
 def test_a_refused_connection_is_no_sign_of_life():
     # A cut may refuse all connections: it went unnoticed for all of its 5.6 s.
     address = f"127.0.0.1:{ports.free_port()}"
-    assert not asyncio.run(reaching.shows_life(address))
+    assert not asyncio.run(partitionmonitor.accepts_connection(address))
 
 
 def test_neighbours_hear_of_a_cut_and_look_for_themselves():
@@ -60,7 +60,7 @@
             first = await site.start("g-1")
             second = await site.start("g-2")
             async with asyncio.timeout(6.0):
-                while not first.readers.neighbours():
+                while not first.reader_election.neighbours():
                     await asyncio.sleep(0.05)
 
             async def silence(_address):
@@ -68,10 +68,12 @@
 
             for each in (first, second):
                 each._reaching._probe = silence
-            first._reach.note_waited(reach.Tally(sent_count=4), 200.0)
+            first._reach.record_wait(
+                partitiondetector.RemoteCallTally(sent_count=4), 200.0
+            )
             async with asyncio.timeout(3.0):
-                while not second._reach.cut:
+                while not second._reach.is_partitioned:
                     await asyncio.sleep(0.05)
-            assert await site.probe("g-2") == 503
+            assert await site.readiness_status("g-2") == 503
 
     asyncio.run(test())
--- a/hyssoptack/gateway/peering.py
+++ b/hyssoptack/gateway/peering.py
@@ -8,15 +8,15 @@
 import expression
 
 from hyssoptack.core import clock
+from hyssoptack.core import gatewaymessage
 from hyssoptack.core import member
-from hyssoptack.core import notice
 from hyssoptack.events import log
-from hyssoptack.gateway import beliefs
+from hyssoptack.gateway import replicatedview
 from hyssoptack.peers import codec
 from hyssoptack.peers import link
-from hyssoptack.platform import wire
-from hyssoptack.policy import listing
-from hyssoptack.policy import readership
+from hyssoptack.platform import storeformat
+from hyssoptack.policy import listdelta
+from hyssoptack.policy import readerelection
 from hyssoptack.settings import gateway
 
 LINK_IDLE_MS = 60_000.0
@@ -39,7 +39,7 @@
 OnInstances = collections.abc.Callable[[tuple[member.Peer, ...]], None]
 """Told of each new list of instances, and of who may gather elsewhere."""
 
-OnMessage = collections.abc.Callable[[notice.Notice], None]
+OnMessage = collections.abc.Callable[[gatewaymessage.Message], None]
 
 
 def _ignore(_: object) -> None:
@@ -52,8 +52,8 @@
     def __init__(
         self,
         settings: gateway.GatewaySettings,
-        believed: beliefs.Beliefs,
-        readers: readership.Readership,
+        believed: replicatedview.ReplicatedView,
+        readers: readerelection.ReaderElection,
         on_instances: OnInstances,
         on_cut: collections.abc.Callable[[], None],
     ):
@@ -68,19 +68,19 @@
         """
         self._settings = settings
         self._beliefs = believed
-        self.readers = readers
+        self.reader_election = readers
         self._on_instances = on_instances
         self._on_cut = on_cut
         self._told: dict[str, _Told] = {}
-        self._history = listing.History()
+        self._history = listdelta.ListHistory()
         self._configuration = b""
         self._random = random.Random()
         self._links: link.Links | None = None
-        self.on_query: OnMessage = _ignore
+        self.on_message: OnMessage = _ignore
         self.on_undelivered: OnMessage = _ignore
         self.on_link_lost: collections.abc.Callable[[str], None] = _ignore
 
-    def send(self, address: str, each: notice.Notice) -> None:
+    def send(self, address: str, each: gatewaymessage.Message) -> None:
         """Sends a message to a neighbour; without a port, to nobody."""
         if self._links is not None:
             self._links.send(address, each)
@@ -93,7 +93,7 @@
             self._settings.peer_address,
             LINK_IDLE_MS,
             asyncio.get_running_loop(),
-            codec.Codec(notice.KINDS),
+            codec.Codec(gatewaymessage.KINDS),
             self._on_received,
             self._on_undelivered,
             lambda address: self.on_link_lost(address),
@@ -105,57 +105,62 @@
         if self._links is not None:
             self._links.stop()
 
-    def keep_configuration(self, data: bytes) -> None:
+    def cache_configuration(self, data: bytes) -> None:
         """Keeps the configuration in force as it is stored, for neighbours."""
-        self._configuration = codec.compressed(data)
+        self._configuration = codec.compress(data)
 
-    def tell(self) -> None:
+    def publish_view(self) -> None:
         """Tells all neighbours what has changed since they were last told."""
         if self._links is None:
             return
-        self._history.put(self._beliefs.upstreams)
-        for peer in self.readers.neighbours():
+        self._history.add(self._beliefs.upstreams)
+        for peer in self.reader_election.neighbours():
             told = self._told.get(peer.address, _NOTHING_TOLD)
             fresh = told.version == self._beliefs.version
             self._send_view(
                 peer.address,
-                self._history.since(told.digest),
+                self._history.change_since(told.digest),
                 b"" if fresh or not told.version else self._configuration,
             )
 
     def _send_view(
-        self, address: str, change: notice.ListChange, configuration: bytes
+        self,
+        address: str,
+        change: gatewaymessage.ListChange,
+        configuration: bytes,
     ) -> None:
         now_ms = clock.now_ms()
-        made = notice.ViewNotice(
+        made = gatewaymessage.ViewNotice(
             sender_id=self._settings.instance_id,
             sender_address=self._settings.peer_address,
             version=self._beliefs.version,
             configuration=configuration,
             revision=self._beliefs.list_revision,
             change=change,
-            grace_ms=self._beliefs.grace_ms(now_ms),
-            list_age_ms=now_ms - self._beliefs.listed_ms,
-            exact_age_ms=self.readers.exact_age_ms(now_ms),
-            evacuated=tuple(self._beliefs.evacuations.current(now_ms)),
-            evacuated_at=self._beliefs.evacuations.at,
+            grace_ms=self._beliefs.remaining_grace_ms(now_ms),
+            list_age_ms=now_ms - self._beliefs.list_read_ms,
+            exact_age_ms=self.reader_election.exact_age_ms(now_ms),
+            evacuated=tuple(
+                self._beliefs.evacuations.evacuated_domains(now_ms)
+            ),
+            evacuated_at=self._beliefs.evacuations.store_position,
         )
         self._told[address] = _Told(
             version=self._beliefs.version, digest=change.digest
         )
         self._links.send(address, made)
 
-    def _answer_wanted(self, wanted: notice.ViewWanted) -> None:
+    def _answer_wanted(self, wanted: gatewaymessage.ViewRequest) -> None:
         """Sends everything to one who could not use the last view."""
-        self._history.put(self._beliefs.upstreams)
+        self._history.add(self._beliefs.upstreams)
         fresh = wanted.version >= self._beliefs.version
         self._send_view(
             wanted.address,
-            self._history.whole(),
+            self._history.full_change(),
             b"" if fresh else self._configuration,
         )
 
-    def tell_instances(
+    def publish_instances(
         self,
         neighbours: tuple[member.Peer, ...],
         total_count: int,
@@ -164,7 +169,7 @@
         """Tells neighbours who else there is: only readers read that list."""
         if self._links is None:
             return
-        made = notice.InstancesNotice(
+        made = gatewaymessage.InstancesNotice(
             sender_id=self._settings.instance_id,
             neighbours=neighbours,
             total_count=total_count,
@@ -173,60 +178,68 @@
         for peer in self._some(INSTANCES_PEERS_COUNT):
             self._links.send(peer.address, made)
 
-    def tell_cut(self) -> None:
+    def publish_partition(self) -> None:
         """Tells neighbours that other failure domains show no life."""
         if self._links is None:
             return
-        made = notice.CutNotice(sender_id=self._settings.instance_id)
-        for peer in self.readers.neighbours():
+        made = gatewaymessage.PartitionNotice(
+            sender_id=self._settings.instance_id
+        )
+        for peer in self.reader_election.neighbours():
             self._links.send(peer.address, made)
 
     def _some(self, most_count: int) -> list[member.Peer]:
         """Returns at most so many neighbours, chosen at random."""
-        peers = self.readers.neighbours()
+        peers = self.reader_election.neighbours()
         return self._random.sample(peers, min(len(peers), most_count))
 
-    async def tell_calls(self) -> None:
+    async def publish_calls_periodically(self) -> None:
         """Tells neighbours of calls that matter, for as long as it runs."""
         while True:
             await asyncio.sleep(CALLS_PERIOD_S)
-            calls = self._beliefs.placing.seen_calls(clock.now_ms())
+            calls = self._beliefs.load_balancer.calls_to_share(clock.now_ms())
             if not calls or self._links is None:
                 continue
-            made = notice.CallNotice(
+            made = gatewaymessage.LatencyNotice(
                 sender_id=self._settings.instance_id, seen_calls=calls
             )
             for peer in self._some(CALLS_PEERS_COUNT):
                 self._links.send(peer.address, made)
 
-    def _on_undelivered(self, address: str, body: notice.Notice) -> None:
+    def _on_undelivered(
+        self, address: str, body: gatewaymessage.Message
+    ) -> None:
         match body:
-            case notice.ViewNotice():
+            case gatewaymessage.ViewNotice():
                 self._told.pop(address, None)
             case _:
                 self.on_undelivered(body)
 
-    def _on_received(self, received: link.Received) -> None:
+    def _on_received(self, received: link.ReceivedFrame) -> None:
         for each in received.decoded.messages:
             match each:
-                case notice.ViewNotice():
+                case gatewaymessage.ViewNotice():
                     self._take(each)
-                case notice.InstancesNotice():
-                    self.readers.install(each.neighbours, each.total_count)
+                case gatewaymessage.InstancesNotice():
+                    self.reader_election.install(
+                        each.neighbours, each.total_count
+                    )
                     self._on_instances(each.far_gatherers)
-                case notice.CutNotice():
+                case gatewaymessage.PartitionNotice():
                     self._on_cut()
-                case notice.ViewWanted():
+                case gatewaymessage.ViewRequest():
                     self._answer_wanted(each)
-                case notice.CallNotice(seen_calls=seen_calls):
-                    self._beliefs.placing.told(seen_calls, clock.now_ms())
+                case gatewaymessage.LatencyNotice(seen_calls=seen_calls):
+                    self._beliefs.load_balancer.merge_neighbour_calls(
+                        seen_calls, clock.now_ms()
+                    )
                 case _:
-                    self.on_query(each)
+                    self.on_message(each)
         if received.decoded.dropped_count:
             log.write(log.Event.PEER_UNREADABLE, reason=received.decoded.reason)
 
-    def _take(self, view: notice.ViewNotice) -> None:
-        self._beliefs.take_evacuations(
+    def _take(self, view: gatewaymessage.ViewNotice) -> None:
+        self._beliefs.replace_evacuations(
             frozenset(view.evacuated),
             view.evacuated_at,
             f"peer {view.sender_id}",
@@ -239,49 +252,49 @@
         if view.version > self._beliefs.version:
             self._ask(view)
         elif listed:
-            self.readers.heard(
+            self.reader_election.record_other_reader(
                 view.sender_id, clock.now_ms(), view.exact_age_ms
             )
         elif not behind:
             self._ask(view)
 
-    def _ask(self, view: notice.ViewNotice) -> None:
+    def _ask(self, view: gatewaymessage.ViewNotice) -> None:
         """Asks a reader for what its notice left out."""
-        wanted = notice.ViewWanted(
+        wanted = gatewaymessage.ViewRequest(
             address=self._settings.peer_address, version=self._beliefs.version
         )
         if self._links is not None:
             self._links.send(view.sender_address, wanted)
 
-    def _take_configuration(self, view: notice.ViewNotice) -> None:
-        stored = codec.expanded(view.configuration)
+    def _take_configuration(self, view: gatewaymessage.ViewNotice) -> None:
+        stored = codec.decompress(view.configuration)
         if stored is None:
             log.write(log.Event.CONFIG_REFUSED, errors=["can't be expanded"])
             return
-        match wire.configuration(stored):
+        match storeformat.parse_configuration(stored):
             case expression.Result(tag="ok", ok=offered):
                 source = f"peer {view.sender_id}"
-                self.keep_configuration(stored)
+                self.cache_configuration(stored)
                 now_ms = clock.now_ms()
-                self._beliefs.take_configuration(offered, source, now_ms)
+                self._beliefs.apply_configuration(offered, source, now_ms)
             case expression.Result(error=detail):
                 log.write(log.Event.CONFIG_REFUSED, errors=[detail])
 
-    def _take_list(self, view: notice.ViewNotice) -> bool:
+    def _take_list(self, view: gatewaymessage.ViewNotice) -> bool:
         """Takes the list; tells whether the own one is as new now."""
-        self._history.put(self._beliefs.upstreams)
-        taken = listing.applied(
+        self._history.add(self._beliefs.upstreams)
+        taken = listdelta.apply_change(
             view.change, self._beliefs.upstreams, self._history.digest
         )
         if taken is None:
             return False
         now_ms = clock.now_ms()
-        self._beliefs.take_grace(view.grace_ms, now_ms)
+        self._beliefs.extend_grace(view.grace_ms, now_ms)
         read_ms = now_ms - view.list_age_ms
         if taken is self._beliefs.upstreams:
             self._beliefs.confirm_list(view.revision, read_ms)
         else:
-            self._beliefs.take_list(taken, view.revision, now_ms, read_ms)
+            self._beliefs.apply_list(taken, view.revision, now_ms, read_ms)
         return True
 
 
--- a/hyssoptack/gateway/pool.py
+++ b/hyssoptack/gateway/pool.py
@@ -8,8 +8,8 @@
 
 from hyssoptack.core import clock
 from hyssoptack.core import traffic
+from hyssoptack.http1 import httpclient
 from hyssoptack.http1 import message
-from hyssoptack.http1 import upstreamside
 
 CONNECT_TIMEOUT_MS = 150.0
 """Longest wait for a connection: 6 ms of handshake, 4 ms of network, and some
@@ -52,27 +52,31 @@
 
     Attributes:
         upstream: Whom to call.
-        data: The whole request.
+        build_request: The whole request.
         request_id: The id that the reply must carry.
-        to_head: Whether it is a HEAD request.
-        once: Whether the request may run once only: never on a kept connection.
-        proven: Whether only a connection that lately worked will do.
-        sink: Takes the outcome, once.
+        is_head: Whether it is a HEAD request.
+        needs_new_connection: Whether the request may run once only: never on a
+            kept connection.
+        needs_recent_connection: Whether only a connection that lately worked
+            will do.
+        on_outcome: Takes the outcome, once.
         fingerprint: Names the request's content; empty where nobody asks what
             an upstream had in hand when it ended.
     """
 
     upstream: traffic.Upstream
-    data: collections.abc.Callable[[], bytes]
+    build_request: collections.abc.Callable[[], bytes]
     request_id: bytes
-    to_head: bool
-    once: bool
-    proven: bool
-    sink: upstreamside.Sink
+    is_head: bool
+    needs_new_connection: bool
+    needs_recent_connection: bool
+    on_outcome: httpclient.Sink
     fingerprint: str = ""
 
 
-OnEnded = collections.abc.Callable[[traffic.Upstream, tuple[Job, ...]], None]
+OnUpstreamExit = collections.abc.Callable[
+    [traffic.Upstream, tuple[Job, ...]], None
+]
 """Told of an upstream that has ended, and of the jobs that it had in hand."""
 
 
@@ -86,27 +90,27 @@
     def __init__(self, lane: "_Lane", job: Job):
         self.job = job
         self._lane = lane
-        self.connection: upstreamside.UpstreamConnection | None = None
+        self.connection: httpclient.UpstreamConnection | None = None
         self.task: asyncio.Task[None] | None = None
-        self.over = False
+        self.is_over = False
 
     def cancel(self) -> None:
         """Gives the call up; its connection can't be used again."""
-        if self.over:
+        if self.is_over:
             return
-        self.over = True
+        self.is_over = True
         if self.task is not None:
             self.task.cancel()
         if self.connection is not None:
             self.connection.close()
         self._lane.released()
 
-    def end(self, outcome: upstreamside.Outcome) -> None:
+    def complete(self, outcome: httpclient.Outcome) -> None:
         """Hands the outcome over."""
-        if self.over:
+        if self.is_over:
             return
-        self.over = True
-        self.job.sink(outcome)
+        self.is_over = True
+        self.job.on_outcome(outcome)
 
 
 class Pools:
@@ -116,7 +120,7 @@
         self._id_header = id_header
         self._lanes: dict[str, _Lane] = {}
         self.opened_count = 0
-        self.on_ended: OnEnded = _ignore
+        self.on_upstream_exit: OnUpstreamExit = _ignore
 
     def call(self, job: Job, connection_limit_count: int) -> Call:
         """Starts a call."""
@@ -157,11 +161,11 @@
         host, _, port = upstream.address.rpartition(":")
         self._host = host
         self._port = int(port)
-        self._idle: list[upstreamside.UpstreamConnection] = []
+        self._idle: list[httpclient.UpstreamConnection] = []
         self._waiting: collections.deque[Call] = collections.deque()
         self._open_count = 0
         self.limit_count = 1
-        self._broken: list[tuple[Call, upstreamside.Broken]] = []
+        self._broken: list[tuple[Call, httpclient.BrokenCall]] = []
         self._check: asyncio.Task[None] | None = None
 
     @property
@@ -172,7 +176,11 @@
     def start(self, job: Job) -> Call:
         """Starts a call on a kept or a new connection, or once one is free."""
         call = Call(self, job)
-        connection = None if job.once else self._take_idle(job.proven)
+        connection = (
+            None
+            if job.needs_new_connection
+            else self._take_idle(job.needs_recent_connection)
+        )
         if connection is not None:
             self._use(call, connection)
         elif self._make_room():
@@ -181,13 +189,11 @@
             self._waiting.append(call)
         return call
 
-    def _take_idle(
-        self, proven: bool
-    ) -> upstreamside.UpstreamConnection | None:
+    def _take_idle(self, proven: bool) -> httpclient.UpstreamConnection | None:
         now_ms = clock.now_ms()
         while self._idle:
             connection = self._idle[-1]
-            age_ms = now_ms - connection.used_ms
+            age_ms = now_ms - connection.last_used_ms
             if proven and age_ms > FRESH_MS:
                 return None
             self._idle.pop()
@@ -210,20 +216,20 @@
         connection = await self._connected(CONNECT_TIMEOUT_MS)
         call.task = None
         match connection:
-            case upstreamside.UpstreamConnection():
+            case httpclient.UpstreamConnection():
                 self._use(call, connection)
             case int(error):
                 reason = f"connect_failed_{error}"
-                call.end(upstreamside.Broken(reason=reason, sent=False))
+                call.complete(httpclient.BrokenCall(reason=reason, sent=False))
                 self.released()
             case None:
                 reason = "connect_timeout"
-                call.end(upstreamside.Broken(reason=reason, sent=False))
+                call.complete(httpclient.BrokenCall(reason=reason, sent=False))
                 self.released()
 
     async def _connected(
         self, limit_ms: float
-    ) -> upstreamside.UpstreamConnection | int | None:
+    ) -> httpclient.UpstreamConnection | int | None:
         """Opens a connection that was counted as open already.
 
         Args:
@@ -238,7 +244,7 @@
         try:
             async with asyncio.timeout(limit_ms / message.MS_PER_S):
                 _, connection = await loop.create_connection(
-                    lambda: upstreamside.UpstreamConnection(self._id_header),
+                    lambda: httpclient.UpstreamConnection(self._id_header),
                     self._host,
                     self._port,
                 )
@@ -256,15 +262,15 @@
     # An upstream's end.
 
     async def _is_lost(
-        self, found: upstreamside.UpstreamConnection | int | None
+        self, found: httpclient.UpstreamConnection | int | None
     ) -> bool:
         """Whether a connection ends at once: its process ended under it."""
-        if not isinstance(found, upstreamside.UpstreamConnection):
+        if not isinstance(found, httpclient.UpstreamConnection):
             return False
         await asyncio.sleep(SETTLED_MS / message.MS_PER_S)
         return found.lost
 
-    def _note_broken(self, call: Call, outcome: upstreamside.Broken) -> None:
+    def _note_broken(self, call: Call, outcome: httpclient.BrokenCall) -> None:
         """Looks whether an upstream that broke a call off has ended.
 
         Its outcome waits for that, as what is sent next depends on it.
@@ -289,18 +295,22 @@
         ended = found == errno.ECONNREFUSED
         if ended:
             jobs = tuple(call.job for call, _ in broken)
-            self._pools.on_ended(self._upstream, jobs)
+            self._pools.on_upstream_exit(self._upstream, jobs)
         alone = len(broken) == 1
         for call, outcome in broken:
-            call.end(dataclasses.replace(outcome, ended=ended, alone=alone))
-        if isinstance(found, upstreamside.UpstreamConnection):
+            call.complete(
+                dataclasses.replace(
+                    outcome, upstream_exited=ended, was_only_call=alone
+                )
+            )
+        if isinstance(found, httpclient.UpstreamConnection):
             # It lives: only the connection had ended.
             self._keep(found)
         else:
             self.released()
 
     def _on_lost(
-        self, connection: upstreamside.UpstreamConnection
+        self, connection: httpclient.UpstreamConnection
     ) -> collections.abc.Callable[[], None]:
         def lost() -> None:
             self._open_count -= 1
@@ -311,31 +321,31 @@
         return lost
 
     def _use(
-        self, call: Call, connection: upstreamside.UpstreamConnection
+        self, call: Call, connection: httpclient.UpstreamConnection
     ) -> None:
-        if call.over:
+        if call.is_over:
             connection.close()
             return
         call.connection = connection
 
-        def ended(outcome: upstreamside.Outcome) -> None:
+        def ended(outcome: httpclient.Outcome) -> None:
             call.connection = None
             self._give_back(connection)
             match outcome:
-                case upstreamside.Broken(sent=True) if call.job.fingerprint:
+                case httpclient.BrokenCall(sent=True) if call.job.fingerprint:
                     self._note_broken(call, outcome)
                 case _:
-                    call.end(outcome)
+                    call.complete(outcome)
 
         job = call.job
-        connection.send(job.data(), job.request_id, job.to_head, ended)
+        connection.send(job.build_request(), job.request_id, job.is_head, ended)
 
-    def _give_back(self, connection: upstreamside.UpstreamConnection) -> None:
+    def _give_back(self, connection: httpclient.UpstreamConnection) -> None:
         # The parser may still be inside the bytes that brought the reply, and
         # may find more of them: look again when it is done.
         asyncio.get_running_loop().call_soon(self._keep, connection)
 
-    def _keep(self, connection: upstreamside.UpstreamConnection) -> None:
+    def _keep(self, connection: httpclient.UpstreamConnection) -> None:
         if connection.lost:
             return
         if not connection.reusable:
@@ -349,16 +359,18 @@
         waiting = tuple(self._waiting)
         self._waiting.clear()
         for call in waiting:
-            call.end(upstreamside.Broken(reason=WITHDRAWN, sent=False))
+            call.complete(httpclient.BrokenCall(reason=WITHDRAWN, sent=False))
 
     def released(self) -> None:
         """Starts a call that waited for a connection."""
-        while self._waiting and self._waiting[0].over:
+        while self._waiting and self._waiting[0].is_over:
             self._waiting.popleft()
         if not self._waiting:
             return
         call = self._waiting[0]
-        connection = None if call.job.once else self._take_idle(False)
+        connection = (
+            None if call.job.needs_new_connection else self._take_idle(False)
+        )
         if connection is not None:
             self._waiting.popleft()
             self._use(call, connection)
@@ -370,19 +382,19 @@
         """Closes idle connections unused for longer than a time."""
         now_ms = clock.now_ms()
         for connection in tuple(self._idle):
-            if now_ms - connection.used_ms >= older_than_ms:
+            if now_ms - connection.last_used_ms >= older_than_ms:
                 self._idle.remove(connection)
                 connection.close()
 
     def close_stale(self, now_ms: float) -> None:
         """Closes the connections that their upstream may close soon."""
         for connection in tuple(self._idle):
-            if now_ms - connection.used_ms >= _idle_limit_ms(connection):
+            if now_ms - connection.last_used_ms >= _idle_limit_ms(connection):
                 self._idle.remove(connection)
                 connection.close()
 
 
-def _idle_limit_ms(connection: upstreamside.UpstreamConnection) -> float:
+def _idle_limit_ms(connection: httpclient.UpstreamConnection) -> float:
     return min(
         IDLE_DEFAULT_MS
         if connection.idle_limit_ms == float("inf")
--- a/hyssoptack/gateway/pool_test.py
+++ b/hyssoptack/gateway/pool_test.py
@@ -4,9 +4,9 @@
 
 from hyssoptack.core import traffic
 from hyssoptack.gateway import pool
+from hyssoptack.http1 import httpclient
 from hyssoptack.http1 import message
-from hyssoptack.http1 import upstreamside
-from hyssoptack.standins import service
+from hyssoptack.standins import fakeupstream
 
 WAIT_S = 2.0
 
@@ -14,9 +14,9 @@
 class _Caller:
     """Calls one upstream and keeps what becomes of the calls."""
 
-    def __init__(self, called: service.Service):
+    def __init__(self, called: fakeupstream.FakeUpstream):
         self.pools = pool.Pools(b"x-request-id")
-        self.pools.on_ended = lambda _, jobs: self.ended.append(jobs)
+        self.pools.on_upstream_exit = lambda _, jobs: self.ended.append(jobs)
         self.ended: list[tuple[pool.Job, ...]] = []
         self._upstream = traffic.Upstream(
             upstream_id=called.upstream_id,
@@ -28,7 +28,7 @@
             cold_ms=0.0,
         )
 
-    async def call(self, path: bytes) -> upstreamside.Outcome:
+    async def call(self, path: bytes) -> httpclient.Outcome:
         """Makes a call and returns what became of it."""
         future = asyncio.get_running_loop().create_future()
         headers = [
@@ -37,12 +37,14 @@
         ]
         job = pool.Job(
             upstream=self._upstream,
-            data=lambda: message.request_bytes(b"GET", path, headers, b""),
+            build_request=lambda: message.request_bytes(
+                b"GET", path, headers, b""
+            ),
             request_id=b"r1",
-            to_head=False,
-            once=False,
-            proven=False,
-            sink=future.set_result,
+            is_head=False,
+            needs_new_connection=False,
+            needs_recent_connection=False,
+            on_outcome=future.set_result,
             fingerprint=path.decode(),
         )
         self.pools.call(job, 9)
@@ -58,9 +60,9 @@
 
 def test_an_upstream_that_ends_names_the_calls_that_it_had_in_hand():
     async def test():
-        called = service.Service("i-1")
-        called.manners.crashes_on = b"/bad"
-        called.manners.delay_ms = 20.0
+        called = fakeupstream.FakeUpstream("i-1")
+        called.behaviour.crashes_on = b"/bad"
+        called.behaviour.delay_ms = 20.0
         await called.start()
         caller = _Caller(called)
         await asyncio.gather(caller.call(b"/bad/1"), caller.call(b"/beside/1"))
@@ -76,7 +78,7 @@
 def test_an_end_is_found_though_the_first_look_is_still_taken():
     # The system of an ending process may take a connection, and reset it.
     async def test():
-        called = service.Service("i-1")
+        called = fakeupstream.FakeUpstream("i-1")
         taken = []
 
         async def take(reader, writer):
@@ -92,7 +94,7 @@
         called.address = f"127.0.0.1:{port}"
         caller = _Caller(called)
         broken = await caller.call(b"/bad/1")
-        assert broken.ended
+        assert broken.upstream_exited
         assert len(taken) == 2
 
     asyncio.run(test())
@@ -100,12 +102,12 @@
 
 def test_a_connection_that_ends_alone_is_no_end_of_its_upstream():
     async def test():
-        called = service.Service("i-1")
-        called.manners.reset_count = 1
+        called = fakeupstream.FakeUpstream("i-1")
+        called.behaviour.reset_count = 1
         await called.start()
         caller = _Caller(called)
         broken = await caller.call(b"/one/1")
-        assert isinstance(broken, upstreamside.Broken)
+        assert isinstance(broken, httpclient.BrokenCall)
         await asyncio.sleep(0.1)
         assert not caller.ended
         # The look's own connection carries the next call.
--- a/hyssoptack/gateway/blocklist.py
+++ b/hyssoptack/gateway/quarantinestore.py
@@ -15,12 +15,12 @@
 import msgspec
 
 from hyssoptack.core import clock
-from hyssoptack.core import notice
+from hyssoptack.core import gatewaymessage
 from hyssoptack.events import log
 from hyssoptack.http1 import message
 from hyssoptack.platform import keyvalue
-from hyssoptack.policy import suspect
-from hyssoptack.policy import suspicion
+from hyssoptack.policy import quarantine
+from hyssoptack.policy import suspectrecord
 
 STORED_COUNT = 32
 """Most requests that are written at a time, the newest: the store takes 32
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Stored:
+class StoredEntry:
     """A blocked request as it is stored.
 
     Times are of day, as no other clock goes on when a machine starts anew; they
@@ -59,11 +59,14 @@
     return time.time() * message.MS_PER_S
 
 
-class Blocklist:
+class QuarantineStore:
     """One instance's part in what is stored."""
 
     def __init__(
-        self, known: suspicion.Suspicions, store: keyvalue.Client, prefix: str
+        self,
+        known: quarantine.SuspectRegistry,
+        store: keyvalue.Client,
+        prefix: str,
     ):
         """Makes the part of one instance.
 
@@ -77,7 +80,7 @@
         self._prefix = prefix
         self._seen: dict[str, int] = {}
 
-    async def settle(self, items: list[keyvalue.Item]) -> None:
+    async def reconcile(self, items: list[keyvalue.Item]) -> None:
         """Takes what is stored, and stores what is missing there.
 
         Args:
@@ -88,8 +91,10 @@
         now_ms = clock.now_ms()
         missing = [
             (name, entry)
-            for name, entry in self._known.newest_blocked(STORED_COUNT, now_ms)
-            if stored.get(name, 0) < entry.blocked_count
+            for name, entry in self._known.newest_quarantined(
+                STORED_COUNT, now_ms
+            )
+            if stored.get(name, 0) < entry.quarantine_count
         ]
         if missing:
             await self._write(missing, now_ms)
@@ -104,7 +109,7 @@
         seen: dict[str, int] = {}
         for item in items:
             try:
-                entry = msgspec.json.decode(item.value, type=Stored)
+                entry = msgspec.json.decode(item.value, type=StoredEntry)
             except msgspec.DecodeError as error:
                 log.write(log.Event.PEER_UNREADABLE, reason=str(error))
                 continue
@@ -115,34 +120,36 @@
         self._seen = seen
         return stored
 
-    def _tell(self, entry: Stored) -> None:
+    def _tell(self, entry: StoredEntry) -> None:
         unix_ms = _unix_ms()
-        told = notice.Suspect(
+        told = gatewaymessage.Suspect(
             fingerprint=entry.fingerprint,
             age_ms=READ_AGE_MS,
             blocked_count=entry.blocked_count,
             blocked_for_ms=max(0.0, entry.until_unix_ms - unix_ms),
             kept_for_ms=max(0.0, entry.over_unix_ms - unix_ms),
         )
-        self._known.take_told(told, "store", clock.now_ms())
+        self._known.merge_notice(told, "store", clock.now_ms())
 
     async def _write(
-        self, missing: list[tuple[str, suspect.Entry]], now_ms: float
+        self,
+        missing: list[tuple[str, suspectrecord.SuspectRecord]],
+        now_ms: float,
     ) -> None:
-        ttl_ms = max(entry.over_ms - now_ms for _, entry in missing)
+        ttl_ms = max(entry.expires_ms - now_ms for _, entry in missing)
         unix_ms = _unix_ms() - now_ms
         items = {
             self._prefix + name: msgspec.json.encode(
-                Stored(
+                StoredEntry(
                     fingerprint=name,
-                    blocked_count=entry.blocked_count,
-                    until_unix_ms=unix_ms + entry.blocked_until_ms,
-                    over_unix_ms=unix_ms + entry.over_ms,
+                    blocked_count=entry.quarantine_count,
+                    until_unix_ms=unix_ms + entry.quarantined_until_ms,
+                    over_unix_ms=unix_ms + entry.expires_ms,
                 )
             )
             for name, entry in missing
         }
-        match await self._store.grant(min(LEASE_MAX_MS, ttl_ms)):
+        match await self._store.grant_lease(min(LEASE_MAX_MS, ttl_ms)):
             case expression.Result(tag="ok", ok=lease):
                 result = await self._store.put_all(items, lease)
             case granted:
--- a/hyssoptack/gateway/suspecting.py
+++ b/hyssoptack/gateway/quarantinesync.py
@@ -1,6 +1,6 @@
 """Requests that crash upstreams: what is found here, and what others find.
 
-`policy.suspicion` holds the beliefs; here they are logged and told. News go to
+`policy.quarantine` holds the beliefs; here they are logged and told. News go to
 some instances of the own failure domain and of others at once, who pass them on
 when they are news to them, too. Each second a part of all that is held is told
 to one of each: what was lost, or found while a domain was cut off, is made up
@@ -13,13 +13,13 @@
 import random
 
 from hyssoptack.core import clock
+from hyssoptack.core import gatewaymessage
 from hyssoptack.core import member
-from hyssoptack.core import notice
 from hyssoptack.core import traffic
 from hyssoptack.events import log
 from hyssoptack.gateway import metrics
 from hyssoptack.gateway import pool
-from hyssoptack.policy import suspicion
+from hyssoptack.policy import quarantine
 
 ROUND_S = 1.0
 """How often a part of all is told: an instance that missed some has heard it
@@ -61,23 +61,23 @@
 as many calls of this instance at most as that and its queue."""
 
 EVENTS = {
-    suspicion.What.SUSPECTED: log.Event.SUSPICION_BEGAN,
-    suspicion.What.BLOCKED: log.Event.REQUEST_BLOCKED,
-    suspicion.What.TRIED: log.Event.REQUEST_TRIED,
-    suspicion.What.CLEARED: log.Event.SUSPICION_ENDED,
-    suspicion.What.FORGOTTEN: log.Event.SUSPICION_ENDED,
+    quarantine.ChangeKind.SUSPECTED: log.Event.SUSPICION_BEGAN,
+    quarantine.ChangeKind.QUARANTINED: log.Event.REQUEST_BLOCKED,
+    quarantine.ChangeKind.PROBED: log.Event.REQUEST_TRIED,
+    quarantine.ChangeKind.CLEARED: log.Event.SUSPICION_ENDED,
+    quarantine.ChangeKind.EXPIRED: log.Event.SUSPICION_ENDED,
 }
 
-Send = collections.abc.Callable[[str, notice.Notice], None]
+Send = collections.abc.Callable[[str, gatewaymessage.Message], None]
 Peers = collections.abc.Callable[[], collections.abc.Sequence[member.Peer]]
 
 
-class Suspecting:
+class QuarantineSync:
     """One instance's part in what all hold against requests."""
 
     def __init__(
         self,
-        known: suspicion.Suspicions,
+        known: quarantine.SuspectRegistry,
         own: member.Peer,
         near: Peers,
         far: Peers,
@@ -96,7 +96,7 @@
             on_blocked: Told of a request that is refused from now on.
             counted: The instance's metrics.
         """
-        self.known = known
+        self.suspicions = known
         self._own = own
         self._near = near
         self._far = far
@@ -107,15 +107,15 @@
         self._ask_count = ASK_ROUNDS_COUNT
         self._news = asyncio.Event()
         known.on_change = self._on_change
-        known.on_news = self._news.set
+        known.on_pending_notices = self._news.set
 
     # What is found.
 
-    def on_upstream_ended(
+    def on_upstream_exit(
         self, upstream: traffic.Upstream, in_hand: tuple[pool.Job, ...]
     ) -> None:
         """Takes that an upstream broke calls off and is gone."""
-        self._metrics.upstreams_ended.inc({"service": upstream.service})
+        self._metrics.upstream_exits.inc({"service": upstream.service})
         log.write(
             log.Event.UPSTREAM_ENDED,
             upstream=upstream.upstream_id,
@@ -127,28 +127,28 @@
             in_hand_count=len(in_hand),
         )
 
-    def _on_change(self, change: suspicion.Change) -> None:
-        self._metrics.suspicions.inc({"what": change.what.value})
+    def _on_change(self, change: quarantine.SuspicionChange) -> None:
+        self._metrics.suspicion_events.inc({"what": change.kind.value})
         log.write(
-            EVENTS[change.what],
+            EVENTS[change.kind],
             fingerprint=change.fingerprint,
-            what=change.what.value,
+            what=change.kind.value,
             upstreams=list(change.upstream_ids),
-            blocked_count=change.blocked_count,
-            for_ms=round(change.for_ms),
+            blocked_count=change.quarantine_count,
+            for_ms=round(change.quarantine_ms),
             source=change.source,
         )
-        if change.what is suspicion.What.BLOCKED:
+        if change.kind is quarantine.ChangeKind.QUARANTINED:
             # The plan that found so is not done with its own command yet.
             loop = asyncio.get_running_loop()
             loop.call_soon(self._on_blocked, change.fingerprint)
 
     # What is told.
 
-    async def tell(self) -> None:
+    async def share_periodically(self) -> None:
         """Tells others what is held, for as long as it runs."""
         while True:
-            if self._ask_count or self.known.holds_any:
+            if self._ask_count or self.suspicions.has_entries:
                 await self._wait_for_news()
             else:
                 await self._news.wait()
@@ -167,20 +167,20 @@
     def _round(self) -> float:
         """Tells and asks once; returns how long to pause after it, in s."""
         now_ms = clock.now_ms()
-        self.known.forget_old(now_ms)
+        self.suspicions.expire(now_ms)
         self._ask()
         if self._news.is_set():
             self._news.clear()
-            news = self.known.take_news(NEWS_COUNT, now_ms)
+            news = self.suspicions.pop_new_notices(NEWS_COUNT, now_ms)
             told_count = self._tell(news, NEAR_COUNT, FAR_COUNT)
             self._log_shared(news)
         else:
-            part = self.known.some(PART_COUNT, now_ms)
+            part = self.suspicions.sample_notices(PART_COUNT, now_ms)
             told_count = self._tell(part, 1, 1)
         return told_count * SUSPECT_BYTES / PACE_BYTES_PER_S
 
     def _tell(
-        self, suspects: tuple[notice.Suspect, ...], near: int, far: int
+        self, suspects: tuple[gatewaymessage.Suspect, ...], near: int, far: int
     ) -> int:
         """Tells some others; returns how often a request was told of."""
         if not suspects:
@@ -191,9 +191,9 @@
         return len(suspects) * len(peers)
 
     def _notice(
-        self, suspects: tuple[notice.Suspect, ...]
-    ) -> notice.SuspectsNotice:
-        return notice.SuspectsNotice(
+        self, suspects: tuple[gatewaymessage.Suspect, ...]
+    ) -> gatewaymessage.SuspectsNotice:
+        return gatewaymessage.SuspectsNotice(
             sender_id=self._own.instance_id, suspects=suspects
         )
 
@@ -202,7 +202,7 @@
     ) -> list[member.Peer]:
         return self._random.sample(peers, min(len(peers), most_count))
 
-    def _log_shared(self, news: tuple[notice.Suspect, ...]) -> None:
+    def _log_shared(self, news: tuple[gatewaymessage.Suspect, ...]) -> None:
         if news:
             log.write(
                 log.Event.SUSPICION_SHARED,
@@ -216,22 +216,25 @@
         if not peers:
             return
         self._ask_count -= 1
-        wanted = notice.SuspectsWanted(address=self._own.address)
+        wanted = gatewaymessage.SuspectsRequest(address=self._own.address)
         for peer in peers:
             self._send(peer.address, wanted)
 
     # What others tell.
 
     def on_message(
-        self, each: notice.SuspectsNotice | notice.SuspectsWanted
+        self,
+        each: gatewaymessage.SuspectsNotice | gatewaymessage.SuspectsRequest,
     ) -> None:
         """Takes another instance's word, or answers its question."""
         now_ms = clock.now_ms()
         match each:
-            case notice.SuspectsNotice(sender_id=sender_id, suspects=suspects):
+            case gatewaymessage.SuspectsNotice(
+                sender_id=sender_id, suspects=suspects
+            ):
                 for suspect in suspects:
-                    self.known.take_told(suspect, sender_id, now_ms)
-            case notice.SuspectsWanted(address=address):
-                suspects = self.known.some(ANSWER_COUNT, now_ms)
+                    self.suspicions.merge_notice(suspect, sender_id, now_ms)
+            case gatewaymessage.SuspectsRequest(address=address):
+                suspects = self.suspicions.sample_notices(ANSWER_COUNT, now_ms)
                 if suspects:
                     self._send(address, self._notice(suspects))
--- a/hyssoptack/gateway/suspecting_test.py
+++ b/hyssoptack/gateway/quarantinesync_test.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from hyssoptack.core import notice
-from hyssoptack.gateway import crashing_test
+from hyssoptack.core import gatewaymessage
+from hyssoptack.gateway import gateway_crash_test
 from hyssoptack.gateway import gateway_test
 from hyssoptack.gateway import harness
 from hyssoptack.http1 import message
@@ -19,7 +19,9 @@
 
 async def _wait_blocked(site, *names):
     async with asyncio.timeout(TOLD_S):
-        while not all(_suspicions(site, each).blocked_count for each in names):
+        while not all(
+            _suspicions(site, each).quarantined_count for each in names
+        ):
             await asyncio.sleep(0.02)
 
 
@@ -70,10 +72,12 @@
 def test_all_know_of_it_soon_though_messages_are_lost_at_first():
     async def test():
         async with harness.Site() as site:
-            await crashing_test._index(site)
-            crashing_test._Watch(site, b"/all/bad")
+            await gateway_crash_test.start_sharded_site(site)
+            gateway_crash_test.CrashWatch(site, b"/all/bad")
             heal = _cut(site, "s1")
-            await crashing_test._repeat(site, "/all/bad", 0.6, 0.2, "bad")
+            await gateway_crash_test.send_repeatedly(
+                site, "/all/bad", 0.6, 0.2, "bad"
+            )
             await _wait_blocked(site, "n1", "n2")
             heal()
             await _wait_blocked(site, "s1")
@@ -84,8 +88,8 @@
 def test_a_cut_off_instance_finds_out_alone_and_both_sides_agree_later():
     async def test():
         async with harness.Site() as site:
-            await crashing_test._index(site)
-            watch = crashing_test._Watch(site, b"/all/bad")
+            await gateway_crash_test.start_sharded_site(site)
+            watch = gateway_crash_test.CrashWatch(site, b"/all/bad")
             heal = _cut(site, "s1")
             await site.get("/all/bad", "bad-1", name="s1")
             await _wait_blocked(site, "s1")
@@ -102,8 +106,8 @@
 def test_it_goes_on_while_the_store_is_away():
     async def test():
         async with harness.Site() as site:
-            await crashing_test._index(site)
-            crashing_test._Watch(site, b"/all/bad")
+            await gateway_crash_test.start_sharded_site(site)
+            gateway_crash_test.CrashWatch(site, b"/all/bad")
             site.store.stop()
             await site.get("/all/bad", "bad-1", name="n1")
             await _wait_blocked(site, "n1", "n2", "s1")
@@ -117,8 +121,8 @@
     async def test():
         async with harness.Site() as site:
             await _desk(site, 12)
-            await crashing_test._start_three(site)
-            crashing_test._Watch(site, b"/one/bad")
+            await gateway_crash_test.start_gateways(site)
+            gateway_crash_test.CrashWatch(site, b"/one/bad")
             beside = [
                 asyncio.create_task(_get_twice(site, f"/one/ok-{index}", name))
                 for index, name in enumerate(("n1", "n2", "s1") * 6)
@@ -128,7 +132,7 @@
             statuses = [got.status for got in await asyncio.gather(*beside)]
             assert statuses.count(200) == len(statuses)
             for name in site.gateways:
-                assert _suspicions(site, name).blocked_count == 0
+                assert _suspicions(site, name).quarantined_count == 0
 
     asyncio.run(test())
 
@@ -136,8 +140,8 @@
 def test_upstreams_that_crash_by_chance_bar_no_request():
     async def test():
         async with harness.Site() as site:
-            await crashing_test._index(site, budget=BUDGET)
-            crashing_test._Watch(site, b"/none")
+            await gateway_crash_test.start_sharded_site(site, budget=BUDGET)
+            gateway_crash_test.CrashWatch(site, b"/none")
             statuses = []
             for turn in range(6):
                 asked = [
@@ -146,18 +150,18 @@
                     )
                     for n, name in enumerate(("n1", "n2", "s1") * 3)
                 ]
-                await asyncio.sleep(crashing_test.WORK_MS / 2 / 1_000.0)
+                await asyncio.sleep(gateway_crash_test.WORK_MS / 2 / 1_000.0)
                 # Half of all copies at once, by turns; all copies of a failure
                 # domain would pass for a cut, whatever else is believed.
                 for each in site.services.values():
                     if int(each.upstream_id[-1]) // 2 == turn % 2:
-                        each.manners.return_ms = 300.0
+                        each.behaviour.return_ms = 300.0
                         each.crash()
                 statuses += [got.status for got in await asyncio.gather(*asked)]
                 await asyncio.sleep(0.5)
             assert statuses == [200] * len(statuses)
             for name in site.gateways:
-                assert _suspicions(site, name).blocked_count == 0
+                assert _suspicions(site, name).quarantined_count == 0
 
     asyncio.run(test())
 
@@ -165,17 +169,17 @@
 def test_what_has_become_harmless_is_served_again_everywhere():
     async def test():
         async with harness.Site() as site:
-            await crashing_test._index(site)
-            watch = crashing_test._Watch(site, b"/all/bad")
+            await gateway_crash_test.start_sharded_site(site)
+            watch = gateway_crash_test.CrashWatch(site, b"/all/bad")
             await site.get("/all/bad", "bad-1", name="n1")
             await _wait_blocked(site, "n1", "n2", "s1")
-            await asyncio.sleep(crashing_test.RETURN_MS / message.MS_PER_S)
+            await asyncio.sleep(gateway_crash_test.RETURN_MS / message.MS_PER_S)
             for each in site.services.values():
-                each.manners.crashes_on = b""
+                each.behaviour.crashes_on = b""
             crashes = len(watch.crash_ms)
             # Its time is over at the instance that is asked.
             entry = next(iter(_suspicions(site, "n2")._blocked.values()))
-            entry.blocked_until_ms = entry.spread_ms = 0.0
+            entry.quarantined_until_ms = entry.probe_jitter_ms = 0.0
             got = await site.get("/all/bad", "ok-1", name="n2")
             assert got.status == 200
             await asyncio.sleep(0.5)
@@ -190,7 +194,7 @@
 def test_nothing_is_sent_while_nothing_is_held():
     async def test():
         async with harness.Site() as site:
-            await crashing_test._index(site)
+            await gateway_crash_test.start_sharded_site(site)
             told = []
             for each in site.gateways.values():
                 kept = each._suspecting._send
@@ -219,13 +223,13 @@
                     name = f"i-{shard}-{copy}"
                     await site.add_upstream(name, f"s{shard}")
             site.configure(gateway_test.SHARDS)
-            narrow, wide = await site.start_pair()
-            watch = crashing_test._Watch(site, b"/all/bad")
+            narrow, wide = await site.start_delegating_pair()
+            watch = gateway_crash_test.CrashWatch(site, b"/all/bad")
             got = await site.get("/all/bad", "bad-1", name="narrow")
             assert got.status == 502
             await _wait_blocked(site, "narrow", "wide")
             count = len(watch.arrivals)
-            narrow._delegating.offer = None
+            narrow._delegating.try_delegate = None
             for name in site.gateways:
                 got = await site.get("/all/bad", f"bad-{name}", name=name)
                 assert got.status == 502
@@ -237,15 +241,15 @@
 def test_a_neighbour_that_runs_queries_for_others_refuses_it_too():
     async def test():
         async with harness.Site() as site:
-            await crashing_test._index(site)
-            crashing_test._Watch(site, b"/all/bad")
+            await gateway_crash_test.start_sharded_site(site)
+            gateway_crash_test.CrashWatch(site, b"/all/bad")
             await site.get("/all/bad", "bad-1", name="n1")
             await _wait_blocked(site, "n2", "s1")
             name = next(iter(_suspicions(site, "s1")._blocked))
             gathering = site.gateways["s1"]._gathering
             sent = []
             gathering.send = lambda _, body: sent.append(body)
-            ask = notice.RelayAsk(
+            ask = gatewaymessage.RelayRequest(
                 sender_address="127.0.0.1:1",
                 ask_id=1,
                 route_name="route-0",
@@ -255,12 +259,14 @@
                 body=b"",
                 remaining_ms=500.0,
                 to_goal_ms=100.0,
-                calls=(notice.RelayedCall(call_id=1, upstream_id="i-0-0"),),
+                calls=(
+                    gatewaymessage.RelayedCall(call_id=1, upstream_id="i-0-0"),
+                ),
                 fingerprint=name,
             )
-            gathering.take(ask, ready=True)
+            gathering.accept(ask, ready=True)
             (batch,) = sent
             assert batch.outcomes[0].reason == "crashes_upstreams"
-            assert not gathering.gathers
+            assert not gathering.active_gathers
 
     asyncio.run(test())
--- a/hyssoptack/gateway/delegating.py
+++ b/hyssoptack/gateway/querydelegation.py
@@ -15,17 +15,17 @@
 import math
 
 from hyssoptack.core import clock
+from hyssoptack.core import gatewaymessage
 from hyssoptack.core import member
-from hyssoptack.core import notice
 from hyssoptack.core import traffic
 from hyssoptack.events import log
-from hyssoptack.gateway import askids
-from hyssoptack.gateway import received
+from hyssoptack.gateway import correlationids
+from hyssoptack.gateway import inbound
 from hyssoptack.http1 import message
 from hyssoptack.platform import headers
 from hyssoptack.policy import delegation
 
-Send = collections.abc.Callable[[str, notice.Notice], None]
+Send = collections.abc.Callable[[str, gatewaymessage.Message], None]
 
 STALL_CHECK_S = 0.1
 """How often an instance that runs others' queries looks whether it stood still;
@@ -46,20 +46,20 @@
 
     Attributes:
         request: The request as the neighbour's caller sent it.
-        reply_to: Sends the answer back.
-        on_left: Called when the neighbour wants no answer any more.
-        on_granted: Called when the neighbour will not take it back.
+        send_reply: Sends the answer back.
+        on_abandoned: Called when the neighbour wants no answer any more.
+        on_commit: Called when the neighbour will not take it back.
     """
 
     request: message.Request
-    reply_to: collections.abc.Callable[[message.Reply], None]
-    on_left: collections.abc.Callable[[], None] | None = None
-    on_granted: collections.abc.Callable[[], None] | None = None
+    send_reply: collections.abc.Callable[[message.Reply], None]
+    on_abandoned: collections.abc.Callable[[], None] | None = None
+    on_commit: collections.abc.Callable[[], None] | None = None
 
     def answer(self, reply: message.Reply) -> None:
         """Sends the answer to the neighbour."""
-        self.on_left = self.on_granted = None
-        self.reply_to(reply)
+        self.on_abandoned = self.on_commit = None
+        self.send_reply(reply)
 
 
 class _State(enum.Enum):
@@ -69,23 +69,23 @@
     BEGUN = "begun"
 
 
-RunHere = collections.abc.Callable[[received.Request, bool], None]
+RunLocally = collections.abc.Callable[[inbound.Request, bool], None]
 """Runs a query here; told whether a neighbour may have run some of it."""
 
 
-CanTakeBack = collections.abc.Callable[[received.Request], bool]
+CanRerunLocally = collections.abc.Callable[[inbound.Request], bool]
 
 
-class Delegating:
+class Delegator:
     """Queries of this instance at neighbours, and of neighbours here."""
 
     def __init__(
         self,
-        known: delegation.Delegation,
+        known: delegation.DelegateSelector,
         own_address: str,
         send: Send,
-        run_here: RunHere,
-        can_take_back: CanTakeBack,
+        run_here: RunLocally,
+        can_take_back: CanRerunLocally,
     ):
         """Makes the queries of one instance, of which there are none yet.
 
@@ -96,22 +96,22 @@
             run_here: Runs a query here.
             can_take_back: Whether one that may have begun could be run here.
         """
-        self.can_take_back = can_take_back
-        self.known = known
+        self.can_rerun_locally = can_take_back
+        self.selector = known
         self.own_address = own_address
         self.send = send
-        self.run_here = run_here
-        self.handed: dict[int, Handed] = {}
-        self._ask_ids = askids.counter()
+        self.run_locally = run_here
+        self.pending: dict[int, DelegatedQuery] = {}
+        self._ask_ids = correlationids.new_sequence()
         self._taken: dict[tuple[str, int], PeerExchange] = {}
         self._ticked_ms = clock.now_ms()
         self._woke_ms = -math.inf
 
-    def offer(self, query: received.Request, version: int) -> bool:
+    def try_delegate(self, query: inbound.Request, version: int) -> bool:
         """Hands a query over if that is better; tells whether it did."""
         now_ms = clock.now_ms()
-        route = query.found.route
-        if not route.may_be_taken_back:
+        route = query.route_match.route
+        if not route.is_rerunnable:
             return False
         match route.target:
             case traffic.AllShards(shards=shards):
@@ -120,12 +120,12 @@
                     part_count=len(shards),
                     to_goal_ms=query.goal_at_ms(now_ms) - now_ms,
                 )
-                peer = self.known.choose(weighed, now_ms)
+                peer = self.selector.choose(weighed, now_ms)
             case _:
                 return False
         if peer is None:
             return False
-        handed = Handed(self, query, peer, next(self._ask_ids))
+        handed = DelegatedQuery(self, query, peer, next(self._ask_ids))
         handed.start(version)
         return True
 
@@ -140,7 +140,7 @@
             self._ticked_ms = now_ms
             await asyncio.sleep(STALL_CHECK_S)
 
-    def is_stale(self) -> bool:
+    def messages_may_be_stale(self) -> bool:
         """Whether messages may be old: this process stood still until now.
 
         After a stop the loop runs this watch before it reads messages.
@@ -149,12 +149,14 @@
         stalled = now_ms - self._ticked_ms >= STALL_MS
         return stalled or now_ms - self._woke_ms < WAKE_MS
 
-    def take(self, ask: notice.QueryAsk, willing: bool) -> PeerExchange | None:
+    def accept(
+        self, ask: gatewaymessage.DelegationRequest, can_serve: bool
+    ) -> PeerExchange | None:
         """Takes a neighbour's query, or declines it.
 
         Args:
             ask: The query.
-            willing: Whether this instance can serve it as its sender would.
+            can_serve: Whether this instance can serve it as its sender would.
 
         Returns:
             The exchange to be answered; None where there is none to begin.
@@ -162,9 +164,9 @@
         now_ms = clock.now_ms()
         key = ask.sender_address, ask.ask_id
         running_already = key in self._taken
-        stale = self.is_stale()
-        begun = running_already or (willing and not stale and ask.fresh)
-        taken = notice.QueryTaken(
+        stale = self.messages_may_be_stale()
+        begun = running_already or (can_serve and not stale and ask.fresh)
+        taken = gatewaymessage.DelegationStatus(
             sender_address=self.own_address, ask_id=ask.ask_id, begun=begun
         )
         self.send(ask.sender_address, taken)
@@ -188,7 +190,7 @@
             ask_id=ask.ask_id,
             elapsed_ms=round(ask.elapsed_ms, 1),
             fresh=ask.fresh,
-            willing=willing,
+            willing=can_serve,
             stale=stale,
             begun=begun,
         )
@@ -197,7 +199,7 @@
         route_name = ask.route_name
         exchange = PeerExchange(
             request=request,
-            reply_to=lambda reply: self._reply(key, route_name, reply),
+            send_reply=lambda reply: self._reply(key, route_name, reply),
         )
         self._taken[key] = exchange
         return exchange
@@ -207,10 +209,10 @@
     ) -> None:
         self._taken.pop(key, None)
         address, ask_id = key
-        answer = notice.QueryAnswer(
+        answer = gatewaymessage.DelegationAnswer(
             sender_address=self.own_address,
             ask_id=ask_id,
-            reply_bytes=self.known.reply_bytes(route_name),
+            reply_bytes=self.selector.reply_bytes(route_name),
             status=reply.status,
             headers=reply.headers,
             body=reply.body,
@@ -219,20 +221,20 @@
 
     def _granted(self, key: tuple[str, int]) -> None:
         exchange = self._taken.get(key)
-        if exchange is not None and exchange.on_granted is not None:
-            exchange.on_granted()
+        if exchange is not None and exchange.on_commit is not None:
+            exchange.on_commit()
 
     # What comes back.
 
-    def on_message(self, each: notice.Notice) -> None:
+    def on_message(self, each: gatewaymessage.Message) -> None:
         """Takes a neighbour's word on a query."""
         match each:
-            case notice.QueryTaken(ask_id=ask_id, begun=begun):
-                if (found := self.handed.get(ask_id)) is not None:
-                    found.taken(begun)
-            case notice.QueryAnswer(ask_id=ask_id):
-                if (found := self.handed.get(ask_id)) is not None:
-                    found.answered(each)
+            case gatewaymessage.DelegationStatus(ask_id=ask_id, begun=begun):
+                if (found := self.pending.get(ask_id)) is not None:
+                    found.on_status(begun)
+            case gatewaymessage.DelegationAnswer(ask_id=ask_id):
+                if (found := self.pending.get(ask_id)) is not None:
+                    found.on_answer(each)
                 else:
                     log.write(
                         log.Event.QUERY_ANSWER_UNUSED,
@@ -240,34 +242,38 @@
                         ask_id=ask_id,
                         status=each.status,
                     )
-            case notice.QueryGranted(sender_address=address, ask_id=ask_id):
+            case gatewaymessage.DelegationCommit(
+                sender_address=address, ask_id=ask_id
+            ):
                 self._granted((address, ask_id))
-            case notice.QueryLeft(sender_address=address, ask_id=ask_id):
+            case gatewaymessage.DelegationCancel(
+                sender_address=address, ask_id=ask_id
+            ):
                 exchange = self._taken.pop((address, ask_id), None)
-                if exchange is not None and exchange.on_left is not None:
-                    exchange.on_left()
+                if exchange is not None and exchange.on_abandoned is not None:
+                    exchange.on_abandoned()
 
-    def on_undelivered(self, each: notice.Notice) -> None:
+    def on_undelivered(self, each: gatewaymessage.Message) -> None:
         """Takes that a message did not reach its neighbour."""
         match each:
-            case notice.QueryAsk(ask_id=ask_id):
-                if (found := self.handed.get(ask_id)) is not None:
-                    found.undelivered()
+            case gatewaymessage.DelegationRequest(ask_id=ask_id):
+                if (found := self.pending.get(ask_id)) is not None:
+                    found.on_undelivered()
 
     def on_link_lost(self, address: str) -> None:
         """Takes that the connection to a neighbour has ended."""
-        for each in tuple(self.handed.values()):
+        for each in tuple(self.pending.values()):
             if each.address == address:
-                each.lost("link_lost")
+                each.on_lost("link_lost")
 
 
-class Handed:
+class DelegatedQuery:
     """One query that a neighbour was asked to run."""
 
     def __init__(
         self,
-        owner: Delegating,
-        query: received.Request,
+        owner: Delegator,
+        query: inbound.Request,
         peer: member.Peer,
         ask_id: int,
     ):
@@ -276,17 +282,17 @@
         self._peer = peer
         self._ask_id = ask_id
         self._state = _State.SENT
-        self._hop_ms = owner.known.hops.usual_ms
+        self._hop_ms = owner.selector.hop_delays.estimate_ms
         self._goal_at_ms = query.goal_at_ms(clock.now_ms())
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self, version: int) -> None:
         """Sends the query to the neighbour."""
-        self._owner.handed[self._ask_id] = self
-        self._owner.known.handed(self._peer.address)
-        self._query.exchange.on_left = self._left
+        self._owner.pending[self._ask_id] = self
+        self._owner.selector.begin_delegation(self._peer.address)
+        self._query.exchange.on_abandoned = self._left
         self._ask(version, fresh=True)
-        self._wait(delegation.BEGUN_WAIT_MS, self._not_begun)
+        self._wait(delegation.ACCEPT_TIMEOUT_MS, self._not_begun)
 
     @property
     def address(self) -> str:
@@ -295,17 +301,17 @@
 
     def _ask(self, version: int, fresh: bool) -> None:
         request = self._query.exchange.request
-        ask = notice.QueryAsk(
+        ask = gatewaymessage.DelegationRequest(
             sender_address=self._owner.own_address,
             ask_id=self._ask_id,
             version=version,
-            route_name=self._query.found.route.name,
+            route_name=self._query.route_match.route.name,
             method=request.method,
             target=request.target,
             headers=request.headers,
             body=request.body,
             elapsed_ms=clock.now_ms() - request.received_ms,
-            away_ms=self._query.away_ms + self._hop_ms,
+            away_ms=self._query.reserved_ms + self._hop_ms,
             fresh=fresh,
         )
         self._owner.send(self._peer.address, ask)
@@ -321,7 +327,7 @@
     def _not_begun(self) -> None:
         """Takes the query back, or waits on where it could not be run here."""
         now_ms = clock.now_ms()
-        if now_ms < self._goal_at_ms and not self._owner.can_take_back(
+        if now_ms < self._goal_at_ms and not self._owner.can_rerun_locally(
             self._query
         ):
             log.write(
@@ -340,60 +346,65 @@
     def _check(self) -> None:
         """Asks whether the neighbour still runs the query."""
         self._ask(version=0, fresh=False)
-        self._wait(delegation.BEGUN_WAIT_MS, lambda: self.lost("silent"))
+        self._wait(delegation.ACCEPT_TIMEOUT_MS, lambda: self.on_lost("silent"))
 
-    def taken(self, begun: bool) -> None:
+    def on_status(self, begun: bool) -> None:
         """Takes whether the neighbour runs the query."""
         match self._state, begun:
             case _State.SENT, True:
                 self._state = _State.BEGUN
                 self._say_granted()
                 request = self._query.exchange.request
-                due_ms = request.received_ms + self._query.found.route.goal_ms
+                due_ms = (
+                    request.received_ms
+                    + self._query.route_match.route.latency_goal_ms
+                )
                 left_ms = max(0.0, due_ms - clock.now_ms())
                 self._wait(left_ms + delegation.ANSWER_SLACK_MS, self._check)
             case _State.SENT, False:
                 self._back("declined", may_have_run=False)
             case _State.BEGUN, True:
-                self._wait(delegation.CHECK_PERIOD_MS, self._check)
+                self._wait(delegation.LIVENESS_CHECK_PERIOD_MS, self._check)
             case _State.BEGUN, False:
-                self.lost("forgotten")
+                self.on_lost("forgotten")
 
-    def undelivered(self) -> None:
+    def on_undelivered(self) -> None:
         """Takes that the last ask did not reach the neighbour."""
         match self._state:
             case _State.SENT:
                 self._back("unreachable", may_have_run=False)
             case _:
-                self.lost("unreachable")
+                self.on_lost("unreachable")
 
-    def lost(self, reason: str) -> None:
+    def on_lost(self, reason: str) -> None:
         """Takes that the neighbour is gone with the query, or may be."""
         if self._state is _State.SENT:
             self._back(reason, may_have_run=True)
             return
-        self._owner.known.failed(self._peer.address, clock.now_ms())
+        self._owner.selector.record_failure(self._peer.address, clock.now_ms())
         self._say_left()
         self._end()
         self._log_back(reason, may_have_run=True)
         status = http.HTTPStatus.BAD_GATEWAY
-        self._query.exchange.answer(message.problem(status, "neighbour_lost"))
+        self._query.exchange.answer(
+            message.problem_reply(status, "neighbour_lost")
+        )
 
-    def answered(self, answer: notice.QueryAnswer) -> None:
+    def on_answer(self, answer: gatewaymessage.DelegationAnswer) -> None:
         """Passes the neighbour's answer on."""
-        self._owner.known.answered(self._peer.address)
-        route_name = self._query.found.route.name
-        self._owner.known.note_reply(route_name, answer.reply_bytes)
+        self._owner.selector.record_answer(self._peer.address)
+        route_name = self._query.route_match.route.name
+        self._owner.selector.record_reply_size(route_name, answer.reply_bytes)
         self._end()
         reply = message.Reply(
             status=answer.status, headers=answer.headers, body=answer.body
         )
         request = self._query.exchange.request
         self._query.exchange.answer(reply)
-        if headers.parts_are_missing(reply):
+        if headers.has_missing_parts(reply):
             # Given at the goal: the rest is what the way back took.
             late_ms = clock.now_ms() - self._goal_at_ms
-            self._owner.known.hops.note(self._hop_ms + late_ms)
+            self._owner.selector.hop_delays.record(self._hop_ms + late_ms)
         log.write(
             log.Event.QUERY_HANDED,
             request_id=self._query.request_id,
@@ -404,10 +415,10 @@
 
     def _back(self, reason: str, may_have_run: bool) -> None:
         """Runs the query here, as the neighbour won't."""
-        self._owner.known.failed(self._peer.address, clock.now_ms())
+        self._owner.selector.record_failure(self._peer.address, clock.now_ms())
         self._end()
         self._log_back(reason, may_have_run)
-        self._owner.run_here(self._query, may_have_run)
+        self._owner.run_locally(self._query, may_have_run)
 
     def _log_back(self, reason: str, may_have_run: bool) -> None:
         log.write(
@@ -424,13 +435,13 @@
         self._end()
 
     def _say_left(self) -> None:
-        left = notice.QueryLeft(
+        left = gatewaymessage.DelegationCancel(
             sender_address=self._owner.own_address, ask_id=self._ask_id
         )
         self._owner.send(self._peer.address, left)
 
     def _say_granted(self) -> None:
-        granted = notice.QueryGranted(
+        granted = gatewaymessage.DelegationCommit(
             sender_address=self._owner.own_address, ask_id=self._ask_id
         )
         self._owner.send(self._peer.address, granted)
@@ -438,5 +449,5 @@
     def _end(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._owner.handed.pop(self._ask_id, None)
-        self._owner.known.ended(self._peer.address)
+        self._owner.pending.pop(self._ask_id, None)
+        self._owner.selector.end_delegation(self._peer.address)
--- a/hyssoptack/gateway/delegating_test.py
+++ b/hyssoptack/gateway/querydelegation_test.py
@@ -5,11 +5,11 @@
 import random
 import types
 
-from hyssoptack.core import notice
-from hyssoptack.gateway import delegating
+from hyssoptack.core import gatewaymessage
 from hyssoptack.gateway import gateway_test
 from hyssoptack.gateway import harness
-from hyssoptack.gateway import received
+from hyssoptack.gateway import inbound
+from hyssoptack.gateway import querydelegation
 from hyssoptack.policy import delegation
 
 
@@ -19,7 +19,7 @@
         body = bytes([index]) * 16 + bytes([200 - index]) * 16
         await site.add_upstream(f"i-{index}", f"s{index}", body)
     site.configure(gateway_test.SHARDS)
-    narrow, _ = await site.start_pair()
+    narrow, _ = await site.start_delegating_pair()
     return narrow
 
 
@@ -32,10 +32,10 @@
             assert first.status == 200
             assert first.headers["x-missing-parts"] == "0"
             assert first.body[:16] == bytes([200]) * 16
-            assert sum(s.runs[b"r1"] for s in site.services.values()) == 4
+            assert sum(s.run_counts[b"r1"] for s in site.services.values()) == 4
             # Nothing was gathered over the narrow link.
             assert narrow._pools.opened_count < wide._pools.opened_count
-            assert not narrow._delegating.handed
+            assert not narrow._delegating.pending
 
     asyncio.run(test())
 
@@ -57,16 +57,16 @@
     async def test():
         async with harness.Site() as site:
             narrow = await _pair(site)
-            table = site.gateways["wide"].beliefs
-            held = table.table
-            table.table = types.SimpleNamespace(
+            table = site.gateways["wide"].view
+            held = table.route_table
+            table.route_table = types.SimpleNamespace(
                 configuration=types.SimpleNamespace(version=999)
             )
             got = await site.get("/all/x", "r1", name="narrow")
-            table.table = held
+            table.route_table = held
             assert got.status == 200
-            assert sum(s.runs[b"r1"] for s in site.services.values()) == 4
-            assert not narrow._delegating.handed
+            assert sum(s.run_counts[b"r1"] for s in site.services.values()) == 4
+            assert not narrow._delegating.pending
 
     asyncio.run(test())
 
@@ -76,7 +76,7 @@
         async with harness.Site() as site:
             await _pair(site)
             for each in site.services.values():
-                each.manners.delay_ms = 150.0
+                each.behaviour.delay_ms = 150.0
             begun = asyncio.create_task(site.get("/all/x", "r1", name="narrow"))
             await asyncio.sleep(0.05)
             site.gateways["wide"].stop()
@@ -85,7 +85,7 @@
             assert (got.status, later.status) == (200, 200)
             for name in ("r1", "r2"):
                 key = name.encode()
-                runs = [s.runs[key] for s in site.services.values()]
+                runs = [s.run_counts[key] for s in site.services.values()]
                 assert runs == [1, 1, 1, 1]
 
     asyncio.run(test())
@@ -96,7 +96,7 @@
         async with harness.Site() as site:
             await _pair(site)
             for each in site.services.values():
-                each.manners.never = True
+                each.behaviour.never = True
             address = site.settings["narrow"].callers_address
             host, _, port = address.rpartition(":")
             _, writer = await asyncio.open_connection(host, int(port))
@@ -108,7 +108,7 @@
                     not s.cancelled_count for s in site.services.values()
                 ):
                     await asyncio.sleep(0.02)
-            assert not site.gateways["wide"]._serving.running
+            assert not site.gateways["wide"]._serving.active_runs
 
     asyncio.run(test())
 
@@ -118,17 +118,17 @@
         async with harness.Site() as site:
             narrow = await _pair(site)
             # It takes messages and says nothing: a frozen process.
-            site.gateways["wide"]._peering.on_query = lambda _: None
+            site.gateways["wide"]._peering.on_message = lambda _: None
             for each in site.services.values():
-                each.manners.delay_ms = 20.0
+                each.behaviour.delay_ms = 20.0
             started_s = asyncio.get_running_loop().time()
             got = await site.get("/all/x", "r1", name="narrow")
             took_s = asyncio.get_running_loop().time() - started_s
             assert got.status == 200
-            assert took_s * 1_000 < delegation.BEGUN_WAIT_MS + 150.0
+            assert took_s * 1_000 < delegation.ACCEPT_TIMEOUT_MS + 150.0
             # It is left alone from then on.
             assert (
-                narrow._delegating.known.choose(
+                narrow._delegating.selector.choose(
                     delegation.Query(
                         route_name="route-0", part_count=4, to_goal_ms=300.0
                     ),
@@ -154,7 +154,7 @@
             for each in narrow._extra_calls._services.values():
                 each.slack_count = 0.0
             wide = site.gateways["wide"]._peering
-            take = wide.on_query
+            take = wide.on_message
             loop = asyncio.get_running_loop()
             asked = []
 
@@ -162,19 +162,19 @@
                 asked.append(type(each))
                 loop.call_later(0.1, take, each)
 
-            wide.on_query = late
+            wide.on_message = late
             got = await site.get("/all/x", "r1", name="narrow")
             assert got.status == 200
             # Asked again after its answer, it would run the query once more.
-            assert asked.count(notice.QueryAsk) == 1
-            runs = [s.runs[b"r1"] for s in site.services.values()]
+            assert asked.count(gatewaymessage.DelegationRequest) == 1
+            runs = [s.run_counts[b"r1"] for s in site.services.values()]
             assert runs == [1, 1, 1, 1]
 
     asyncio.run(test())
 
 
 def _ask():
-    return notice.QueryAsk(
+    return gatewaymessage.DelegationRequest(
         sender_address="n:1",
         ask_id=3,
         version=1,
@@ -189,36 +189,36 @@
 
 def test_who_stood_still_takes_no_query_that_may_have_waited_as_long():
     sent = []
-    held = delegating.Delegating(
-        delegation.Delegation(0.0, random.Random(1)),
+    held = querydelegation.Delegator(
+        delegation.DelegateSelector(0.0, random.Random(1)),
         "w:1",
         lambda _, each: sent.append(each),
         None,
         None,
     )
-    held._ticked_ms -= 2 * delegating.STALL_MS
-    assert held.take(_ask(), willing=True) is None
+    held._ticked_ms -= 2 * querydelegation.STALL_MS
+    assert held.accept(_ask(), can_serve=True) is None
     assert [each.begun for each in sent] == [False]
-    held._ticked_ms += 2 * delegating.STALL_MS
-    exchange = held.take(_ask(), willing=True)
+    held._ticked_ms += 2 * querydelegation.STALL_MS
+    exchange = held.accept(_ask(), can_serve=True)
     assert exchange is not None
     assert sent[-1].begun
     # Asked again, it says that it runs, and begins nothing.
-    assert held.take(_ask(), willing=False) is None
+    assert held.accept(_ask(), can_serve=False) is None
     assert sent[-1].begun
 
 
 def test_messages_that_waited_are_declined_though_the_watch_has_run():
     # After a stop the loop runs its timers first, and reads messages then.
     sent = []
-    held = delegating.Delegating(
-        delegation.Delegation(0.0, random.Random(1)),
+    held = querydelegation.Delegator(
+        delegation.DelegateSelector(0.0, random.Random(1)),
         "w:1",
         lambda _, each: sent.append(each),
         None,
         None,
     )
-    held._ticked_ms -= 2 * delegating.STALL_MS
+    held._ticked_ms -= 2 * querydelegation.STALL_MS
 
     async def wake():
         watch = asyncio.create_task(held.watch_stalls())
@@ -226,20 +226,20 @@
         watch.cancel()
 
     asyncio.run(wake())
-    assert held.take(_ask(), willing=True) is None
+    assert held.accept(_ask(), can_serve=True) is None
     assert [each.begun for each in sent] == [False]
 
 
 def test_an_answer_that_can_not_be_in_time_is_given_time_to_be_whole():
-    route = types.SimpleNamespace(goal_ms=150.0)
-    query = received.Request(
+    route = types.SimpleNamespace(latency_goal_ms=150.0)
+    query = inbound.Request(
         exchange=types.SimpleNamespace(
             request=types.SimpleNamespace(received_ms=1_000.0)
         ),
-        facts=None,
-        found=types.SimpleNamespace(route=route),
-        spent_ms=7.0,
-        margin_ms=9.0,
+        metadata=None,
+        route_match=types.SimpleNamespace(route=route),
+        caller_spent_ms=7.0,
+        transit_margin_ms=9.0,
     )
     assert query.goal_at_ms(1_000.0) == 1_134.0
     assert query.goal_at_ms(1_140.0) == 1_150.0
@@ -252,10 +252,10 @@
         async with harness.Site() as site:
             await _pair(site)
             for each in site.services.values():
-                each.manners.delay_ms = 700.0
+                each.behaviour.delay_ms = 700.0
             got = await site.get("/all/x", "r1", name="narrow")
             assert got.status == 200
-            runs = [s.runs[b"r1"] for s in site.services.values()]
+            runs = [s.run_counts[b"r1"] for s in site.services.values()]
             assert runs == [1, 1, 1, 1]
 
     asyncio.run(test())
@@ -266,14 +266,14 @@
         async with harness.Site() as site:
             await _pair(site)
             for each in site.services.values():
-                each.manners.delay_ms = 700.0
+                each.behaviour.delay_ms = 700.0
             begun = asyncio.create_task(site.get("/all/x", "r1", name="narrow"))
             await asyncio.sleep(0.1)
             site.kill("wide")
             async with asyncio.timeout(0.7):
                 got = await begun
             assert got.status == 502
-            runs = [s.runs[b"r1"] for s in site.services.values()]
+            runs = [s.run_counts[b"r1"] for s in site.services.values()]
             assert runs == [1, 1, 1, 1]
 
     asyncio.run(test())
--- /dev/null
+++ b/hyssoptack/gateway/requesthandler.py
@@ -0,0 +1,231 @@
+"""Serves callers' requests: routes them, runs their plans, writes answers."""
+
+import dataclasses
+import http
+import random
+
+from hyssoptack.core import clock
+from hyssoptack.core import gatewaymessage
+from hyssoptack.core import traffic
+from hyssoptack.events import log
+from hyssoptack.gateway import callrelay
+from hyssoptack.gateway import inbound
+from hyssoptack.gateway import metrics
+from hyssoptack.gateway import querydelegation
+from hyssoptack.gateway import replicatedview
+from hyssoptack.gateway import requestrun
+from hyssoptack.http1 import httpserver
+from hyssoptack.http1 import message
+from hyssoptack.platform import headers
+from hyssoptack.policy import callcommand
+from hyssoptack.policy import callerlatency
+from hyssoptack.policy import connections
+from hyssoptack.policy import plancontext
+from hyssoptack.policy import retrydelay
+from hyssoptack.policy import routetable
+
+
+def log_unreadable_request(status: int, reason: str) -> None:
+    """Logs a request that was refused before its id was known."""
+    log.write(log.Event.REQUEST_UNREADABLE, status=status, reason=reason)
+
+
+class RequestHandler:
+    """Serves requests from the beliefs of one instance."""
+
+    def __init__(
+        self,
+        believed: replicatedview.ReplicatedView,
+        knowledge: plancontext.PlanContext,
+        failure_domain: str,
+        counted: metrics.Metrics,
+    ):
+        self._beliefs = believed
+        self._knowledge = knowledge
+        self.metrics = counted
+        self._failure_domain = failure_domain
+        self.instance_counts = connections.InstanceCounts()
+        self.active_runs: set[requestrun.RequestRun] = set()
+        self._random = random.Random()
+        self._caller_time = callerlatency.CallerLatency()
+        self.delegator: querydelegation.Delegator | None = None
+        self.call_relay: callrelay.CallRelay | None = None
+
+    def handle(self, exchange: httpserver.Exchange) -> None:
+        """Serves a caller's request."""
+        self._serve(exchange, None)
+
+    def serve_delegated(
+        self, ask: gatewaymessage.DelegationRequest, ready: bool
+    ) -> None:
+        """Serves a neighbour's query, or declines it."""
+        # With another configuration it might run as its sender may not.
+        willing = ready and ask.version == self._beliefs.version
+        exchange = self.delegator.accept(ask, willing)
+        if exchange is not None:
+            self._serve(exchange, ask)
+
+    def _serve(
+        self,
+        exchange: inbound.Exchange,
+        ask: gatewaymessage.DelegationRequest | None,
+    ) -> None:
+        facts = headers.read_metadata(exchange.request)
+        if isinstance(facts, str):
+            exchange.answer(
+                message.problem_reply(http.HTTPStatus.BAD_REQUEST, facts)
+            )
+            log_unreadable_request(http.HTTPStatus.BAD_REQUEST, facts)
+            return
+        path = exchange.request.path.decode("latin-1")
+        found = self._beliefs.route_table.find(facts.host, path)
+        match found:
+            case routetable.RouteMiss.NOT_CONFIGURED:
+                status = http.HTTPStatus.SERVICE_UNAVAILABLE
+                self._refuse(exchange, facts, status, found.value)
+            case routetable.RouteMiss.NO_ROUTE:
+                status = http.HTTPStatus.NOT_FOUND
+                self._refuse(exchange, facts, status, found.value)
+            case routetable.RouteMatch():
+                query = inbound.Request(
+                    exchange=exchange, metadata=facts, route_match=found
+                )
+                if ask is None:
+                    self._serve_caller(query)
+                else:
+                    known = dataclasses.replace(
+                        query, transit_margin_ms=ask.away_ms
+                    )
+                    run = requestrun.RequestRun(self, known, awaits_grant=True)
+                    exchange.on_commit = run.on_attempts_granted
+                    run.start()
+
+    def _serve_caller(self, query: inbound.Request) -> None:
+        timed = dataclasses.replace(
+            query, transit_margin_ms=self._caller_time.margin_ms
+        )
+        if self._knowledge.mechanisms.caller_time:
+            spent_ms = self._caller_time.observe_elapsed_ms(
+                query.route_match.route.name,
+                query.metadata.deadline_ms,
+                query.exchange.request.is_first,
+            )
+            timed = dataclasses.replace(timed, caller_spent_ms=spent_ms)
+        version = self._beliefs.version
+        known = self._knowledge.suspicions
+        here = self.delegator is None or (
+            known.has_entries and known.is_tracked(timed.fingerprint)
+        )
+        if here or not self.delegator.try_delegate(timed, version):
+            self.run_locally(timed, may_have_run=False)
+
+    def run_locally(self, query: inbound.Request, may_have_run: bool) -> None:
+        """Runs a request on this instance.
+
+        Args:
+            query: The request.
+            may_have_run: Whether a neighbour may have run some of it.
+        """
+        requestrun.RequestRun(self, query, may_have_run=may_have_run).start()
+
+    def can_rerun_locally(self, query: inbound.Request) -> bool:
+        """Whether a query that a neighbour may have begun could be run here.
+
+        Each part of it would be an extra call.
+        """
+        services = query.route_match.services
+        now_ms = clock.now_ms()
+        paid_count = sum(
+            self._knowledge.extra_call_budget.can_spend(each, now_ms)
+            for each in services
+        )
+        floor_count = callcommand.coverage_floor_count(
+            query.route_match.route, len(services)
+        )
+        return paid_count >= floor_count
+
+    def _refuse(
+        self,
+        exchange: inbound.Exchange,
+        facts: headers.RequestMetadata,
+        status: int,
+        reason: str,
+    ) -> None:
+        comes_back = status == http.HTTPStatus.SERVICE_UNAVAILABLE
+        wait_ms = self.retry_delay_ms(reason) if comes_back else None
+        self.metrics.requests.inc({"route": "", "status": str(status)})
+        exchange.answer(message.problem_reply(status, reason, wait_ms))
+        log.write(
+            log.Event.REQUEST_ENDED,
+            request_id=facts.request_id.decode("latin-1"),
+            host=facts.host,
+            path=exchange.request.path.decode("latin-1"),
+            status=status,
+            reason=reason,
+            version=self._beliefs.version,
+        )
+
+    def record_lateness(self, late_ms: float) -> None:
+        """Takes how long after the goal's time an answer was written."""
+        self._caller_time.answer_delay.record(late_ms)
+
+    def record_reply(self, route_name: str, reply: message.Reply) -> None:
+        """Takes an upstream's reply: its size decides who gathers."""
+        if self.delegator is not None:
+            size_bytes = message.reply_size_bytes(reply)
+            self.delegator.selector.record_reply_size(route_name, size_bytes)
+
+    def retry_delay_ms(self, reason: str) -> float:
+        """Returns when a caller that is refused should come back."""
+        if not self._knowledge.mechanisms.comeback_by_cause:
+            return retrydelay.OVERLOADED_RETRY_MS
+        domains = self._knowledge.partition_detector
+        cut_for_ms = clock.now_ms() - domains.partitioned_since_ms
+        refusal = retrydelay.RefusalContext(
+            cause=retrydelay.cause_of(reason),
+            partitioned_for_ms=cut_for_ms if domains.is_partitioned else 0.0,
+        )
+        return retrydelay.retry_delay_ms(refusal, self._random)
+
+    def can_relay_to(self, failure_domain: str) -> bool:
+        """Whether calls into a failure domain are for others to make."""
+        return self.call_relay is not None and (
+            failure_domain != self._failure_domain
+        )
+
+    def on_partition(self) -> None:
+        """Ends what waits for other failure domains."""
+        for each in tuple(self.active_runs):
+            each.on_partition()
+
+    def on_quarantined(self, fingerprint: str) -> None:
+        """Ends what is found to crash the upstreams that run it."""
+        for each in tuple(self.active_runs):
+            if each.fingerprint == fingerprint:
+                each.on_quarantined()
+
+    @property
+    def view(self) -> replicatedview.ReplicatedView:
+        """What requests are served from."""
+        return self._beliefs
+
+    @property
+    def plan_context(self) -> plancontext.PlanContext:
+        """What plans draw on."""
+        return self._knowledge
+
+    def connection_limit_count(self, upstream: traffic.Upstream) -> int:
+        """Returns how many connections to an upstream this instance may use."""
+        configuration = self._beliefs.route_table.configuration
+        service = (
+            configuration.services.get(upstream.service)
+            if configuration
+            else None
+        )
+        if service is None:
+            return 1
+        return connections.connection_limit_count(
+            service.max_connections_count,
+            upstream.failure_domain == self._failure_domain,
+            self.instance_counts,
+        )
