--- a/hyssoptack/gateway/running.py
+++ b/hyssoptack/gateway/requestrun.py
@@ -7,12 +7,12 @@
 from hyssoptack.core import clock
 from hyssoptack.core import traffic
 from hyssoptack.events import log
+from hyssoptack.gateway import callrelay
 from hyssoptack.gateway import calltrace
+from hyssoptack.gateway import inbound
 from hyssoptack.gateway import pool
-from hyssoptack.gateway import received
-from hyssoptack.gateway import relaying
+from hyssoptack.http1 import httpclient
 from hyssoptack.http1 import message
-from hyssoptack.http1 import upstreamside
 from hyssoptack.platform import headers
 from hyssoptack.policy import callcommand
 from hyssoptack.policy import callplan
@@ -20,20 +20,20 @@
 from hyssoptack.policy import records
 
 if typing.TYPE_CHECKING:
-    from hyssoptack.gateway import serving
+    from hyssoptack.gateway import requesthandler
 
 TIMER_LATE_MS = 3.0
 """A timer that fires this late was held up by this process: answers may wait in
 its sockets, and are read before time is said to have passed."""
 
 
-class Running:
+class RequestRun:
     """One request in progress."""
 
     def __init__(
         self,
-        owner: "serving.Serving",
-        query: received.Request,
+        owner: "requesthandler.RequestHandler",
+        query: inbound.Request,
         *,
         may_have_run: bool = False,
         awaits_grant: bool = False,
@@ -46,15 +46,19 @@
             may_have_run: Whether a neighbour may have run some of it.
             awaits_grant: Whether its sender may still take it back.
         """
-        exchange, facts, found = query.exchange, query.facts, query.found
+        exchange, facts, found = (
+            query.exchange,
+            query.metadata,
+            query.route_match,
+        )
         self._owner = owner
         self._exchange = exchange
         self._facts = facts
         self._route = found.route
-        self._version = owner.beliefs.version
+        self._version = owner.view.version
         self._now_ms = clock.now_ms()
         received_ms = exchange.request.received_ms
-        self._spent_ms = query.spent_ms
+        self._spent_ms = query.caller_spent_ms
         self._wait_ms = found.route.timeout_ms
         if facts.deadline_ms is not None:
             self._wait_ms = min(self._wait_ms, facts.deadline_ms)
@@ -63,21 +67,23 @@
             if facts.deadline_ms is not None
             else found.route.timeout_ms
         )
-        self._ask = callcommand.Ask(
+        self._ask = callcommand.PlanRequest(
             route=found.route,
             services=found.services,
             goal_at_ms=query.goal_at_ms(self._now_ms),
-            ends_at_ms=received_ms + self._wait_ms,
+            deadline_at_ms=received_ms + self._wait_ms,
             may_have_run=may_have_run,
             awaits_grant=awaits_grant,
             fingerprint=query.fingerprint,
         )
-        self._plan = callplan.CallPlan(self._ask, owner.knowledge, self._now_ms)
+        self._plan = callplan.CallPlan(
+            self._ask, owner.plan_context, self._now_ms
+        )
         self.fingerprint = query.fingerprint
-        self._common = headers.forwarded(exchange.request)
+        self._common = headers.forwarded_request(exchange.request)
         self._calls: dict[int, pool.Call] = {}
         self._traces: dict[int, calltrace.Trace] = {}
-        self._relayed: list[relaying.Relayed] = []
+        self._relayed: list[callrelay.PendingRelay] = []
         match found.route.target:
             case traffic.AllShards(top_count=top_count):
                 self._top_count = top_count
@@ -91,8 +97,8 @@
 
     def start(self) -> None:
         """Sends the first calls."""
-        self._owner.running.add(self)
-        self._exchange.on_left = self._left
+        self._owner.active_runs.add(self)
+        self._exchange.on_abandoned = self._left
         self._carry(self._plan.start(self._now_ms))
 
     def _carry(self, commands: list[callcommand.Command]) -> None:
@@ -119,9 +125,9 @@
                 upstream_id=each.upstream.upstream_id,
                 service=each.upstream.service,
                 sent_ms=self._now_ms,
-                extra=each.extra,
+                extra=each.extra_reason,
             )
-            if each.extra:
+            if each.extra_reason:
                 self._log_extra(each)
             domain = each.upstream.failure_domain
             if self._is_for_others(each):
@@ -145,55 +151,55 @@
         """
         return (
             self._may_relay
-            and each.must_cross
-            and not each.careful
-            and self._owner.is_far(each.upstream.failure_domain)
+            and each.cross_domain_only
+            and not each.is_probe
+            and self._owner.can_relay_to(each.upstream.failure_domain)
         )
 
     def _relay(self, domain: str, calls: list[callcommand.Send]) -> None:
-        peer = self._owner.relaying.gatherer(domain)
+        peer = self._owner.call_relay.choose_gatherer(domain)
         if peer is None:
             for each in calls:
                 self._send(each)
             return
         for each in calls:
             self._traces[each.call_id].gatherer_id = peer.instance_id
-        query = relaying.Query(
+        query = callrelay.Query(
             request_id=self._facts.request_id,
             route_name=self._route.name,
             top_count=self._top_count,
             fingerprint=self.fingerprint,
-            common=self._common,
+            forwarded=self._common,
             deadline_at_ms=self._deadline_at_ms,
             goal_at_ms=self._ask.goal_at_ms,
-            sink=self._on_relayed,
+            on_outcomes=self._on_relayed,
         )
-        relayed = self._owner.relaying.relay(peer, query, calls)
+        relayed = self._owner.call_relay.relay(peer, query, calls)
         self._relayed.append(relayed)
         call_ids = [each.call_id for each in calls]
-        self._plan.note_relayed(call_ids, relayed.overdue_ms)
+        self._plan.record_relayed(call_ids, relayed.overdue_at_ms)
 
     def _send(self, command: callcommand.Send) -> None:
         upstream = command.upstream
         call_id = command.call_id
         job = pool.Job(
             upstream=upstream,
-            data=lambda: self._data(call_id, upstream),
+            build_request=lambda: self._data(call_id, upstream),
             request_id=self._facts.request_id,
-            to_head=self._exchange.request.method == b"HEAD",
-            once=command.careful or not self._route.idempotent,
-            proven=bool(command.extra),
-            sink=lambda outcome: self._on_outcome(call_id, outcome),
+            is_head=self._exchange.request.method == b"HEAD",
+            needs_new_connection=command.is_probe or not self._route.idempotent,
+            needs_recent_connection=bool(command.extra_reason),
+            on_outcome=lambda outcome: self._on_outcome(call_id, outcome),
             fingerprint=self.fingerprint,
         )
         limit_count = self._owner.connection_limit_count(upstream)
-        call = self._owner.beliefs.pools.call(job, limit_count)
+        call = self._owner.view.pools.call(job, limit_count)
         self._calls[call_id] = call
         if call.connection is None:
-            self._plan.calls.note_waiting(call_id)
+            self._plan.calls.mark_unsent(call_id)
 
     def _data(self, call_id: int, upstream: traffic.Upstream) -> bytes:
-        self._plan.calls.note_sent(call_id)
+        self._plan.calls.mark_sent(call_id)
         remaining_ms = self._deadline_at_ms - clock.now_ms()
         return headers.upstream_request(self._common, upstream, remaining_ms)
 
@@ -208,16 +214,16 @@
         trace = self._traces[call_id]
         trace.outcome = outcome
         trace.took_ms = clock.now_ms() - trace.sent_ms
-        answered = outcome == callcommand.Kind.ANSWERED.value
-        self._owner.metrics.note_call(
+        answered = outcome == callcommand.OutcomeKind.ANSWERED.value
+        self._owner.metrics.record_call(
             trace.service, outcome, trace.took_ms if answered else None
         )
 
-    def _on_outcome(self, call_id: int, outcome: upstreamside.Outcome) -> None:
+    def _on_outcome(self, call_id: int, outcome: httpclient.Outcome) -> None:
         self._now_ms = clock.now_ms()
         self._calls.pop(call_id, None)
         if isinstance(outcome, message.Reply):
-            self._owner.note_reply(self._route.name, outcome)
+            self._owner.record_reply(self._route.name, outcome)
         read = headers.call_outcome(outcome, self._top_count is not None)
         self._note_outcome(call_id, read)
         self._carry(self._plan.on_outcome(call_id, read, self._now_ms))
@@ -244,13 +250,13 @@
             if self._traces[call_id].outcome == calltrace.OPEN:
                 self._note_outcome(call_id, read)
             commands.extend(self._plan.on_outcome(call_id, read, self._now_ms))
-        commands.extend(self._plan.on_dried_up(waiting, self._now_ms))
+        commands.extend(self._plan.on_stalled(waiting, self._now_ms))
         self._carry(commands)
 
     def _arm(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._due_ms = max(self._now_ms, self._plan.next_time_ms())
+        self._due_ms = max(self._now_ms, self._plan.next_deadline_ms())
         self._wake_after(self._due_ms - self._now_ms)
 
     def _wake_after(self, wait_ms: float) -> None:
@@ -265,28 +271,28 @@
             self._wake_after(0.0)
             return
         for each in self._relayed:
-            each.note_time(self._now_ms)
-        self._carry(self._plan.on_time(self._now_ms))
+            each.check_overdue(self._now_ms)
+        self._carry(self._plan.on_timeout(self._now_ms))
 
-    def note_granted(self) -> None:
+    def on_attempts_granted(self) -> None:
         """Takes that the sender will not take the request back."""
         self._now_ms = clock.now_ms()
-        self._carry(self._plan.on_granted(self._now_ms))
+        self._carry(self._plan.on_attempts_granted(self._now_ms))
 
-    def note_cut(self) -> None:
+    def on_partition(self) -> None:
         """Gives up on other failure domains."""
         self._now_ms = clock.now_ms()
-        self._carry(self._plan.on_cut(self._now_ms))
+        self._carry(self._plan.on_partition(self._now_ms))
 
-    def note_blocked(self) -> None:
+    def on_quarantined(self) -> None:
         """Gives up a request that was found to crash upstreams."""
         self._now_ms = clock.now_ms()
-        self._carry(self._plan.on_blocked(self._now_ms))
+        self._carry(self._plan.on_quarantined(self._now_ms))
 
     def _left(self) -> None:
         """Cancels everything: nobody waits for the answer."""
         self._now_ms = clock.now_ms()
-        self._carry(self._plan.abandon(self._now_ms))
+        self._carry(self._plan.on_caller_left(self._now_ms))
         self._end(0, "caller_left")
 
     def _finish(self, result: callcommand.Result) -> None:
@@ -294,26 +300,28 @@
             case callcommand.Answer(replies=replies, part_count=part_count):
                 reply = self._answer(replies, part_count)
                 detail = f"{len(replies)}/{part_count}"
-                self._owner.metrics.parts_left_out.add(
+                self._owner.metrics.missing_parts.add(
                     {"route": self._route.name}, part_count - len(replies)
                 )
             case callcommand.Refuse(reason=detail):
                 status = http.HTTPStatus.SERVICE_UNAVAILABLE
-                wait_ms = self._owner.comeback_ms(detail)
-                reply = message.problem(status, detail, wait_ms)
+                wait_ms = self._owner.retry_delay_ms(detail)
+                reply = message.problem_reply(status, detail, wait_ms)
             case callcommand.Fail(
                 reason=detail, reply=message.Reply() as failure
             ):
                 reply = headers.single_reply(failure)
             case callcommand.Fail(reason=detail, timed_out=timed_out):
                 if detail == callresult.CRASHES_UPSTREAMS:
-                    self._owner.metrics.suspicions.inc({"what": "refused"})
+                    self._owner.metrics.suspicion_events.inc(
+                        {"what": "refused"}
+                    )
                 status = (
                     http.HTTPStatus.GATEWAY_TIMEOUT
                     if timed_out
                     else http.HTTPStatus.BAD_GATEWAY
                 )
-                reply = message.problem(status, detail)
+                reply = message.problem_reply(status, detail)
         self._exchange.answer(reply)
         self._note_late(result)
         self._end(reply.status, detail)
@@ -325,7 +333,7 @@
             case callcommand.Answer(replies=replies, part_count=part_count) if (
                 len(replies) < part_count and decided_ms >= goal_at_ms
             ):
-                self._owner.note_late(clock.now_ms() - goal_at_ms)
+                self._owner.record_lateness(clock.now_ms() - goal_at_ms)
 
     def _answer(
         self, replies: tuple[message.Reply, ...], part_count: int
@@ -343,9 +351,9 @@
     def _end(self, status: int, detail: str) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._owner.running.discard(self)
+        self._owner.active_runs.discard(self)
         for each in self._relayed:
-            each.leave()
+            each.cancel()
         now_ms = clock.now_ms()
         started_ms = self._exchange.request.received_ms
         self._count(status, now_ms - started_ms)
@@ -360,38 +368,40 @@
             wait_ms=self._wait_ms,
             spent_ms=round(self._spent_ms, 1),
             version=self._version,
-            version_age_ms=round(now_ms - self._owner.beliefs.config_ms),
-            list_age_ms=round(now_ms - self._owner.beliefs.listed_ms),
+            version_age_ms=round(now_ms - self._owner.view.config_applied_ms),
+            list_age_ms=round(now_ms - self._owner.view.list_read_ms),
             attempts_count=self._plan.attempts.limit_count,
-            widest_count=self._plan.widest_count,
-            calls=[each.text(started_ms) for each in self._traces.values()],
+            widest_count=self._plan.max_reached_count,
+            calls=[each.describe(started_ms) for each in self._traces.values()],
             **self._named(),
         )
 
     def _named(self) -> dict[str, str]:
         """Returns where to find a request under which upstreams ended."""
-        if not self._plan.caution.ending_count:
+        if not self._plan.caution.crash_count:
             return {}
-        return calltrace.named(self._facts.host, self._exchange.request.target)
+        return calltrace.target_fields(
+            self._facts.host, self._exchange.request.target
+        )
 
     def _count(self, status: int, took_ms: float) -> None:
         counted = self._owner.metrics
         labels = {"route": self._route.name}
         counted.requests.inc({**labels, "status": str(status)})
         counted.request_ms.observe(labels, took_ms)
-        if self._plan.widest_count >= self._plan.attempts.limit_count:
-            counted.requests_at_limit.inc(labels)
+        if self._plan.max_reached_count >= self._plan.attempts.limit_count:
+            counted.requests_at_attempt_limit.inc(labels)
 
     def _log_extra(self, command: callcommand.Send) -> None:
         self._owner.metrics.extra_calls.inc(
-            {"service": command.upstream.service, "why": command.extra}
+            {"service": command.upstream.service, "why": command.extra_reason}
         )
         log.write(
             log.Event.CALL_EXTRA,
             request_id=self._facts.request_id.decode("latin-1"),
             upstream=command.upstream.upstream_id,
             service=command.upstream.service,
-            why=command.extra,
+            why=command.extra_reason,
             after_ms=round(self._now_ms - self._exchange.request.received_ms),
         )
 
--- a/hyssoptack/gateway/restarted_test.py
+++ b/hyssoptack/gateway/restarted_test.py
@@ -3,11 +3,11 @@
 import asyncio
 import random
 
+from hyssoptack.core import gatewaymessage
 from hyssoptack.core import member
-from hyssoptack.core import notice
+from hyssoptack.gateway import callrelay
 from hyssoptack.gateway import gateway_test
 from hyssoptack.gateway import harness
-from hyssoptack.gateway import relaying
 from hyssoptack.platform import headers
 from hyssoptack.policy import callcommand
 from hyssoptack.policy import callplan_test
@@ -27,7 +27,7 @@
     async with asyncio.timeout(WAIT_S):
         while not ready():
             await asyncio.sleep(0.05)
-    narrow._delegating.known.note_reply("route-0", REPLY_BYTES)
+    narrow._delegating.selector.record_reply_size("route-0", REPLY_BYTES)
 
 
 async def _stamps(site, request_id):
@@ -41,7 +41,7 @@
     """Kills the narrow instance with a query under way and starts it again."""
     address = site.settings["narrow"].peer_address
     for each in site.services.values():
-        each.manners.delay_ms = WORK_MS
+        each.behaviour.delay_ms = WORK_MS
     lost = asyncio.create_task(
         site.get("/all/x", "r1", deadline_ms=8_000, name="narrow")
     )
@@ -49,7 +49,7 @@
     site.kill("narrow")
     lost.cancel()
     for each in site.services.values():
-        each.manners.delay_ms = 0.0
+        each.behaviour.delay_ms = 0.0
     narrow = await site.start("narrow", link_mbps=0.5, peer_address=address)
     await _ready(site, narrow, lambda: ready(narrow))
 
@@ -64,19 +64,19 @@
             await site.start("wide", link_mbps=1_000.0)
 
             def knows(each):
-                return bool(each.readers.neighbours())
+                return bool(each.reader_election.neighbours())
 
             await _ready(site, narrow, lambda: knows(narrow))
             await _restart(site, knows)
-            assert site.gateways["wide"]._serving.running
+            assert site.gateways["wide"]._serving.active_runs
             assert await _stamps(site, "r2") == (200, {"r2"})
 
     asyncio.run(test())
 
 
 def _relaying(sent):
-    return relaying.Relaying(
-        gatherers.Gatherers(random.Random()),
+    return callrelay.CallRelay(
+        gatherers.GathererSelector(random.Random()),
         "n:1",
         lambda _, each: sent.append(each),
         enabled=True,
@@ -84,15 +84,15 @@
 
 
 def _relay(owner, sink):
-    query = relaying.Query(
+    query = callrelay.Query(
         request_id=b"r",
         route_name="r",
         top_count=5,
         fingerprint="",
-        common=headers.Forwarded(head=b"", body=b""),
+        forwarded=headers.ForwardedRequest(head=b"", body=b""),
         deadline_at_ms=1_000.0,
         goal_at_ms=100.0,
-        sink=sink,
+        on_outcomes=sink,
     )
     call = callcommand.Send(call_id=1, upstream=callplan_test.upstream("u"))
     owner.relay(GATHERER, query, [call])
@@ -103,10 +103,10 @@
     _relay(_relaying(asked), lambda *_: None)
     after = _relaying(asked)
     _relay(after, lambda outcomes, _: taken.append(outcomes))
-    part = notice.RelayedOutcome(
+    part = gatewaymessage.RelayedOutcome(
         call_id=1, kind="answered", reason="", reached=True
     )
-    batch = notice.RelayBatch(
+    batch = gatewaymessage.RelayBatch(
         sender_address=GATHERER.address,
         ask_id=asked[0].ask_id,
         outcomes=(part,),
--- a/hyssoptack/gateway/following.py
+++ b/hyssoptack/gateway/storewatch.py
@@ -1,6 +1,6 @@
 """Keeps the beliefs up to date from the platform's store.
 
-Few instances read; the others hear from them (`policy.readership`).
+Few instances read; the others hear from them (`policy.readerelection`).
 """
 
 import asyncio
@@ -17,15 +17,15 @@
 from hyssoptack.core import position
 from hyssoptack.core import traffic
 from hyssoptack.events import log
-from hyssoptack.gateway import beliefs
 from hyssoptack.gateway import peering
+from hyssoptack.gateway import replicatedview
 from hyssoptack.http1 import message
 from hyssoptack.platform import keyvalue
-from hyssoptack.platform import wire
+from hyssoptack.platform import storeformat
 from hyssoptack.policy import backoff
 from hyssoptack.policy import evacuation
 from hyssoptack.policy import gatherers
-from hyssoptack.policy import readership
+from hyssoptack.policy import readerelection
 from hyssoptack.settings import gateway
 
 LAPSE_MIN_MS = 2_000.0
@@ -66,13 +66,13 @@
 """Told of all that instances of ours have stored, each time it was read."""
 
 
-class Follower:
+class StoreWatcher:
     """Tasks that follow the store for as long as the instance runs."""
 
     def __init__(
         self,
         settings: gateway.GatewaySettings,
-        believed: beliefs.Beliefs,
+        believed: replicatedview.ReplicatedView,
         store: keyvalue.Client,
         peers: peering.Peering,
         on_instances: peering.OnInstances,
@@ -84,7 +84,7 @@
         self._peers = peers
         self._on_instances = on_instances
         self._on_stored = on_stored
-        self._readers = peers.readers
+        self._readers = peers.reader_election
         self._random = random.Random()
         self._lost_since_ms: float | None = None
         # The first reading may be a little old: when all instances start at
@@ -96,47 +96,50 @@
 
     # The list of upstreams.
 
-    async def follow_list(self) -> None:
+    async def poll_upstreams(self) -> None:
         """Reads the list of upstreams while nobody else does."""
         failure_count = 0
         while True:
             await self._wait_for_turn()
-            exact = self._read_count % readership.EXACT_READ_COUNT == 0
+            exact = (
+                self._read_count % readerelection.READS_PER_EXACT_READ_COUNT
+                == 0
+            )
             self._read_count += 1
             asked_ms = clock.now_ms()
-            result = await self._store.list(
-                wire.UPSTREAM_PREFIX,
-                stale=not exact,
-                timeout_ms=self._readers.pace.list_timeout_ms,
+            result = await self._store.read_range(
+                storeformat.UPSTREAM_PREFIX,
+                allow_stale=not exact,
+                timeout_ms=self._readers.read_timings.list_timeout_ms,
             )
             match result:
                 case expression.Result(tag="ok", ok=listing):
                     failure_count = 0
-                    self._readers.read(asked_ms, exact)
+                    self._readers.record_read(asked_ms, exact)
                     self._note_back()
                     self._take_list(listing)
                     self._beliefs.apply_evacuations("time", clock.now_ms())
-                    self._peers.tell()
+                    self._peers.publish_view()
                     await self._pause(self._list_pause_ms(clock.now_ms()))
                 case expression.Result(error=failure):
                     failure_count += 1
                     self._read_count = 0
-                    self._readers.read_failed()
+                    self._readers.record_read_failure()
                     self._note_lost(failure)
                     await self._pause(RETRY.wait_ms(failure_count))
 
     def _list_pause_ms(self, now_ms: float) -> float:
         """Returns when to read again: no later than the grace's end."""
-        grace_ms = self._beliefs.grace_ms(now_ms)
+        grace_ms = self._beliefs.remaining_grace_ms(now_ms)
         if not grace_ms:
-            return self._readers.pace.list_period_ms
+            return self._readers.read_timings.list_period_ms
         # The next reading has to be an exact one.
         self._read_count = 0
-        period_ms = self._readers.pace.list_period_ms
+        period_ms = self._readers.read_timings.list_period_ms
         return min(period_ms, grace_ms + GRACE_SLACK_MS)
 
     async def _wait_for_turn(self) -> None:
-        while wait_ms := self._readers.wait_ms(clock.now_ms()):
+        while wait_ms := self._readers.read_delay_ms(clock.now_ms()):
             self._read_count = 0
             await asyncio.sleep(wait_ms / message.MS_PER_S)
 
@@ -144,7 +147,7 @@
         listed: dict[str, traffic.Upstream] = {}
         unreadable: dict[str, str] = {}
         for item in listing.items:
-            match wire.upstream(item.key, item.value):
+            match storeformat.parse_upstream(item.key, item.value):
                 case expression.Result(tag="ok", ok=upstream):
                     cold_ms = min(max(0.0, upstream.cold_ms), COLD_MAX_MS)
                     if cold_ms != upstream.cold_ms:
@@ -156,7 +159,7 @@
                 case expression.Result(error=detail):
                     unreadable[item.key] = detail
         self._note_unreadable(unreadable)
-        self._beliefs.take_list(listed, listing.store_revision, clock.now_ms())
+        self._beliefs.apply_list(listed, listing.store_revision, clock.now_ms())
 
     def _note_unreadable(self, unreadable: dict[str, str]) -> None:
         """Logs entries that can't be used, each once for each reason."""
@@ -172,7 +175,7 @@
 
     # The configuration.
 
-    async def follow_configuration(self) -> None:
+    async def watch_configuration(self) -> None:
         """Reads the configuration, then watches it, while nobody else does."""
         failure_count = 0
         revision: int | None = None
@@ -180,7 +183,9 @@
         # watch from its revision, or a neighbour's word, brings what is newer.
         stale = True
         while True:
-            if self._beliefs.version and self._readers.wait_ms(clock.now_ms()):
+            if self._beliefs.version and self._readers.read_delay_ms(
+                clock.now_ms()
+            ):
                 await self._wait_for_turn()
                 revision = None
             if revision is None:
@@ -205,14 +210,18 @@
     async def _read_configuration(
         self, stale: bool
     ) -> expression.Result[int, keyvalue.Failure]:
-        result = await self._store.list(wire.OPERATOR_PREFIX, stale)
+        result = await self._store.read_range(
+            storeformat.OPERATOR_PREFIX, stale
+        )
         return result.map(self._take_operators_keys)
 
     async def _watch_configuration(
         self, revision: int
     ) -> expression.Result[int, keyvalue.Failure]:
         result = await self._store.watch(
-            wire.OPERATOR_PREFIX, revision, self._readers.pace.watch_ms
+            storeformat.OPERATOR_PREFIX,
+            revision,
+            self._readers.read_timings.watch_ms,
         )
         return result.map(self._take_operators_changes)
 
@@ -223,37 +232,37 @@
             for item in found.items
             if (domain := self._evacuated_domain(item)) is not None
         )
-        evacuated = self._beliefs.take_evacuations(
+        evacuated = self._beliefs.replace_evacuations(
             domains, found.position, "store", clock.now_ms()
         )
         configured = self._take_configurations(found.items, "store")
         if evacuated or configured:
-            self._peers.tell()
+            self._peers.publish_view()
         return found.store_revision
 
     def _take_operators_changes(self, found: keyvalue.Changes) -> int:
         """Takes what operators have changed; returns the revision reached."""
         changes = [
-            evacuation.Change(
+            evacuation.EvacuationChange(
                 failure_domain=domain,
                 ended=item.removed,
-                at=position.Position(found.era, item.revision),
+                store_position=position.Position(found.era, item.revision),
             )
             for item in found.events
             if (domain := self._evacuated_domain(item)) is not None
         ]
-        self._beliefs.evacuations.take_changes(changes, found.position)
+        self._beliefs.evacuations.apply_changes(changes, found.position)
         evacuated = self._beliefs.apply_evacuations("watch", clock.now_ms())
         configured = self._take_configurations(found.events, "watch")
         if evacuated or configured:
-            self._peers.tell()
+            self._peers.publish_view()
         return found.current_rev
 
     def _evacuated_domain(self, item: keyvalue.Item) -> str | None:
         """Returns the domain that a key evacuates; logs an unknown key once."""
-        domain = wire.evacuated_domain(item.key)
+        domain = storeformat.evacuated_domain(item.key)
         known = domain in self._settings.failure_domains
-        if item.key != wire.CONFIGURATION_KEY and not known:
+        if item.key != storeformat.CONFIGURATION_KEY and not known:
             self._note_ignored(item.key)
         return domain
 
@@ -272,20 +281,20 @@
         taken = [
             self._take_configuration(item.value, source)
             for item in items
-            if item.key == wire.CONFIGURATION_KEY and not item.removed
+            if item.key == storeformat.CONFIGURATION_KEY and not item.removed
         ]
         return any(taken)
 
     def _take_configuration(self, value: bytes, source: str) -> bool:
         """Takes a configuration as stored; tells whether it is now in force."""
-        match wire.configuration(value):
+        match storeformat.parse_configuration(value):
             case expression.Result(tag="ok", ok=offered):
                 now_ms = clock.now_ms()
-                taken = self._beliefs.take_configuration(
+                taken = self._beliefs.apply_configuration(
                     offered, source, now_ms
                 )
                 if taken:
-                    self._peers.keep_configuration(value)
+                    self._peers.cache_configuration(value)
                 return taken
             case expression.Result(error=detail):
                 log.write(log.Event.CONFIG_REFUSED, errors=[detail])
@@ -293,7 +302,7 @@
 
     # The list of instances.
 
-    async def stay_listed(self) -> None:
+    async def maintain_registration(self) -> None:
         """Keeps the own entry in the list of instances."""
         lease: int | None = None
         failure_count = 0
@@ -310,10 +319,10 @@
                 await self._pause(self._lease_ms / KEEPS_PER_LEASE_COUNT)
 
     async def _enter(self) -> int | None:
-        granted = await self._store.grant(self._lease_ms)
+        granted = await self._store.grant_lease(self._lease_ms)
         match granted:
             case expression.Result(tag="ok", ok=lease):
-                key = wire.PEER_PREFIX + self._settings.instance_id
+                key = storeformat.PEER_PREFIX + self._settings.instance_id
                 written = await self._store.put(key, self._entry(), lease)
                 return lease if written.is_ok() else None
             case _:
@@ -331,17 +340,17 @@
 
     async def _renew(self, lease: int) -> bool:
         """Renews a lease; tells whether it may still hold."""
-        match await self._store.keep(lease):
+        match await self._store.renew_lease(lease):
             case expression.Result(
                 tag="error",
-                error=keyvalue.Failure(trouble=keyvalue.Trouble.NO_LEASE),
+                error=keyvalue.Failure(kind=keyvalue.FailureKind.NO_LEASE),
             ):
                 return False
             case _:
                 # A failed call may have renewed it; the next one will tell.
                 return True
 
-    async def follow_instances(self) -> None:
+    async def poll_instances(self) -> None:
         """Reads the list of instances while this one reads for others."""
         pauses_ms = itertools.chain(
             PEERS_FIRST_MS, itertools.repeat(PEERS_PERIOD_MS)
@@ -349,11 +358,13 @@
         for pause_ms in pauses_ms:
             await self._pause(pause_ms)
             await self._wait_for_turn()
-            result = await self._store.list(wire.OWN_PREFIX, stale=True)
+            result = await self._store.read_range(
+                storeformat.OWN_PREFIX, allow_stale=True
+            )
             match result:
                 case expression.Result(tag="ok", ok=listing):
                     self._take_instances(listing.items)
-                    self._peers.tell()
+                    self._peers.publish_view()
                     await self._on_stored(listing.items)
                 case expression.Result(error=failure):
                     self._note_lost(failure)
@@ -361,7 +372,7 @@
     def _take_instances(self, items: list[keyvalue.Item]) -> None:
         peers: list[member.Peer] = []
         for item in items:
-            if not item.key.startswith(wire.PEER_PREFIX):
+            if not item.key.startswith(storeformat.PEER_PREFIX):
                 continue
             try:
                 peer = msgspec.json.decode(item.value, type=member.Peer)
@@ -374,22 +385,22 @@
             each for each in peers if each.failure_domain == domain
         )
         self._readers.install(neighbours, len(peers))
-        far = gatherers.chosen(peers, domain)
+        far = gatherers.select_gatherers(peers, domain)
         self._on_instances(far)
-        self._peers.tell_instances(neighbours, len(peers), far)
+        self._peers.publish_instances(neighbours, len(peers), far)
 
     # The store's reachability.
 
     def _note_lost(self, failure: keyvalue.Failure) -> None:
         if self._lost_since_ms is not None:
             return
-        if failure.trouble is keyvalue.Trouble.COMPACTED:
+        if failure.kind is keyvalue.FailureKind.COMPACTED:
             return
         self._lost_since_ms = clock.now_ms()
         log.write(
             log.Event.STORE_LOST,
             detail=failure.detail,
-            trouble=failure.trouble.value,
+            trouble=failure.kind.value,
             version=self._beliefs.version,
         )
 
@@ -399,9 +410,9 @@
         now_ms = clock.now_ms()
         lost_ms = now_ms - self._lost_since_ms
         self._lost_since_ms = None
-        list_age_ms = now_ms - self._beliefs.listed_ms
+        list_age_ms = now_ms - self._beliefs.list_read_ms
         if list_age_ms > LAPSE_MIN_MS:
-            self._beliefs.store_back_ms = now_ms
+            self._beliefs.store_recovered_ms = now_ms
         log.write(
             log.Event.STORE_BACK,
             lost_ms=round(lost_ms),
@@ -409,6 +420,6 @@
         )
 
     async def _pause(self, period_ms: float) -> None:
-        spread = readership.JITTER_RATIO
+        spread = readerelection.JITTER_RATIO
         jitter = self._random.uniform(1 - spread, 1 + spread)
         await asyncio.sleep(period_ms * jitter / message.MS_PER_S)
--- a/hyssoptack/gateway/following_test.py
+++ b/hyssoptack/gateway/storewatch_test.py
@@ -9,36 +9,42 @@
 import expression
 
 from hyssoptack.core import clock
-from hyssoptack.core import notice
+from hyssoptack.core import gatewaymessage
 from hyssoptack.events import log
-from hyssoptack.gateway import beliefs
-from hyssoptack.gateway import following
 from hyssoptack.gateway import peering
 from hyssoptack.gateway import pool
+from hyssoptack.gateway import replicatedview
+from hyssoptack.gateway import storewatch
 from hyssoptack.platform import keyvalue
 from hyssoptack.policy import callplan_test
-from hyssoptack.policy import listing
-from hyssoptack.policy import placing
-from hyssoptack.policy import readership
+from hyssoptack.policy import listdelta
+from hyssoptack.policy import loadbalancer
+from hyssoptack.policy import readerelection
 
 
 def follower(list_age_ms):
     """A follower that had lost the store, with a list of some age."""
     settings = types.SimpleNamespace(lease_ms=1_000.0, lease_min_ms=1_000.0)
-    placed = placing.Placing(
-        placing.PlacingSettings(failure_domain="north", crossing_ratio=1.5)
+    placed = loadbalancer.LoadBalancer(
+        loadbalancer.LoadBalancerSettings(
+            failure_domain="north", crossing_ratio=1.5
+        )
     )
-    believed = beliefs.Beliefs(
-        placing=placed, pools=pool.Pools(b""), on_configuration=lambda _: None
+    believed = replicatedview.ReplicatedView(
+        load_balancer=placed,
+        pools=pool.Pools(b""),
+        on_configuration=lambda _: None,
     )
-    readers = readership.Readership("g", "north", readership.pace(3_000.0))
-    peers = types.SimpleNamespace(readers=readers)
-    made = following.Follower(
+    readers = readerelection.ReaderElection(
+        "g", "north", readerelection.read_timings(3_000.0)
+    )
+    peers = types.SimpleNamespace(reader_election=readers)
+    made = storewatch.StoreWatcher(
         settings, believed, None, peers, lambda _: None, None
     )
     now_ms = clock.now_ms()
     listed = {"a": callplan_test.upstream("a")}
-    believed.take_list(listed, 1, now_ms - list_age_ms)
+    believed.apply_list(listed, 1, now_ms - list_age_ms)
     made._lost_since_ms = now_ms - 9_000.0
     return made, believed
 
@@ -49,7 +55,7 @@
     # told its neighbours so.
     made, believed = follower(list_age_ms=900.0)
     made._note_back()
-    believed.take_list({}, 2, clock.now_ms())
+    believed.apply_list({}, 2, clock.now_ms())
     assert not believed.upstreams
 
 
@@ -58,15 +64,15 @@
     peers = peering.Peering(
         made._settings, believed, made._readers, lambda: None, lambda: None
     )
-    history = listing.History()
-    history.put(upstreams)
-    made = notice.ViewNotice(
+    history = listdelta.ListHistory()
+    history.add(upstreams)
+    made = gatewaymessage.ViewNotice(
         sender_id="g2",
         sender_address="",
         version=0,
         configuration=b"",
         revision=2,
-        change=history.whole(),
+        change=history.full_change(),
         grace_ms=grace_ms,
         list_age_ms=list_age_ms,
     )
@@ -80,7 +86,7 @@
     made, believed = follower(list_age_ms=9_000.0)
     hear(made, believed, believed.upstreams, list_age_ms=7_000.0)
     made._note_back()
-    believed.take_list({}, 3, clock.now_ms())
+    believed.apply_list({}, 3, clock.now_ms())
     assert "a" in believed.upstreams
 
 
@@ -89,11 +95,18 @@
     # had lapsed and told its neighbours; one whose own answer came 10 ms later
     # took its list for one kept fresh, dropped 121 upstreams and said so.
     made, believed = follower(list_age_ms=5_000.0)
-    hear(made, believed, believed.upstreams, beliefs.RETURN_MS)
+    hear(
+        made,
+        believed,
+        believed.upstreams,
+        replicatedview.REREGISTRATION_GRACE_MS,
+    )
     made._note_back()
-    believed.take_list({}, 3, clock.now_ms())
+    believed.apply_list({}, 3, clock.now_ms())
     assert "a" in believed.upstreams
-    believed.take_list({}, 4, clock.now_ms() + beliefs.RETURN_MS + 1.0)
+    believed.apply_list(
+        {}, 4, clock.now_ms() + replicatedview.REREGISTRATION_GRACE_MS + 1.0
+    )
     assert not believed.upstreams
 
 
@@ -108,19 +121,19 @@
 def test_entries_that_lapsed_in_an_outage_are_kept_for_a_while():
     made, believed = follower(list_age_ms=9_000.0)
     made._note_back()
-    believed.take_list({}, 2, clock.now_ms())
+    believed.apply_list({}, 2, clock.now_ms())
     assert "a" in believed.upstreams
     pause_ms = made._list_pause_ms(clock.now_ms())
-    assert pause_ms <= beliefs.RETURN_MS
-    later_ms = clock.now_ms() + beliefs.RETURN_MS + 1.0
-    believed.take_list({}, 3, later_ms)
+    assert pause_ms <= replicatedview.REREGISTRATION_GRACE_MS
+    later_ms = clock.now_ms() + replicatedview.REREGISTRATION_GRACE_MS + 1.0
+    believed.apply_list({}, 3, later_ms)
     assert not believed.upstreams
 
 
 def test_a_reading_is_due_when_the_grace_ends():
     made, believed = follower(list_age_ms=9_000.0)
-    believed.store_back_ms = 1_000.0
-    ends_ms = 1_000.0 + beliefs.RETURN_MS
+    believed.store_recovered_ms = 1_000.0
+    ends_ms = 1_000.0 + replicatedview.REREGISTRATION_GRACE_MS
     assert made._list_pause_ms(ends_ms - 300.0) <= 310.0
     assert made._list_pause_ms(ends_ms + 1.0) == 1_000.0
 
@@ -132,20 +145,20 @@
         self.stale = []
         self._count = count
 
-    async def list(self, _prefix, stale=False, timeout_ms=0.0):
+    async def read_range(self, _prefix, allow_stale=False, timeout_ms=0.0):
         if len(self.stale) == self._count:
             raise asyncio.CancelledError
-        self.stale.append(stale)
+        self.stale.append(allow_stale)
         return expression.Ok(keyvalue.Listing(items=[], store_revision=1))
 
 
 def test_a_new_instances_first_reading_may_be_old_the_next_is_exact():
     made, _ = follower(list_age_ms=0.0)
     made._store = _Store(4)
-    made._peers.tell = lambda: None
-    made._readers.pace = readership.pace(0.0)
+    made._peers.publish_view = lambda: None
+    made._readers.read_timings = readerelection.read_timings(0.0)
     with contextlib.suppress(asyncio.CancelledError):
-        asyncio.run(made.follow_list())
+        asyncio.run(made.poll_upstreams())
     assert made._store.stale == [True, False, True, False]
 
 
@@ -154,7 +167,7 @@
     made._store = _Store(3)
     believed.pools = None
     with contextlib.suppress(asyncio.CancelledError):
-        asyncio.run(made.follow_configuration())
+        asyncio.run(made.watch_configuration())
     assert made._store.stale == [True, False, False]
 
 
@@ -164,23 +177,23 @@
     again = dataclasses.replace(
         callplan_test.upstream("a"), upstream_id="a#2", listed_id="a"
     )
-    believed.take_list({"a#2": again}, 2, clock.now_ms())
+    believed.apply_list({"a#2": again}, 2, clock.now_ms())
     assert set(believed.upstreams) == {"a#2"}
 
 
 def test_nothing_believed_of_the_one_before_holds_for_a_reborn_upstream():
     _, believed = follower(list_age_ms=0.0)
     now_ms = clock.now_ms()
-    placed = believed.placing
-    placed.sent("a", 0.0)
-    placed.unreachable("a", now_ms)
+    placed = believed.load_balancer
+    placed.begin_call("a", 0.0)
+    placed.record_connect_failure("a", now_ms)
     again = dataclasses.replace(
         callplan_test.upstream("a"), upstream_id="a#2", listed_id="a"
     )
-    believed.take_list({"a#2": again}, 2, now_ms)
-    placed.ended("a")
-    placed.answered("r", "a", 900.0, now_ms)
-    standing = placed.standings["a#2"]
+    believed.apply_list({"a#2": again}, 2, now_ms)
+    placed.end_call("a")
+    placed.record_answer("r", "a", 900.0, now_ms)
+    standing = placed.upstream_states["a#2"]
     assert standing.in_flight_count == 0
     assert standing.ejected_until_ms <= now_ms
     assert standing.slowness_ratio == 1.0
--- a/hyssoptack/gateway/warmup_test.py
+++ b/hyssoptack/gateway/warmup_test.py
@@ -21,10 +21,10 @@
     for name in ("g-1", "g-2"):
         await site.start(name, warmup=warmuplimits.WarmupLimits())
     await asyncio.sleep(SETTLED_S)
-    site.enter("cold", "desk", cold_ms=8_000.0)
+    site.put_upstream_entry("cold", "desk", cold_ms=8_000.0)
     async with asyncio.timeout(SETTLED_S):
         while not all(
-            each.beliefs.upstreams["cold"].cold_ms
+            each.view.upstreams["cold"].cold_ms
             for each in site.gateways.values()
         ):
             await asyncio.sleep(0.02)
@@ -46,9 +46,11 @@
     async def test():
         async with harness.Site() as site:
             await _cold_desk(site, warm=True)
-            before = len(site.services["cold"].heads)
+            before = len(site.services["cold"].request_heads)
             assert await _press(site, 30) == [200] * 30
-            assert len(site.services["cold"].heads) - before <= ALL_COUNT
+            assert (
+                len(site.services["cold"].request_heads) - before <= ALL_COUNT
+            )
 
     asyncio.run(test())
 
@@ -57,10 +59,10 @@
     async def test():
         async with harness.Site() as site:
             await _cold_desk(site, warm=False)
-            before = len(site.services["cold"].heads)
+            before = len(site.services["cold"].request_heads)
             statuses = await _press(site, 20)
             served = statuses.count(200)
-            assert len(site.services["cold"].heads) - before == served
+            assert len(site.services["cold"].request_heads) - before == served
             assert 0 < served <= ALL_COUNT
             assert statuses.count(503) == 20 - served
             runs = [site.run_count(f"r{index}") for index in range(20)]
--- a/hyssoptack/platform/headers.py
+++ b/hyssoptack/platform/headers.py
@@ -6,8 +6,8 @@
 import dataclasses
 
 from hyssoptack.core import traffic
+from hyssoptack.http1 import httpclient
 from hyssoptack.http1 import message
-from hyssoptack.http1 import upstreamside
 from hyssoptack.policy import callcommand
 
 READINESS_PATH = b"/hyssoptack/readiness"
@@ -25,12 +25,12 @@
 
 STATUS_MISDIRECTED = 421
 STATUS_BAD_GATEWAY = 502
-STATUS_PROMISES = frozenset((408, 421, 429, 503))
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 """With these a caller is told that its request has not run."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class CallerFacts:
+class RequestMetadata:
     """What a request says of itself besides its content.
 
     Attributes:
@@ -44,7 +44,7 @@
     host: str
 
 
-def caller_facts(request: message.Request) -> CallerFacts | str:
+def read_metadata(request: message.Request) -> RequestMetadata | str:
     """Reads a request's facts, or says what is wrong with them."""
     ids = request.values(REQUEST_ID)
     hosts = request.values(b"host")
@@ -58,7 +58,7 @@
     name = (
         host[0] if host[2].isdigit() and host[0] else hosts[0].decode("latin-1")
     )
-    return CallerFacts(
+    return RequestMetadata(
         request_id=ids[0], deadline_ms=_deadline(request), host=name
     )
 
@@ -76,7 +76,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Forwarded:
+class ForwardedRequest:
     """What all calls of one request have in common on the wire.
 
     Attributes:
@@ -88,19 +88,19 @@
     body: bytes
 
 
-def forwarded(request: message.Request) -> Forwarded:
+def forwarded_request(request: message.Request) -> ForwardedRequest:
     """Returns what goes to each upstream that a request is sent to."""
     head = message.request_head(
         request.method,
         request.target,
-        message.passed_on(request.headers, _OWN_HEADERS),
+        message.end_to_end_headers(request.headers, _OWN_HEADERS),
         len(request.body),
     )
-    return Forwarded(head=head, body=request.body)
+    return ForwardedRequest(head=head, body=request.body)
 
 
 def upstream_request(
-    common: Forwarded, upstream: traffic.Upstream, remaining_ms: float
+    common: ForwardedRequest, upstream: traffic.Upstream, remaining_ms: float
 ) -> bytes:
     """Returns a request as it goes to one upstream."""
     return b"%sX-Request-Deadline: %d\r\nX-Expected-Instance: %s\r\n\r\n%s" % (
@@ -112,33 +112,35 @@
 
 
 def call_outcome(
-    seen: upstreamside.Outcome, to_merge: bool
+    seen: httpclient.Outcome, is_part: bool
 ) -> callcommand.Outcome:
     """Reads what became of a call.
 
     Args:
         seen: What the connection saw of it.
-        to_merge: Whether its reply is to be part of a merged answer.
+        is_part: Whether its reply is to be part of a merged answer.
     """
     match seen:
-        case upstreamside.Broken(reason=reason, sent=False):
+        case httpclient.BrokenCall(reason=reason, sent=False):
             return callcommand.Outcome(
-                kind=callcommand.Kind.NOT_RUN, reason=reason, reached=False
+                kind=callcommand.OutcomeKind.NOT_RUN,
+                reason=reason,
+                reached=False,
             )
-        case upstreamside.Broken():
+        case httpclient.BrokenCall():
             return callcommand.Outcome(
-                kind=callcommand.Kind.FAILED,
+                kind=callcommand.OutcomeKind.FAILED,
                 reason=seen.reason,
-                ended=seen.ended,
-                alone=seen.alone,
+                upstream_exited=seen.upstream_exited,
+                was_only_call=seen.was_only_call,
             )
-        case message.Reply() if to_merge:
+        case message.Reply() if is_part:
             return part_outcome(seen)
         case message.Reply():
-            return outcome(seen)
+            return reply_outcome(seen)
 
 
-def outcome(reply: message.Reply) -> callcommand.Outcome:
+def reply_outcome(reply: message.Reply) -> callcommand.Outcome:
     """Reads what an upstream's reply says about the request.
 
     Args:
@@ -150,11 +152,13 @@
     """
     if reply.status == STATUS_MISDIRECTED:
         return callcommand.Outcome(
-            kind=callcommand.Kind.NOT_RUN, reply=reply, reason="other_upstream"
+            kind=callcommand.OutcomeKind.NOT_RUN,
+            reply=reply,
+            reason="other_upstream",
         )
     if reply.value(_NOT_RUN):
         return callcommand.Outcome(
-            kind=callcommand.Kind.SHED,
+            kind=callcommand.OutcomeKind.SHED,
             reply=reply,
             reason=f"shed_{reply.status}",
         )
@@ -164,11 +168,13 @@
         return _failed("encoded_reply")
     if success and not signed:
         return _failed("unsigned_success")
-    passable = signed and reply.status not in STATUS_PROMISES
+    passable = signed and reply.status not in NOT_RUN_STATUSES
     if success or (passable and 400 <= reply.status < 500):
-        return callcommand.Outcome(kind=callcommand.Kind.ANSWERED, reply=reply)
+        return callcommand.Outcome(
+            kind=callcommand.OutcomeKind.ANSWERED, reply=reply
+        )
     return callcommand.Outcome(
-        kind=callcommand.Kind.FAILED,
+        kind=callcommand.OutcomeKind.FAILED,
         reply=reply if passable else None,
         reason=f"status_{reply.status}",
     )
@@ -179,13 +185,13 @@
 
     A failure is no part, even where it would do as an answer of its own.
     """
-    read = outcome(reply)
-    if read.kind is callcommand.Kind.ANSWERED and reply.status != 200:
+    read = reply_outcome(reply)
+    if read.kind is callcommand.OutcomeKind.ANSWERED and reply.status != 200:
         return _failed(f"status_{reply.status}")
     return read
 
 
-def parts_are_missing(reply: message.Reply) -> bool:
+def has_missing_parts(reply: message.Reply) -> bool:
     """Whether a merged answer leaves shards out."""
     return reply.value(_MISSING.lower()) not in (b"", b"0")
 
@@ -206,12 +212,14 @@
 
 
 def _failed(reason: str) -> callcommand.Outcome:
-    return callcommand.Outcome(kind=callcommand.Kind.FAILED, reason=reason)
+    return callcommand.Outcome(
+        kind=callcommand.OutcomeKind.FAILED, reason=reason
+    )
 
 
 def single_reply(reply: message.Reply) -> message.Reply:
     """Returns an upstream's reply as the caller gets it."""
-    headers = message.passed_on(reply.headers, frozenset())
+    headers = message.end_to_end_headers(reply.headers, frozenset())
     return message.Reply(
         status=reply.status, headers=tuple(headers), body=reply.body
     )
--- a/hyssoptack/policy/example.py
+++ b/hyssoptack/policy/example.py
@@ -74,10 +74,10 @@
 
 def knowledge(
     current: catalog.Service,
-    hedges: hedging.Hedging | None = None,
-) -> queryplan.Knowledge:
+    hedges: hedging.HedgePolicy | None = None,
+) -> queryplan.QueryPlanContext:
     """Returns what a fresh instance of three domains knows of a service."""
-    upstream_health = health.Health()
+    upstream_health = health.HealthTracker()
     router = routing.Router(OWN_ID, upstream_health)
     members = {
         f"{domain}-{number}": member.Member(
@@ -91,13 +91,13 @@
         for number in (1, 2, 3)
     }
     router.install(
-        routing.View(
+        routing.RoutingView(
             catalog=catalog.Catalog(
                 revision=1,
                 profiles={"dawn": profile()},
                 services={current.name: current},
             ),
-            assumed={
+            recently_seen={
                 domain: tuple(f"{domain}-{number}" for number in (1, 2, 3))
                 for domain in DOMAINS
             },
@@ -107,16 +107,18 @@
         )
     )
     services = {current.name: current}
-    return queryplan.Knowledge(
+    return queryplan.QueryPlanContext(
         router=router,
         upstream_health=upstream_health,
-        budgets=budget.Book(),
-        hedges=hedges or hedging.HedgeAfterQuantile(),
+        retry_budgets=budget.ServiceBudgets(),
+        hedge_policy=hedges or hedging.HedgeAfterQuantile(),
         current_service=services.get,
     )
 
 
-def asked(service_name: str = "oven-kiosk", number: int = 1) -> query.Query:
+def browsing_query(
+    service_name: str = "oven-kiosk", number: int = 1
+) -> query.Query:
     """Returns a browsing query with the profile's deadline."""
     return query.Query(
         query_id=f"q{number}",
@@ -128,26 +130,26 @@
     )
 
 
-def answer_to(
-    ask: querycommand.Ask,
+def answer_reply(
+    ask: querycommand.Send,
     current: catalog.Service,
     version: int = 1,
-    held: tuple[int, ...] = (1,),
+    held_versions: tuple[int, ...] = (1,),
     service_ms: float = 5.0,
 ) -> message.UpstreamReply:
     """Returns an upstream's whole answer to an ask."""
     shard = next(
         each
         for each in current.shards
-        if ask.lane.upstream_id in each.upstream_ids
+        if ask.path.upstream_id in each.upstream_ids
     )
     hit = query.Hit(shard.key_range.low, 1.0, f"{shard.shard_id} [v{version}]")
     return message.UpstreamReply(
         call_id=ask.call_id,
-        upstream_id=ask.lane.upstream_id,
+        upstream_id=ask.path.upstream_id,
         status=message.CallStatus.ANSWERED,
         index_version=version,
-        held_versions=held,
+        held_versions=held_versions,
         key_range=shard.key_range,
         hits=(hit,),
         service_ms=service_ms,
@@ -155,18 +157,18 @@
     )
 
 
-def failure_of(
-    ask: querycommand.Ask,
+def failure_reply(
+    ask: querycommand.Send,
     status: message.CallStatus,
-    held: tuple[int, ...] = (),
+    held_versions: tuple[int, ...] = (),
     reached: bool = True,
 ) -> message.UpstreamReply:
     """Returns a reply without an answer."""
     return message.UpstreamReply(
         call_id=ask.call_id,
-        upstream_id=ask.lane.upstream_id,
+        upstream_id=ask.path.upstream_id,
         status=status,
-        held_versions=held,
+        held_versions=held_versions,
         reached_upstream=reached,
         service_ms=5.0,
     )
--- a/hyssoptack/policy/routetable_test.py
+++ b/hyssoptack/policy/routetable_test.py
@@ -13,8 +13,8 @@
         prefix=prefix,
         idempotent=True,
         timeout_ms=1_000.0,
-        goal_ms=100.0,
-        rank=0,
+        latency_goal_ms=100.0,
+        priority=0,
         max_attempts_count=2,
         target=target,
     )
@@ -36,13 +36,13 @@
     found = table(route("r", "/a/", ONE), route("s", "/a/b/", TWO))
     assert found.find("A.example", "/a/b/c").services == ("two",)
     assert found.find("a.example", "/a/c").services == ("one",)
-    assert found.find("a.example", "/ab") is routetable.Miss.NO_ROUTE
-    assert found.find("b.example", "/a/c") is routetable.Miss.NO_ROUTE
+    assert found.find("a.example", "/ab") is routetable.RouteMiss.NO_ROUTE
+    assert found.find("b.example", "/a/c") is routetable.RouteMiss.NO_ROUTE
 
 
 def test_without_a_configuration_nothing_is_denied():
     found = routetable.RouteTable(None).find("a.example", "/")
-    assert found is routetable.Miss.NOT_CONFIGURED
+    assert found is routetable.RouteMiss.NOT_CONFIGURED
 
 
 def test_every_span_of_a_split_keeps_the_weights():
--- a/hyssoptack/reports/calls.py
+++ b/hyssoptack/reports/calls.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from hyssoptack.reports import story
+from hyssoptack.reports import timeline
 
 UNSENT_PREFIXES = (
     "connect_failed",
@@ -16,18 +16,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Call:
-    """A call as `calltrace.Trace.text` writes it.
+    """A call as `calltrace.Trace.describe` writes it.
 
     Attributes:
         upstream_id: Whom it went to.
-        why: `first`, or what it was made once more for.
+        cause: `first`, or what it was made once more for.
         after_ms: When it was decided on, from the request's arrival.
         took_ms: From then to its outcome.
         outcome: What became of it.
     """
 
     upstream_id: str
-    why: str
+    cause: str
     after_ms: float
     took_ms: float
     outcome: str
@@ -43,7 +43,7 @@
         return self.outcome == "answered"
 
 
-def of(entry: story.Entry) -> list[Call]:
+def parse(entry: timeline.Entry) -> list[Call]:
     """Returns the calls of a request's last line."""
     found = []
     for text in entry.fields.get("calls", ()):
@@ -51,7 +51,7 @@
         found.append(
             Call(
                 upstream_id=where.partition("@")[0],
-                why=why,
+                cause=why,
                 after_ms=float(after),
                 took_ms=float(took),
                 outcome=outcome,
--- a/hyssoptack/reports/margins.py
+++ b/hyssoptack/reports/margins.py
@@ -12,7 +12,7 @@
 import cyclopts
 
 from hyssoptack.reports import calls
-from hyssoptack.reports import story
+from hyssoptack.reports import timeline
 
 SHOWN_COUNT = 5
 """Most requests and services that are named for each limit."""
@@ -54,7 +54,9 @@
     end_s: float
 
 
-def services(entries: collections.abc.Iterable[story.Entry]) -> dict[str, str]:
+def services_by_upstream(
+    entries: collections.abc.Iterable[timeline.Entry],
+) -> dict[str, str]:
     """Returns the service of each upstream that the entries tell of."""
     known: dict[str, str] = {}
     for each in entries:
@@ -66,9 +68,9 @@
     return known
 
 
-def spreads(entries: list[story.Entry]) -> list[Spread]:
+def spreads(entries: list[timeline.Entry]) -> list[Spread]:
     """Returns each request's spread over upstreams, the widest first."""
-    known = services(entries)
+    known = services_by_upstream(entries)
     taken_back = {
         each.fields["request_id"]
         for each in entries
@@ -79,7 +81,7 @@
         if each.kind != "request_ended":
             continue
         parts = seen.setdefault(str(each.fields["request_id"]), {})
-        for call in calls.of(each):
+        for call in calls.parse(each):
             service = known.get(call.upstream_id, call.upstream_id)
             if call.sent:
                 upstreams = parts.setdefault(service, {})
@@ -106,22 +108,22 @@
     )
 
 
-def windows(entries: list[story.Entry], window_s: float) -> list[Window]:
+def windows(entries: list[timeline.Entry], window_s: float) -> list[Window]:
     """Returns each service's fullest window of extra calls, the fullest first.
 
     Args:
         entries: All entries, in order of time.
         window_s: How long a window is.
     """
-    known = services(entries)
+    known = services_by_upstream(entries)
     extras: dict[str, list[float]] = collections.defaultdict(list)
     firsts: dict[str, list[float]] = collections.defaultdict(list)
     for each in entries:
         if each.kind != "request_ended":
             continue
-        for call in calls.of(each):
+        for call in calls.parse(each):
             service = known.get(call.upstream_id, call.upstream_id)
-            if call.why == "first":
+            if call.cause == "first":
                 firsts[service].append(each.time_s)
             elif call.sent:
                 extras[service].append(each.time_s)
@@ -152,7 +154,7 @@
     )
 
 
-def text(entries: list[story.Entry], window_s: float) -> str:
+def text(entries: list[timeline.Entry], window_s: float) -> str:
     """Returns the margins for people."""
     found = spreads(entries)
     counts = collections.Counter(
@@ -185,7 +187,7 @@
         window_s: The window in which extra calls are counted.
     """
     with log.open(encoding="utf-8", errors="replace") as lines:
-        entries = story.read(lines)
+        entries = timeline.read(lines)
     print(text(entries, window_s))
 
 
--- a/hyssoptack/reports/profile.py
+++ b/hyssoptack/reports/profile.py
@@ -14,7 +14,7 @@
 
 from hyssoptack.reports import calls
 from hyssoptack.reports import margins
-from hyssoptack.reports import story
+from hyssoptack.reports import timeline
 
 TOP_COUNT = 5
 """Reasons that are named for each route."""
@@ -44,9 +44,9 @@
     )
 
 
-def routes(entries: list[story.Entry]) -> dict[str, Route]:
+def routes(entries: list[timeline.Entry]) -> dict[str, Route]:
     """Returns what the requests of each route did."""
-    known = margins.services(entries)
+    known = margins.services_by_upstream(entries)
     found: dict[str, Route] = {}
     for entry in entries:
         if entry.kind != "request_ended" or "calls" not in entry.fields:
@@ -56,8 +56,8 @@
     return found
 
 
-def _note(route: Route, entry: story.Entry, known: dict[str, str]) -> None:
-    made = calls.of(entry)
+def _note(route: Route, entry: timeline.Entry, known: dict[str, str]) -> None:
+    made = calls.parse(entry)
     route.took_ms.append(entry.fields["took_ms"])
     answers = [each.after_ms + each.took_ms for each in made if each.answered]
     if answers:
@@ -78,9 +78,9 @@
     """Notes whether the calls that a part was sent once more in paid off."""
     used = next((each for each in part if each.answered), None)
     for each in part:
-        if each.why == "first":
+        if each.cause == "first":
             continue
-        counts = route.extras[each.why]
+        counts = route.extras[each.cause]
         counts["made"] += 1
         if each is used:
             counts["used"] += 1
@@ -121,7 +121,7 @@
         log: The lines of all instances.
     """
     with log.open(encoding="utf-8", errors="replace") as lines:
-        entries = story.read(lines)
+        entries = timeline.read(lines)
     print(text(routes(entries)))
 
 
--- a/hyssoptack/standins/kvstore.py
+++ b/hyssoptack/standins/kvstore.py
@@ -10,7 +10,7 @@
 import urllib.parse
 
 from hyssoptack.core import clock
-from hyssoptack.http1 import callerside
+from hyssoptack.http1 import httpserver
 from hyssoptack.http1 import message
 
 
@@ -38,7 +38,7 @@
 
     def __init__(self, page_count: int = 50):
         self.faults = Faults()
-        self.calls: list[str] = []
+        self.call_names: list[str] = []
         self.address = ""
         self._page_count = page_count
         self._revision = 0
@@ -52,9 +52,9 @@
 
     async def start(self) -> None:
         """Opens a port on loopback."""
-        server = callerside.Server(handler=self._handle)
+        server = httpserver.Server(handler=self._handle)
         self._server = await asyncio.get_running_loop().create_server(
-            server.connection, "127.0.0.1", 0
+            server.new_connection, "127.0.0.1", 0
         )
         port = self._server.sockets[0].getsockname()[1]
         self.address = f"127.0.0.1:{port}"
@@ -84,7 +84,7 @@
         self._items.pop(key, None)
         self._note({"key": key, "revision": self._revision, "removed": True})
 
-    def listed(self) -> list[str]:
+    def sorted_keys(self) -> list[str]:
         """Returns the keys that are there."""
         return sorted(self._items)
 
@@ -93,22 +93,22 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _handle(self, exchange: callerside.Exchange) -> None:
+    def _handle(self, exchange: httpserver.Exchange) -> None:
         task = asyncio.get_running_loop().create_task(self._serve(exchange))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _serve(self, exchange: callerside.Exchange) -> None:
+    async def _serve(self, exchange: httpserver.Exchange) -> None:
         request = exchange.request
         target = urllib.parse.urlsplit(request.target.decode())
         query = dict(urllib.parse.parse_qsl(target.query))
         name = target.path.removeprefix("/hyssoptack/")
-        self.calls.append(name)
+        self.call_names.append(name)
         await asyncio.sleep(self.faults.lag_ms / 1000)
         if self.faults.silent:
             return
         if self.faults.down:
-            exchange.answer(message.problem(503, "down"))
+            exchange.answer(message.problem_reply(503, "down"))
             return
         self._expire()
         status, body = await self._answer(name, query, request.body)
@@ -205,7 +205,7 @@
                 self.remove(key)
         return 200, {}
 
-    def end_all_leases(self) -> None:
+    def revoke_all_leases(self) -> None:
         """Ends every lease at once, as the store may for those it cuts off."""
         for lease in tuple(self._leases):
             self._end(lease)
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -8,7 +8,7 @@
 from hyssoptack.core import clock
 from hyssoptack.gateway import harness
 from hyssoptack.http1 import message
-from soak import world
+from soak import environment
 
 DEADLINE_MS = 1_500
 ANSWER_LIMIT_S = 3.0
@@ -22,11 +22,17 @@
 BAD_PAUSE_RANGE_S = (0.05, 0.5)
 """Between two of a caller that does not wait for upstreams' return (2 s)."""
 
-PATHS = (world.SINGLE, world.MOVED, world.ONCE, world.ALL, world.ALL)
+PATHS = (
+    environment.SINGLE_PATH,
+    environment.MOVED_PATH,
+    environment.NON_IDEMPOTENT_PATH,
+    environment.FANOUT_PATH,
+    environment.FANOUT_PATH,
+)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Asked:
+class RequestRecord:
     """One request and what became of it.
 
     Attributes:
@@ -35,8 +41,8 @@
         path: The route.
         sent_ms: When its last byte left.
         ended_ms: When the answer, or the connection's end, came.
-        ended: `answered`, `cut`, `unanswered`, `left` or `unconnected`.
-        got: The answer; a status of 0 without one.
+        outcome: `answered`, `cut`, `unanswered`, `left` or `unconnected`.
+        response: The answer; a status of 0 without one.
     """
 
     request_id: str
@@ -44,11 +50,11 @@
     path: str
     sent_ms: float
     ended_ms: float
-    ended: str
-    got: harness.Got
+    outcome: str
+    response: harness.Response
 
 
-_NOTHING = harness.Got(status=0, headers={}, body=b"")
+_NOTHING = harness.Response(status=0, headers={}, body=b"")
 
 
 class Caller:
@@ -61,9 +67,9 @@
         self._kept: dict[
             str, tuple[asyncio.StreamReader, asyncio.StreamWriter]
         ] = {}
-        self.asked: list[Asked] = []
+        self.sent_requests: list[RequestRecord] = []
 
-    async def ask_until(self, over: asyncio.Event) -> None:
+    async def send_until(self, over: asyncio.Event) -> None:
         """Asks until told that the run is over."""
         for serial in itertools.count():
             if over.is_set():
@@ -75,17 +81,17 @@
 
     async def _ask(self, request_id: str) -> None:
         path = self._dice.choice(PATHS)
-        await self._send(request_id, path, world.GOOD_TAIL)
+        await self._send(request_id, path, environment.NORMAL_SUFFIX)
 
     async def _send(self, request_id: str, path: str, tail: bytes) -> None:
         gateway = self._dice.choice(tuple(self._gateways))
-        method = "POST" if path == world.ONCE else "GET"
-        body = b"book" if path == world.ONCE else b""
+        method = "POST" if path == environment.NON_IDEMPOTENT_PATH else "GET"
+        body = b"book" if path == environment.NON_IDEMPOTENT_PATH else b""
         data = message.request_bytes(
             method.encode(),
             path.encode() + tail,
             [
-                (b"Host", world.HOST.encode()),
+                (b"Host", environment.HOST.encode()),
                 (b"X-Request-Id", request_id.encode()),
                 (b"X-Request-Deadline", b"%d" % DEADLINE_MS),
             ],
@@ -116,7 +122,7 @@
         limit_s = self._dice.uniform(0.002, 0.02) if leaves else ANSWER_LIMIT_S
         try:
             async with asyncio.timeout(limit_s):
-                got = await harness.read(reader)
+                got = await harness.read_response(reader)
         except TimeoutError:
             writer.transport.abort()
             ended = "left" if leaves else "unanswered"
@@ -148,22 +154,22 @@
         path: str,
         sent_ms: float,
         ended: str,
-        got: harness.Got = _NOTHING,
+        got: harness.Response = _NOTHING,
     ) -> None:
-        self.asked.append(
-            Asked(
+        self.sent_requests.append(
+            RequestRecord(
                 request_id=request_id,
                 gateway=gateway,
                 path=path,
                 sent_ms=sent_ms,
                 ended_ms=clock.now_ms(),
-                ended=ended,
-                got=got,
+                outcome=ended,
+                response=got,
             )
         )
 
 
-class BadCaller(Caller):
+class CrashingCaller(Caller):
     """A caller that sends a request time and again that crashes upstreams."""
 
     def __init__(self, path: str, seed: int, gateways: dict[str, str]):
@@ -172,4 +178,4 @@
 
     async def _ask(self, request_id: str) -> None:
         await asyncio.sleep(self._dice.uniform(*BAD_PAUSE_RANGE_S))
-        await self._send(request_id, self._path, world.BAD_TAIL)
+        await self._send(request_id, self._path, environment.CRASHING_SUFFIX)
