--- a/hyssoptack/policy/attempts.py
+++ b/hyssoptack/policy/attempts.py
@@ -1,49 +1,53 @@
-"""How many upstreams of each service a request may be sent to from here.
+"""Limits how many upstreams per service this instance may send a request to.
 
-A route's attempts are those of the whole request, whoever makes them. Until the
-sender of a query has heard that its neighbour began, either may run it: the
-neighbour then holds one attempt, and the sender the others, should it take the
-query back. The two shares add up to the route's attempts, whatever messages are
-late or lost.
+A route's attempt limit covers the whole request, whichever instances make the
+calls. Until the sender of a query has learned that its neighbour started it,
+either of them may run it. During that time the neighbour has one attempt, and
+the sender has the others in case it takes the query back. The two shares add
+up to the route's limit even if messages are late or lost.
 """
 
 from hyssoptack.policy import callcommand
 from hyssoptack.policy import callpart
 
 Retry = tuple[callpart.Part, str]
-"""A part to be sent once more, and why."""
+"""A part to retry, and the reason."""
 
 
 class Attempts:
-    """The attempts of one request, and what waits for more of them."""
+    """The attempts of one request, and the calls deferred until more are granted.
 
-    def __init__(self, ask: callcommand.PlanRequest):
-        self._ask = ask
-        self.granted = not ask.awaits_grant
+    Attributes:
+        granted: Whether all of the request's attempts may be used.
+    """
+
+    def __init__(self, request: callcommand.PlanRequest):
+        self._request = request
+        self.granted = not request.awaits_grant
         self._retries: list[Retry] = []
-        self._dried_up: list[int] = []
+        self._stalled_call_ids: list[int] = []
 
     @property
     def limit_count(self) -> int:
-        """Upstreams of each service that it may be sent to now."""
-        return self._ask.max_attempts_count if self.granted else 1
+        """Number of upstreams per service that may be called now."""
+        return self._request.max_attempts_count if self.granted else 1
 
     def defer_retry(self, part: callpart.Part, reason: str) -> None:
-        """Keeps a part that is to be sent once more until attempts come."""
+        """Defers the retry of a part until more attempts are granted."""
         self._retries.append((part, reason))
 
     def defer_stalled(self, call_ids: tuple[int, ...]) -> None:
-        """Keeps calls that are to be hedged until attempts come."""
-        self._dried_up.extend(call_ids)
+        """Defers the hedges of stalled calls until more attempts are granted."""
+        self._stalled_call_ids.extend(call_ids)
 
     def grant(self) -> tuple[tuple[Retry, ...], tuple[int, ...]]:
-        """Takes the route's other attempts.
+        """Grants the route's remaining attempts.
 
         Returns:
-            The parts to be sent once more and the calls to be hedged.
+            The deferred retries, and the IDs of the calls to hedge.
         """
         self.granted = True
-        held = tuple(self._retries), tuple(self._dried_up)
+        deferred = tuple(self._retries), tuple(self._stalled_call_ids)
         self._retries.clear()
-        self._dried_up.clear()
-        return held
+        self._stalled_call_ids.clear()
+        return deferred
--- a/hyssoptack/policy/budget.py
+++ b/hyssoptack/policy/budget.py
@@ -1,22 +1,28 @@
-"""The extra-load budget of a service: one bucket for every cause.
+"""The extra-load budget of a service: one token bucket for all extra calls.
 
 First calls earn tokens at the profile's ceiling ratio; each extra call spends
-one. Since every cause draws on the same bucket, an outage cannot multiply load
-(Dean and Barroso, "The Tail at Scale", section "Within Request Short-Term
-Adaptations").
+one token. Retries, hedges and other extra calls share one bucket, so an outage
+cannot multiply the load (Dean and Barroso, "The Tail at Scale", section "Within
+Request Short-Term Adaptations").
 """
 
 import dataclasses
 
 BURST_COUNT = 20.0
-"""Most tokens that a quiet time can save up."""
+"""Capacity of the bucket: the most tokens that can accumulate in quiet times."""
 
 INITIAL_COUNT = 5.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Budget:
-    """Tokens for extra calls, and the totals that the burn report reads."""
+    """Tokens for extra calls, and totals for the budget report.
+
+    Attributes:
+        token_count: Tokens in the bucket.
+        first_call_count: Number of first calls made so far.
+        extra_call_count: Number of extra calls made so far.
+    """
 
     token_count: float = INITIAL_COUNT
     first_call_count: int = 0
@@ -29,7 +35,7 @@
     call_count: int,
     burst_count: float = BURST_COUNT,
 ) -> Budget:
-    """Returns the budget after first calls were made."""
+    """Returns the budget with the tokens that first calls earned."""
     tokens = min(burst_count, budget.token_count + ceiling_ratio * call_count)
     return dataclasses.replace(
         budget,
@@ -41,14 +47,15 @@
 def try_spend(
     budget: Budget, reserve_count: float = 0.0
 ) -> tuple[Budget, bool]:
-    """Tries to pay for one extra call.
+    """Spends a token for one extra call if enough are left.
 
     Args:
-        budget: The budget before.
-        reserve_count: Tokens that must be left; hedges leave some for retries.
+        budget: The budget to spend from.
+        reserve_count: Tokens that must remain; hedges leave some for
+            retries.
 
     Returns:
-        The budget afterwards, and whether the call may go.
+        The updated budget, and whether the call is allowed.
     """
     if budget.token_count < 1.0 + reserve_count:
         return budget, False
@@ -61,7 +68,11 @@
 
 
 class ServiceBudgets:
-    """The budgets of all services on one instance."""
+    """The budgets of all services on one instance.
+
+    Attributes:
+        burst_count: Capacity of each service's bucket in tokens.
+    """
 
     def __init__(
         self,
@@ -77,7 +88,7 @@
         return self._budgets.get(service, self._initial)
 
     def earn(self, service: str, ceiling_ratio: float, call_count: int) -> None:
-        """Books first calls."""
+        """Records first calls and adds the tokens that they earn."""
         self._budgets[service] = earn(
             self.for_service(service),
             ceiling_ratio,
@@ -86,7 +97,7 @@
         )
 
     def try_spend(self, service: str, reserve_count: float = 0.0) -> bool:
-        """Books one extra call if it can be paid for; tells whether so."""
+        """Spends a token for one extra call; returns whether it is allowed."""
         self._budgets[service], allowed = try_spend(
             self.for_service(service), reserve_count
         )
--- a/hyssoptack/policy/callcommand.py
+++ b/hyssoptack/policy/callcommand.py
@@ -1,6 +1,7 @@
-"""What a request's plan is told of its calls, and what it asks for.
+"""Inputs and outputs of a call plan: outcomes of calls, and commands.
 
-The runner feeds outcomes in and carries commands out (`policy.callplan`).
+The runner passes outcomes to the plan and executes the commands that the plan
+returns (`policy.callplan`).
 """
 
 import dataclasses
@@ -11,18 +12,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PlanRequest:
-    """One request, as the plan needs it.
+    """The properties of a request that its plan needs.
 
     Attributes:
-        route: Its route.
+        route: The route of the request.
         services: One service for each part.
-        goal_at_ms: When an answer loses most of its use.
-        deadline_at_ms: When the caller stops waiting, or the route's timeout ends.
-        may_have_run: Whether it was begun elsewhere: its first calls then are
-            extra ones, and it has an attempt less.
-        awaits_grant: Whether it has one attempt only until its sender grants
-            the others (`policy.attempts`).
-        fingerprint: Names its content.
+        goal_at_ms: Time after which an answer loses most of its value.
+        deadline_at_ms: Time at which the caller stops waiting or the route's
+            timeout ends.
+        may_have_run: Whether another instance already started the request. Its
+            first calls are then paid from the budget for extra calls, and it
+            has one attempt less.
+        awaits_grant: Whether the request is limited to one attempt until its
+            sender grants the others (`policy.attempts`).
+        fingerprint: Identifier of the request's content.
     """
 
     route: traffic.Route
@@ -35,12 +38,12 @@
 
     @property
     def max_attempts_count(self) -> int:
-        """Upstreams of each service that it may be sent to from here."""
+        """Number of upstreams per service that this instance may call."""
         return self.route.max_attempts_count - self.may_have_run
 
 
 def coverage_floor_count(route: traffic.Route, part_count: int) -> float:
-    """Returns the parts without which a request has no answer."""
+    """Returns the smallest number of answered parts that makes an answer."""
     match route.target:
         case traffic.AllShards(floor_ratio=floor_ratio):
             return floor_ratio * part_count
@@ -49,7 +52,7 @@
 
 
 class OutcomeKind(enum.Enum):
-    """What a call's outcome says about the request."""
+    """Classifies how a call ended with regard to the request."""
 
     ANSWERED = "answered"
     NOT_RUN = "not_run"
@@ -59,15 +62,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Outcome:
-    """What became of a call.
+    """The outcome of a call.
 
     Attributes:
-        kind: What it says about the request.
-        reply: The upstream's reply, if a whole one came.
-        reason: What was seen, for logs.
+        kind: Whether the request was answered, not run, shed or failed.
+        reply: The upstream's reply, if it was received completely.
+        reason: Short identifier of the cause, for logs.
         reached: Whether the upstream may have seen the request.
-        upstream_exited: Whether the upstream has ended with the call in hand.
-        was_only_call: Whether it then had no other call of the same instance.
+        upstream_exited: Whether the upstream exited while it was processing
+            the call.
+        was_only_call: Whether the upstream had no other call from the same
+            instance when it exited.
     """
 
     kind: OutcomeKind
@@ -79,7 +84,7 @@
 
     @property
     def proves_alive(self) -> bool:
-        """Whether the upstream gave a sign of life."""
+        """Whether the outcome shows that the upstream is alive."""
         return self.reply is not None or (
             self.reached and self.kind is not OutcomeKind.FAILED
         )
@@ -87,15 +92,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Send:
-    """Call an upstream.
+    """Command to call an upstream.
 
     Attributes:
-        call_id: The call's number.
-        upstream: Whom to call.
-        extra_reason: Why it is not the part's first call.
-        is_probe: Whether it goes from here and over a new connection, which
-            shows that the upstream lives.
-        cross_domain_only: Whether the own failure domain has no upstream for it.
+        call_id: The number of the call, unique within its request.
+        upstream: The upstream to call.
+        extra_reason: Reason for an extra call; empty for a part's first call.
+        is_probe: Whether this instance must make the call itself, over a new
+            connection, which shows that the upstream is alive.
+        cross_domain_only: Whether the local failure domain has no upstream for
+            the part.
     """
 
     call_id: int
@@ -107,14 +113,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Cancel:
-    """Give up a call."""
+    """Command to cancel a call."""
 
     call_id: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Answer:
-    """Answer with these replies, in the order of their parts."""
+    """Result of an answered request.
+
+    Attributes:
+        replies: The replies, in the order of their parts.
+        part_count: Number of all parts, including unanswered ones.
+    """
 
     replies: tuple[object, ...]
     part_count: int
@@ -122,14 +133,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Refuse:
-    """Nothing ran, and nothing will; the caller may come back."""
+    """Result of a request that did not run; the caller may retry it."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Fail:
-    """It may have run; `reply` is an upstream's failure to pass on, if any."""
+    """Result of a failed request that may have run.
+
+    Attributes:
+        reason: Short identifier of the cause.
+        timed_out: Whether the request reached its deadline.
+        reply: An upstream's failure reply to pass on, if there is one.
+    """
 
     reason: str
     timed_out: bool
@@ -141,7 +158,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Finish:
-    """The request's end."""
+    """Command to end the request with a result."""
 
     result: Result
 
--- a/hyssoptack/policy/callerlatency.py
+++ b/hyssoptack/policy/callerlatency.py
@@ -1,11 +1,12 @@
-"""How much of a request's time is used up on the way between caller and here.
-
-A goal counts from the caller's first try until it has the answer. Here, only
-the time from the request's arrival is seen. Two things tell the rest. A caller
-says how long it still waits, and callers of one route wait equally long: one
-that says less has spent the difference, on a connection or on an earlier try.
-And what a new connection took, one way to here and back, is what the request
-and its answer take as well.
+"""Estimates how much of a request's time is spent between caller and instance.
+
+A latency goal counts from the caller's first attempt until the caller has the
+answer, but an instance sees only the time since the request arrived. It
+estimates the rest from two facts. Callers state how long they will still wait,
+and all callers of a route start with the same wait: one that states less has
+spent the difference on connecting or on an earlier attempt. And the time that a
+new connection took, one round trip, is also what the request and its answer
+take.
 """
 
 import collections
@@ -14,42 +15,44 @@
 from hyssoptack.policy import delayestimate
 
 TIMER_MARGIN_MS = 2.0
-"""Kept back at least for timers that fire late and for writing the answer."""
+"""Smallest margin for timers that fire late and for writing the answer."""
 
 DEFAULT_ROUND_TRIP_MS = 6.0
-"""Way to the caller and back before any was seen: of the users' sites, 2 to 6
+"""Round trip to callers before any was observed. The users' sites have 2 to 6
 ms."""
 
 MAX_ROUND_TRIP_MS = 40.0
-"""What was spent beyond this was an earlier try, or a lost packet, rather than
-the way of a new connection."""
+"""A longer elapsed time is ascribed to an earlier attempt or a lost packet
+instead of to the round trip of a new connection."""
 
 ROUND_TRIP_SAMPLES_COUNT = 32
 
 WAIT_SAMPLES_COUNT = 256
-"""Requests of a route among which the longest wait is looked for: at least some
-of so many come on a connection that was open."""
+"""Number of recent requests of a route whose longest wait is taken as the full
+wait. Among so many, at least some arrive on a connection that was already open
+and have lost no time."""
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Route:
-    """Waits that callers of one route asked for lately."""
+class _RouteWaits:
+    """The waits that callers of one route stated recently."""
 
     waits_ms: collections.deque[float]
     longest_ms: float = 0.0
 
 
 class CallerLatency:
-    """What one instance has seen of its callers' ways.
+    """Estimates the network latency between one instance and its callers.
 
     Attributes:
-        round_trip_ms: The way to a caller and back.
-        answer_delay: How late answers leave that are given at the goal.
+        round_trip_ms: Median of the recent round trips to callers.
+        answer_delay: Estimate of how late answers leave that are due at the
+            latency goal.
     """
 
     def __init__(self) -> None:
-        self._routes: dict[str, _Route] = {}
-        self._ways_ms: collections.deque[float] = collections.deque(
+        self._routes: dict[str, _RouteWaits] = {}
+        self._round_trips_ms: collections.deque[float] = collections.deque(
             maxlen=ROUND_TRIP_SAMPLES_COUNT
         )
         self.round_trip_ms = DEFAULT_ROUND_TRIP_MS
@@ -58,41 +61,43 @@
     def observe_elapsed_ms(
         self, route_name: str, wait_ms: float | None, first_on_connection: bool
     ) -> float:
-        """Returns what a caller had spent when it sent a request.
+        """Returns the time that a caller had spent when it sent a request.
 
         Args:
-            route_name: The request's route.
-            wait_ms: How long the caller still waits; None where it is silent.
-            first_on_connection: Whether the request is the first of its connection.
+            route_name: Name of the request's route.
+            wait_ms: How long the caller will still wait; None if it does not
+                state it.
+            first_on_connection: Whether the request is the first on its
+                connection.
         """
         if wait_ms is None:
             return 0.0
         route = self._routes.get(route_name)
         if route is None:
-            route = self._routes[route_name] = _Route(
+            route = self._routes[route_name] = _RouteWaits(
                 waits_ms=collections.deque(maxlen=WAIT_SAMPLES_COUNT)
             )
-        self._note_wait(route, wait_ms)
-        spent_ms = route.longest_ms - wait_ms
-        if first_on_connection and 0.0 < spent_ms <= MAX_ROUND_TRIP_MS:
-            self._note_way(spent_ms)
-        return spent_ms
-
-    def _note_wait(self, route: _Route, wait_ms: float) -> None:
-        full = len(route.waits_ms) == WAIT_SAMPLES_COUNT
-        gone_ms = route.waits_ms[0] if full else 0.0
+        self._record_wait(route, wait_ms)
+        elapsed_ms = route.longest_ms - wait_ms
+        if first_on_connection and 0.0 < elapsed_ms <= MAX_ROUND_TRIP_MS:
+            self._record_round_trip(elapsed_ms)
+        return elapsed_ms
+
+    def _record_wait(self, route: _RouteWaits, wait_ms: float) -> None:
+        is_full = len(route.waits_ms) == WAIT_SAMPLES_COUNT
+        dropped_ms = route.waits_ms[0] if is_full else 0.0
         route.waits_ms.append(wait_ms)
         if wait_ms >= route.longest_ms:
             route.longest_ms = wait_ms
-        elif gone_ms >= route.longest_ms:
+        elif dropped_ms >= route.longest_ms:
             route.longest_ms = max(route.waits_ms)
 
-    def _note_way(self, spent_ms: float) -> None:
-        self._ways_ms.append(spent_ms)
-        ordered = sorted(self._ways_ms)
+    def _record_round_trip(self, elapsed_ms: float) -> None:
+        self._round_trips_ms.append(elapsed_ms)
+        ordered = sorted(self._round_trips_ms)
         self.round_trip_ms = ordered[len(ordered) // 2]
 
     @property
     def margin_ms(self) -> float:
-        """What to keep back from a goal, counted from a request's sending."""
+        """Time to reserve before a latency goal that counts from the sending."""
         return self.round_trip_ms + self.answer_delay.estimate_ms
--- a/hyssoptack/policy/callfeedback.py
+++ b/hyssoptack/policy/callfeedback.py
@@ -1,4 +1,4 @@
-"""What the outcome of a call shows of its upstream."""
+"""Reports the outcomes of calls to the load balancer."""
 
 from hyssoptack.policy import callcommand
 from hyssoptack.policy import callresult
@@ -9,7 +9,7 @@
     callresult.PARTITIONED,
     callresult.NOT_LISTED_AT_GATHERER,
 }
-"""Seen where the upstream itself was not: nothing is learned of it."""
+"""Reasons that say nothing about the upstream: they are not recorded for it."""
 
 
 def record_outcome(
@@ -20,15 +20,15 @@
     outcome: callcommand.Outcome,
     now_ms: float,
 ) -> None:
-    """Takes the outcome of a call.
+    """Records the outcome of a call for its upstream.
 
     Args:
-        load_balancer: What is known of the upstreams.
-        route_name: The request's route.
-        upstream_id: Whom it went to.
-        sent_ms: When it was decided on.
-        outcome: What became of it.
-        now_ms: The time now.
+        load_balancer: The load balancer, which keeps the upstreams' state.
+        route_name: Name of the request's route.
+        upstream_id: The upstream that was called.
+        sent_ms: The time at which the call was created.
+        outcome: The outcome of the call.
+        now_ms: The current time.
     """
     if outcome.reason in NO_FAULT_REASONS:
         return
--- a/hyssoptack/policy/callpart.py
+++ b/hyssoptack/policy/callpart.py
@@ -1,4 +1,4 @@
-"""The state of a request's parts: its shards, or its only service."""
+"""The state of a request's parts: its shards, or its single service."""
 
 import collections
 import dataclasses
@@ -6,19 +6,20 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Call:
-    """One call that is out.
+    """One open call.
 
     Attributes:
-        call_id: Its number.
-        upstream_id: Whom it goes to.
-        created_ms: When it was decided on.
-        part: The part that it is for.
-        cross_domain: Whether it goes into another failure domain.
-        is_sent: Whether the upstream may have seen it: not while it waits for a
-            connection.
-        overdue_at_ms: When an outcome is overdue, where another instance makes
-            the call; None where it is made from here.
-        is_probe: Whether it goes over a new connection (`policy.caution`).
+        call_id: The number of the call, unique within its request.
+        upstream_id: The upstream that is called.
+        created_ms: The time at which the call was created.
+        part: The part that the call is for.
+        cross_domain: Whether the upstream is in another failure domain.
+        is_sent: Whether the upstream may have seen the call; false while the
+            call waits for a connection.
+        overdue_at_ms: Time after which the outcome is overdue if another
+            instance makes the call; None if this instance makes it.
+        is_probe: Whether the call uses a new connection
+            (`policy.probeguard`).
     """
 
     call_id: int
@@ -33,21 +34,24 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Part:
-    """What has been done for one service that a request goes to.
+    """The state of one service that a request is sent to.
 
     Attributes:
-        service: The service.
-        calls: The calls that are out, by number.
-        tried_upstream_ids: Upstreams that were chosen; no other call goes there by choice.
+        service: The name of the service.
+        calls: The open calls, by call ID.
+        tried_upstream_ids: Upstreams that were already chosen; they are
+            excluded when another upstream is chosen.
         reached_upstream_ids: Upstreams that may have seen the request.
-        call_counts: Calls that each upstream may have seen.
-        shed_upstream_ids: Upstreams that refused it and may be asked again.
-        resend_count: Calls to upstreams that refused before.
-        reply: The answer, once there is one.
-        failure: An upstream's own failure, to be passed on.
-        abandoned: Whether it was given up.
-        hedged: Whether its hedge was decided on.
-        last_reason: What was last seen, for the caller and the log.
+        call_counts: Number of calls that each upstream may have seen.
+        shed_upstream_ids: Upstreams that shed the request and may be called
+            again.
+        resend_count: Number of calls to upstreams that shed the request
+            before.
+        reply: The answer; None until one arrives.
+        failure: An upstream's failure reply, which is passed on to the caller.
+        abandoned: Whether the part was given up without an answer.
+        hedged: Whether a hedge was sent or ruled out for lack of budget.
+        last_reason: Reason of the last outcome, for the caller and the log.
     """
 
     service: str
@@ -66,19 +70,20 @@
     last_reason: str = "no_upstream"
 
     def is_open(self) -> bool:
-        """Whether an answer is still wanted."""
+        """Returns whether the part is neither answered nor abandoned."""
         return self.reply is None and not self.abandoned
 
     def record_call(self, upstream_id: str) -> None:
-        """Notes a call that goes to an upstream."""
+        """Records a call to an upstream."""
         self.tried_upstream_ids.add(upstream_id)
         self.reached_upstream_ids.add(upstream_id)
         self.call_counts[upstream_id] += 1
 
     def record_unreached(self, upstream_id: str) -> None:
-        """Notes an upstream that saw nothing of the last call.
+        """Records that the last call to an upstream did not reach it.
 
-        It may have seen an earlier one: a lost gatherer's.
+        The upstream stays counted as reached if it may have seen an earlier
+        call, such as one made by a gatherer that was lost.
         """
         self.call_counts[upstream_id] -= 1
         if not self.resend_count and self.call_counts[upstream_id] <= 0:
@@ -86,14 +91,15 @@
 
 
 class Parts:
-    """All parts of a request, with counts that cost no look at each of them."""
+    """All parts of a request, with counts kept so that no scan is needed."""
 
     def __init__(self, services: tuple[str, ...], floor_count: float):
-        """Makes the parts of a request, none of which was sent.
+        """Creates the parts of a request, all unsent.
 
         Args:
             services: One service for each part.
-            floor_count: Parts without which there is no answer.
+            floor_count: Smallest number of answered parts that makes an
+                answer.
         """
         self.all = [Part(service=each) for each in services]
         self._floor_count = floor_count
@@ -102,34 +108,34 @@
 
     @property
     def open_count(self) -> int:
-        """Parts that an answer is still wanted for."""
+        """The number of parts that are neither answered nor abandoned."""
         return len(self.all) - self.answered_count - self.abandoned_count
 
     def can_reach_floor(self) -> bool:
-        """Whether the parts that are answered or may still be are enough."""
+        """Returns whether answered and open parts together reach the floor."""
         return len(self.all) - self.abandoned_count >= self._floor_count
 
     def meets_floor(self) -> bool:
-        """Whether the parts that are answered make an answer."""
+        """Returns whether the answered parts reach the coverage floor."""
         return 0 < self.answered_count >= self._floor_count
 
     def is_below_floor(self) -> bool:
-        """Whether a query needs more than the parts that are in."""
+        """Returns whether a sharded query is still below its coverage floor."""
         return len(self.all) > 1 and self.answered_count < self._floor_count
 
     def max_reached_count(self) -> int:
-        """Returns the most upstreams that may have seen any one part."""
+        """Returns the largest number of upstreams that may have seen a part."""
         return max(
             (len(part.reached_upstream_ids) for part in self.all), default=0
         )
 
     def record_answer(self, part: Part, reply: object) -> None:
-        """Takes the answer of an open part."""
+        """Records the answer of an open part."""
         part.reply = reply
         self.answered_count += 1
 
     def abandon(self, part: Part) -> None:
-        """Gives an open part up."""
+        """Marks a part as abandoned if it is open."""
         if part.is_open():
             part.abandoned = True
             self.abandoned_count += 1
--- a/hyssoptack/policy/callresult.py
+++ b/hyssoptack/policy/callresult.py
@@ -1,27 +1,28 @@
-"""How a request ends, from the state of its parts."""
+"""Builds a request's result from the state of its parts."""
 
 from hyssoptack.policy import callcommand
 from hyssoptack.policy import callpart
 
 PARTITIONED = "failure_domain_cut_off"
-"""Why a part has nobody to be sent to while its failure domain is cut off."""
+"""Reason: no upstream is reachable while the failure domain is partitioned."""
 
 GATHERER_LOST = "gatherer_lost"
-"""Why a call has no outcome: the instance that made it is gone, or silent."""
+"""Reason: the instance that made the call is gone or does not respond."""
 
 GATHERER_DECLINED = "gatherer_declined"
-"""Why a call was not made: the instance that was to make it makes none."""
+"""Reason: the instance that was to make the call declined to make any."""
 
 GATHERER_FAULTS = frozenset((GATHERER_LOST, GATHERER_DECLINED))
-"""Then the upstream itself may be called from here."""
+"""Reasons that lie with the gatherer: this instance may call the upstream
+itself."""
 
 CRASHES_UPSTREAMS = "crashes_upstreams"
-"""Why a request is refused, here or by the instance that was to call for it:
-upstreams ended each time that it ran (`policy.suspicion`)."""
+"""Reason: this instance or the relaying one rejected the request because
+upstreams exited each time that it ran (`policy.quarantine`)."""
 
 NOT_LISTED_AT_GATHERER = "not_listed_there"
-"""Why a call was not made: the instance that was to make it knows no such
-upstream, or knows that it leaves."""
+"""Reason: the instance that was to make the call does not know the upstream, or
+knows that it is draining."""
 
 
 def request_result(
@@ -31,13 +32,13 @@
     timed_out: bool,
     may_have_run: bool,
 ) -> callcommand.Result:
-    """Returns a request's end.
+    """Returns the result of a request.
 
     Args:
-        parts: What became of its parts.
-        meets_floor: Whether those that are in make an answer.
-        timed_out: Whether its time is over.
-        may_have_run: Whether any of it ran, or may still run.
+        parts: The parts of the request.
+        meets_floor: Whether the answered parts reach the coverage floor.
+        timed_out: Whether the request reached its deadline.
+        may_have_run: Whether any part ran or may still run.
     """
     if meets_floor:
         replies = tuple(
@@ -55,7 +56,7 @@
 
 
 def partition_outcome(call: callpart.Call) -> callcommand.Outcome:
-    """Returns the outcome of a call that a cut has swallowed."""
+    """Returns the outcome of a call that a partition has cut off."""
     kind = (
         callcommand.OutcomeKind.FAILED
         if call.is_sent
--- a/hyssoptack/policy/domaincover.py
+++ b/hyssoptack/policy/domaincover.py
@@ -1,9 +1,10 @@
-"""Which failure domains cover the shards that the own one has no upstream for.
+"""Selects failure domains for shards that have no upstream in the local one.
 
-Of 42 shards with upstreams in 3 of 7 domains each, 24 have none in the own one.
-Two others hold all of these: calls that go to those two, rather than to all
-six, take two messages there and back. Where both hold a shard, the one with
-fewer gets it, so that neither is waited for.
+If each of 42 shards has upstreams in 3 of 7 domains, 24 shards have none in the
+local domain. Two other domains together have upstreams for all 24, so sending
+the calls to those two instead of to all six needs only two messages and two
+replies. A shard that is in both goes to the domain with fewer calls, so that
+neither delays the answer.
 """
 
 import collections
@@ -15,46 +16,50 @@
 def preferred_domains(
     own_domain: str, domains: collections.abc.Mapping[str, set[str]]
 ) -> dict[str, str]:
-    """Returns the domain that each shard's calls prefer, but for own ones.
+    """Returns the preferred domain of each shard that the local domain lacks.
 
     Args:
-        own_domain: The own failure domain.
-        domains: For each shard, where it has upstreams.
+        own_domain: The local failure domain.
+        domains: The failure domains with upstreams of each shard.
     """
-    far = {
+    remote = {
         shard: found
         for shard, found in domains.items()
         if found and own_domain not in found
     }
-    cover = _cover(own_domain, list(far.values()))
+    cover = _cover(own_domain, list(remote.values()))
     counts = dict.fromkeys(cover, 0)
     found: dict[str, str] = {}
-    # Those that can go to one domain only go first.
-    for shard in sorted(far, key=lambda each: len(far[each] & counts.keys())):
+    # Shards with the fewest candidate domains are assigned first.
+    for shard in sorted(
+        remote, key=lambda each: len(remote[each] & counts.keys())
+    ):
         best = min(
-            (each for each in cover if each in far[shard]), key=counts.get
+            (each for each in cover if each in remote[shard]), key=counts.get
         )
         counts[best] += 1
         found[shard] = best
     return found
 
 
-def _cover(own_domain: str, places: list[set[str]]) -> list[str]:
-    """Returns few domains that have one of each shard's places."""
-    totals = collections.Counter(each for at in places for each in at)
+def _cover(own_domain: str, shard_domains: list[set[str]]) -> list[str]:
+    """Returns a small set of domains that covers every shard (greedily)."""
+    total_counts = collections.Counter(
+        each for at in shard_domains for each in at
+    )
     name = f"cover/{own_domain}"
-    missing = places
+    uncovered = shard_domains
     cover: list[str] = []
-    while missing:
-        counts = collections.Counter(each for at in missing for each in at)
+    while uncovered:
+        counts = collections.Counter(each for at in uncovered for each in at)
         best = max(
             counts,
             key=lambda each: (
                 counts[each],
-                totals[each],
+                total_counts[each],
                 rendezvous.rank(name, each),
             ),
         )
         cover.append(best)
-        missing = [at for at in missing if best not in at]
+        uncovered = [at for at in uncovered if best not in at]
     return cover
--- a/hyssoptack/policy/hedgequeue.py
+++ b/hyssoptack/policy/hedgequeue.py
@@ -1,9 +1,9 @@
-"""The calls of one request that may still be hedged, in the order of time.
+"""A queue of the calls of one request that may still be hedged, by due time.
 
-Those that this instance makes are hedged by what it sees of their like
-(`policy.hedgetime`). Those that another instance makes are hedged when it says
-that they wait for their upstreams, or is overdue itself: what is seen here
-tells nothing of them.
+Calls that this instance makes are hedged according to the latencies that it
+observes (`policy.hedgetiming`). These say nothing about calls that another
+instance makes: those are hedged when that instance reports them as stalled, or
+when its report is overdue.
 """
 
 import collections
@@ -17,29 +17,30 @@
 
 
 class HedgeQueue:
-    """Calls by the time at which they are hedged."""
+    """Calls in the order of the time at which they are hedged."""
 
     def __init__(
         self,
-        times: hedgetiming.HedgeTiming,
+        timing: hedgetiming.HedgeTiming,
         may_hedge: MayHedge,
-        dry_hedges: bool,
+        stall_hedges: bool,
     ):
-        """Makes an empty queue.
+        """Creates an empty queue.
 
         Args:
-            times: When the request's own calls are hedged.
-            may_hedge: Whether a part may be hedged still.
-            dry_hedges: Whether a pause between answers says anything.
+            timing: Hedge times of the calls that this instance makes.
+            may_hedge: Function that returns whether a part may be hedged.
+            stall_hedges: Whether all missing calls are hedged once no more
+                answers arrive.
         """
-        self._times = times
+        self._timing = timing
         self._may_hedge = may_hedge
-        self._dry_hedges = dry_hedges
+        self._stall_hedges = stall_hedges
         self._own: collections.deque[callpart.Call] = collections.deque()
         self._relayed: collections.deque[callpart.Call] = collections.deque()
 
     def add(self, call: callpart.Call) -> None:
-        """Takes a call that goes out."""
+        """Adds a call that this instance makes."""
         self._own.append(call)
 
     def record_relayed(
@@ -47,11 +48,11 @@
         calls: collections.abc.Iterable[callpart.Call],
         overdue_at_ms: float,
     ) -> None:
-        """Notes that another instance makes some calls.
+        """Records that another instance makes some of the calls.
 
         Args:
-            calls: The calls.
-            overdue_at_ms: When word of them is overdue.
+            calls: The calls that the other instance makes.
+            overdue_at_ms: Time after which their outcomes are overdue.
         """
         for call in calls:
             call.overdue_at_ms = overdue_at_ms
@@ -61,47 +62,48 @@
         )
 
     def next_due_ms(self) -> float:
-        """Returns when the next call is due; infinite for never."""
+        """Returns the time at which the next call is due; infinity for never."""
         next_ms = math.inf
-        call = self._first(self._own)
+        call = self._oldest_open(self._own)
         if call is not None:
-            due_ms = self._times.single_hedge_at_ms(call.created_ms)
-            next_ms = min(due_ms, self._dry_at_ms())
-        call = self._first(self._relayed)
+            due_ms = self._timing.single_hedge_at_ms(call.created_ms)
+            next_ms = min(due_ms, self._stall_hedge_at_ms())
+        call = self._oldest_open(self._relayed)
         if call is not None:
             next_ms = min(next_ms, call.overdue_at_ms)
         return next_ms
 
     def pop_due(self, now_ms: float) -> list[callpart.Call]:
-        """Takes out the calls whose time has come."""
+        """Removes and returns the calls that are due."""
         due: list[callpart.Call] = []
-        if now_ms >= self._dry_at_ms():
-            self._dry_hedges = False
+        if now_ms >= self._stall_hedge_at_ms():
+            self._stall_hedges = False
             due.extend(each for each in self._own if self._is_open(each))
             self._own.clear()
-        while call := self._first(self._own):
-            if now_ms < self._times.single_hedge_at_ms(call.created_ms):
+        while call := self._oldest_open(self._own):
+            if now_ms < self._timing.single_hedge_at_ms(call.created_ms):
                 break
             due.append(self._own.popleft())
-        while call := self._first(self._relayed):
+        while call := self._oldest_open(self._relayed):
             if now_ms < call.overdue_at_ms:
                 break
             due.append(self._relayed.popleft())
         return due
 
-    def _dry_at_ms(self) -> float:
-        """Returns when the missing calls are hedged; infinite for never."""
-        if not self._dry_hedges:
+    def _stall_hedge_at_ms(self) -> float:
+        """Returns when all missing calls are hedged; infinity for never."""
+        if not self._stall_hedges:
             return math.inf
-        at_ms = self._times.stall_at_ms()
+        at_ms = self._timing.stall_at_ms()
         return math.inf if at_ms is None else at_ms
 
-    def _first(
+    def _oldest_open(
         self, calls: collections.deque[callpart.Call]
     ) -> callpart.Call | None:
         """Returns the oldest call that may be hedged, if there is one.
 
-        All calls of a kind wait for the same time, so they stand in order.
+        All calls in a queue wait equally long, so they are ordered by due
+        time.
         """
         while calls:
             if self._is_open(calls[0]):
--- a/hyssoptack/policy/opencalls.py
+++ b/hyssoptack/policy/opencalls.py
@@ -1,4 +1,4 @@
-"""The calls of one request that are out."""
+"""Tracks the open calls of one request."""
 
 import collections.abc
 
@@ -8,16 +8,19 @@
 
 
 class OpenCalls:
-    """The calls of one request that are out, by number."""
+    """The open calls of one request, by call ID."""
 
-    def __init__(self, known: loadbalancer.LoadBalancer, route_name: str):
-        """Makes the calls of a request, of which there are none yet.
+    def __init__(
+        self, load_balancer: loadbalancer.LoadBalancer, route_name: str
+    ):
+        """Creates an empty set of calls.
 
         Args:
-            known: Told of each call that begins or is cancelled.
-            route_name: The request's route.
+            load_balancer: Load balancer that is notified when a call begins,
+                ends or is cancelled.
+            route_name: Name of the request's route.
         """
-        self._placing = known
+        self._load_balancer = load_balancer
         self._route_name = route_name
         self._calls: dict[int, callpart.Call] = {}
         self._last_id = 0
@@ -26,13 +29,13 @@
         return len(self._calls)
 
     def all(self) -> tuple[callpart.Call, ...]:
-        """Returns all calls, in the order in which they were decided on."""
+        """Returns all open calls, in the order of their creation."""
         return tuple(self._calls.values())
 
     def still_open(
         self, call_ids: collections.abc.Iterable[int]
     ) -> list[callpart.Call]:
-        """Returns those of some calls that are still out."""
+        """Returns the given calls that are still open."""
         return [self._calls[each] for each in call_ids if each in self._calls]
 
     def add(
@@ -44,14 +47,14 @@
         cross_domain: bool,
         is_probe: bool,
     ) -> callpart.Call:
-        """Notes a call that goes out.
+        """Creates and records an open call.
 
         Args:
-            part: The part that it is for.
-            upstream: Whom it goes to.
-            now_ms: The time now.
-            cross_domain: Whether it goes into another failure domain.
-            is_probe: Whether it goes over a new connection.
+            part: The part that the call is for.
+            upstream: The upstream to call.
+            now_ms: The current time.
+            cross_domain: Whether the upstream is in another failure domain.
+            is_probe: Whether the call uses a new connection.
         """
         self._last_id += 1
         call = callpart.Call(
@@ -64,37 +67,37 @@
         )
         part.calls[call.call_id] = self._calls[call.call_id] = call
         part.record_call(upstream.upstream_id)
-        self._placing.begin_call(upstream.upstream_id, now_ms)
+        self._load_balancer.begin_call(upstream.upstream_id, now_ms)
         return call
 
     def pop(self, call_id: int) -> callpart.Call | None:
-        """Takes a call out that has come to an end; None if it is unknown."""
+        """Removes and returns a call that has ended; None if it is unknown."""
         call = self._calls.pop(call_id, None)
         if call is not None:
             call.part.calls.pop(call_id, None)
-            self._placing.end_call(call.upstream_id)
+            self._load_balancer.end_call(call.upstream_id)
         return call
 
     def mark_unsent(self, call_id: int) -> None:
-        """Notes that a call waits for a connection: nothing was sent yet."""
+        """Records that a call waits for a connection and is not sent yet."""
         if call := self._calls.get(call_id):
             call.is_sent = False
 
     def mark_sent(self, call_id: int) -> None:
-        """Notes that a call is being sent."""
+        """Records that a call is being sent."""
         if call := self._calls.get(call_id):
             call.is_sent = True
 
     def any_sent(self) -> bool:
-        """Whether a call is out that an upstream may see at any moment."""
+        """Returns whether an upstream may have seen any of the open calls."""
         return any(call.is_sent for call in self._calls.values())
 
     def cancel(self, part: callpart.Part, now_ms: float) -> list[int]:
-        """Takes a part's calls out; returns their numbers."""
+        """Removes the calls of a part as cancelled and returns their IDs."""
         call_ids = list(part.calls)
         for call_id in call_ids:
             call = self.pop(call_id)
-            self._placing.record_cancelled(
+            self._load_balancer.record_cancelled(
                 self._route_name,
                 call.upstream_id,
                 now_ms - call.created_ms,
--- a/hyssoptack/policy/plancontext.py
+++ b/hyssoptack/policy/plancontext.py
@@ -1,4 +1,4 @@
-"""What the plans of all requests of an instance draw on."""
+"""The state that the call plans of an instance share."""
 
 import dataclasses
 import random
@@ -12,14 +12,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PlanContext:
-    """What all plans of an instance draw on.
+    """The state that all call plans of an instance share.
 
     Attributes:
-        load_balancer: Standings of the upstreams.
-        extra_call_budget: The budget of calls beyond the first.
-        partition_detector: Whether other failure domains can be reached.
-        mechanisms: What is at work.
-        suspicions: Which requests crash upstreams.
+        load_balancer: Load balancer, which keeps the state of the upstreams.
+        extra_call_budget: Budget for calls beyond a part's first call.
+        partition_detector: Detector of partitions from other failure domains.
+        mechanisms: Switches that enable or disable single mechanisms.
+        suspicions: Registry of requests that are suspected to crash upstreams.
     """
 
     load_balancer: loadbalancer.LoadBalancer
--- a/hyssoptack/policy/records.py
+++ b/hyssoptack/policy/records.py
@@ -9,12 +9,12 @@
     """Returns the greatest records of all bodies, greatest first.
 
     Args:
-        bodies: Records of `RECORD_BYTES` each, in any order; a shorter rest at
-            the end of a body is no record.
-        top_count: How many to return at most.
+        bodies: Records of `RECORD_BYTES` each, in any order. A shorter
+            remainder at the end of a body is ignored.
+        top_count: Largest number of records to return.
 
     Returns:
-        The records, joined. Equal records all count.
+        The records, concatenated. Duplicates are kept.
     """
     records = [
         body[start : start + RECORD_BYTES]
--- a/hyssoptack/policy/upstreamchoice.py
+++ b/hyssoptack/policy/upstreamchoice.py
@@ -1,4 +1,4 @@
-"""Whom a part of a request is sent to, first and once more."""
+"""Chooses the upstreams for first calls and retries of a request's parts."""
 
 from hyssoptack.core import traffic
 from hyssoptack.policy import attempts
@@ -9,41 +9,45 @@
 from hyssoptack.policy import probeguard
 
 MAX_RESEND_COUNT = 2
-"""Calls to upstreams that refused before, for each part: one for each of the
-two that the users' routes allow."""
+"""Most calls per part to upstreams that shed the request before: one for each
+of the two upstreams that the users' routes allow."""
 
 
 class UpstreamChoice:
-    """The choices of one request."""
+    """Chooses upstreams for the calls of one request."""
 
     def __init__(
         self,
-        ask: callcommand.PlanRequest,
-        knowledge: plancontext.PlanContext,
-        care: probeguard.ProbeGuard,
-        allowed: attempts.Attempts,
+        request: callcommand.PlanRequest,
+        context: plancontext.PlanContext,
+        probe_guard: probeguard.ProbeGuard,
+        request_attempts: attempts.Attempts,
     ):
-        self._ask = ask
-        self._attempts = allowed
-        self._care = care
-        self._know = knowledge
-        self._preferred: dict[str, str] = {}
-        if len(ask.services) > 1 and knowledge.mechanisms.relaying:
-            self._preferred = knowledge.load_balancer.preferred_domains(
-                ask.services
+        self._request = request
+        self._attempts = request_attempts
+        self._probe_guard = probe_guard
+        self._context = context
+        self._preferred_domains: dict[str, str] = {}
+        if len(request.services) > 1 and context.mechanisms.relaying:
+            self._preferred_domains = context.load_balancer.preferred_domains(
+                request.services
             )
 
     def first_upstream(
         self, part: callpart.Part, now_ms: float
     ) -> traffic.Upstream | None:
-        """Returns whom to send a part to at first; None if it may not be."""
+        """Returns the upstream of a part's first call; None if none is allowed.
+
+        If another instance already started the request, the call needs an
+        attempt and a token of the extra-call budget.
+        """
         upstream = self.untried_upstream(part, now_ms)
-        if upstream is None or not self._ask.may_have_run:
+        if upstream is None or not self._request.may_have_run:
             return upstream
         if self._attempts.limit_count < 1:
             part.last_reason = "no_attempts_left"
             return None
-        if not self._know.extra_call_budget.try_spend(part.service, now_ms):
+        if not self._context.extra_call_budget.try_spend(part.service, now_ms):
             part.last_reason = "no_retry_budget"
             return None
         return upstream
@@ -51,30 +55,32 @@
     def untried_upstream(
         self, part: callpart.Part, now_ms: float
     ) -> traffic.Upstream | None:
-        """Returns the best upstream that a part was not sent to yet."""
-        cut = self._know.partition_detector.is_partitioned
-        upstream = self._know.load_balancer.choose(
-            self._ask.route.name,
+        """Returns the best upstream not yet tried for a part."""
+        partitioned = self._context.partition_detector.is_partitioned
+        upstream = self._context.load_balancer.choose(
+            self._request.route.name,
             part.service,
             frozenset(part.tried_upstream_ids),
             now_ms,
-            own_domain_only=cut,
-            preferred_domain=self._preferred.get(part.service, ""),
-            # What it may take along should be as little as can be.
-            prefer_idle=self._care.is_probing,
-            priority=self._ask.route.priority,
+            own_domain_only=partitioned,
+            preferred_domain=self._preferred_domains.get(part.service, ""),
+            # If the request crashes the upstream, as few other requests as
+            # possible should be lost with it.
+            prefer_idle=self._probe_guard.is_probing,
+            priority=self._request.route.priority,
         )
-        if cut and upstream is None:
+        if partitioned and upstream is None:
             part.last_reason = callresult.PARTITIONED
         return upstream
 
     def retry_upstream(
         self, part: callpart.Part, now_ms: float
     ) -> traffic.Upstream | None:
-        """Returns whom to send a part to once more, if the route allows it.
+        """Returns the upstream for a retry of a part; None if none is allowed.
 
-        When there is no other, or it was sent to as many as may be, one that
-        refused is asked again: it has not run the request.
+        If there is no untried upstream, or the attempt limit is reached, an
+        upstream that shed the request is called again, since it has not run
+        the request.
         """
         if len(part.reached_upstream_ids) < self._attempts.limit_count:
             other = self.untried_upstream(part, now_ms)
@@ -82,18 +88,18 @@
                 return other
         if not part.shed_upstream_ids or part.resend_count >= MAX_RESEND_COUNT:
             return None
-        if not self._know.mechanisms.resends:
+        if not self._context.mechanisms.resends:
             return None
         part.resend_count += 1
-        return self._know.load_balancer.usable_upstream(
-            part.shed_upstream_ids.pop(0), self._ask.route.priority, now_ms
+        return self._context.load_balancer.usable_upstream(
+            part.shed_upstream_ids.pop(0), self._request.route.priority, now_ms
         )
 
     def is_cross_domain_only(self, part: callpart.Part) -> bool:
-        """Whether the own failure domain has no upstream for a part."""
-        return part.service in self._preferred
+        """Returns whether no upstream of a part is in the local domain."""
+        return part.service in self._preferred_domains
 
     def is_cross_domain(self, upstream: traffic.Upstream) -> bool:
-        """Whether an upstream is in another failure domain."""
-        own = self._know.load_balancer.settings.failure_domain
+        """Returns whether an upstream is in another failure domain."""
+        own = self._context.load_balancer.settings.failure_domain
         return upstream.failure_domain != own
