--- a/hyssoptack/policy/attempts.py
+++ b/hyssoptack/policy/attempts.py
@@ -15,7 +15,7 @@
 
 
 class Attempts:
-    """The attempts of one request, and the calls deferred until more are granted.
+    """Tracks a request's attempts and what is deferred until more are granted.
 
     Attributes:
         granted: Whether all of the request's attempts may be used.
@@ -37,7 +37,7 @@
         self._retries.append((part, reason))
 
     def defer_stalled(self, call_ids: tuple[int, ...]) -> None:
-        """Defers the hedges of stalled calls until more attempts are granted."""
+        """Defers hedges of stalled calls until more attempts are granted."""
         self._stalled_call_ids.extend(call_ids)
 
     def grant(self) -> tuple[tuple[Retry, ...], tuple[int, ...]]:
--- a/hyssoptack/policy/attempts_test.py
+++ b/hyssoptack/policy/attempts_test.py
@@ -1,4 +1,4 @@
-"""Attempts of a query that two instances may run, in any order of events."""
+"""Tests the attempt limit of a query that two instances may both run."""
 
 import hypothesis
 from hypothesis import strategies
@@ -20,18 +20,21 @@
 
 
 def _plan(attempts_count=2, **changes):
-    """Returns a query over two shards; the second has one upstream."""
-    know = plans.plan_context(*_upstreams(), plans.upstream("v0", "s1"))
+    """Returns the plan of a query over two shards.
+
+    The first shard has `COPY_COUNT` upstreams, the second has one.
+    """
+    context = plans.plan_context(*_upstreams(), plans.upstream("v0", "s1"))
     target = plans.shards(2, 0.5)
-    whole = plans.plan(know, target, attempts=attempts_count).request
+    request = plans.plan(context, target, attempts=attempts_count).request
     fields = {
-        "route": whole.route,
-        "services": whole.services,
-        "goal_at_ms": whole.goal_at_ms,
-        "ends_at_ms": whole.deadline_at_ms,
+        "route": request.route,
+        "services": request.services,
+        "goal_at_ms": request.goal_at_ms,
+        "deadline_at_ms": request.deadline_at_ms,
         **changes,
     }
-    return callplan.CallPlan(callcommand.PlanRequest(**fields), know, 0.0)
+    return callplan.CallPlan(callcommand.PlanRequest(**fields), context, 0.0)
 
 
 def test_a_hedge_waits_until_the_other_attempts_are_granted():
@@ -55,7 +58,7 @@
     assert again.upstream.upstream_id != first.upstream.upstream_id
 
 
-def test_a_refused_connection_is_no_attempt_and_waits_for_nothing():
+def test_a_reroute_after_a_refused_connection_needs_no_granted_attempt():
     running = _plan(awaits_grant=True)
     first = plans.sends(running.start(0.0))[0]
     (other,) = plans.sends(
@@ -64,7 +67,7 @@
     assert other.upstream.upstream_id != first.upstream.upstream_id
 
 
-def test_a_part_that_waits_for_attempts_ends_with_its_query():
+def test_a_deferred_retry_is_dropped_when_its_query_ends():
     running = _plan(awaits_grant=True)
     first = plans.sends(running.start(0.0))[0]
     running.on_outcome(first.call_id, plans.FAILED, 5.0)
@@ -74,71 +77,80 @@
 
 
 class _Instance:
-    """A plan, and the upstreams that may have seen its calls."""
+    """A plan, its open calls and the upstreams that may have seen them."""
 
     def __init__(self, plan):
         self.plan = plan
-        self.seen: set[str] = set()
+        self.reached_upstream_ids: set[str] = set()
         self._open: list[callcommand.Send] = []
         self._now_ms = 0.0
 
-    def take(self, commands):
-        """Carries out commands."""
+    def execute(self, commands):
+        """Records the calls that the commands send."""
         for each in plans.sends(commands):
             self._open.append(each)
             if each.upstream.service == "s0":
-                self.seen.add(each.upstream.upstream_id)
+                self.reached_upstream_ids.add(each.upstream.upstream_id)
+
+    def step(self, event):
+        """Advances the time by 20 ms and applies one event of event.
 
-    def step(self, kind):
-        """Lets something happen to the oldest call, or time pass."""
+        Args:
+            event: "time" for a timeout, "dries" for stalled calls, else the
+                outcome of the oldest open call.
+        """
         self._now_ms += 20.0
-        match kind:
+        match event:
             case "time":
-                self.take(self.plan.on_time(self._now_ms))
+                self.execute(self.plan.on_timeout(self._now_ms))
             case "dries":
                 ids = [each.call_id for each in self._open]
-                self.take(self.plan.on_dried_up(ids, self._now_ms))
+                self.execute(self.plan.on_stalled(ids, self._now_ms))
             case _ if self._open:
-                self._end(self._open.pop(0), kind)
+                self._end_call(self._open.pop(0), event)
 
-    def _end(self, call, kind):
+    def _end_call(self, call, event):
         outcome = {
             "fails": plans.FAILED,
             "sheds": plans.SHED,
             "unreached": plans.UNREACHABLE,
-        }[kind]
+        }[event]
         if not outcome.reached:
-            self.seen.discard(call.upstream.upstream_id)
-        self.take(self.plan.on_outcome(call.call_id, outcome, self._now_ms))
+            self.reached_upstream_ids.discard(call.upstream.upstream_id)
+        self.execute(self.plan.on_outcome(call.call_id, outcome, self._now_ms))
 
     def grant(self):
-        """Grants the other attempts."""
-        self.take(self.plan.on_granted(self._now_ms))
+        """Grants the plan the route's remaining attempts."""
+        self.execute(self.plan.on_attempts_granted(self._now_ms))
 
 
 @hypothesis.settings(max_examples=150, deadline=None)
 @hypothesis.given(
     attempts_count=strategies.integers(2, 3),
-    before=STEPS,
-    at_neighbour=STEPS,
-    at_sender=STEPS,
-    heard=strategies.booleans(),
+    first_events=STEPS,
+    neighbour_events=STEPS,
+    sender_events=STEPS,
+    knows_start=strategies.booleans(),
 )
 def test_two_instances_never_use_more_attempts_than_the_route_has(
-    attempts_count, before, at_neighbour, at_sender, heard
+    attempts_count, first_events, neighbour_events, sender_events, knows_start
 ):
     neighbour = _Instance(_plan(attempts_count, awaits_grant=True))
-    neighbour.take(neighbour.plan.start(0.0))
-    for kind in before:
-        neighbour.step(kind)
+    neighbour.execute(neighbour.plan.start(0.0))
+    for event in first_events:
+        neighbour.step(event)
     sender = _Instance(_plan(attempts_count, may_have_run=True))
-    if heard:
-        # The sender does not take back what it heard to have begun.
+    if knows_start:
+        # The sender does not take back a query that it knows to have
+        # started.
         neighbour.grant()
     else:
-        sender.take(sender.plan.start(0.0))
-    for kind in at_neighbour:
-        neighbour.step(kind)
-    for kind in at_sender:
-        sender.step(kind)
-    assert len(neighbour.seen | sender.seen) <= attempts_count
+        sender.execute(sender.plan.start(0.0))
+    for event in neighbour_events:
+        neighbour.step(event)
+    for event in sender_events:
+        sender.step(event)
+    assert (
+        len(neighbour.reached_upstream_ids | sender.reached_upstream_ids)
+        <= attempts_count
+    )
--- a/hyssoptack/policy/budget.py
+++ b/hyssoptack/policy/budget.py
@@ -9,9 +9,10 @@
 import dataclasses
 
 BURST_COUNT = 20.0
-"""Capacity of the bucket: the most tokens that can accumulate in quiet times."""
+"""Capacity of the bucket: the most tokens that can accumulate."""
 
 INITIAL_COUNT = 5.0
+"""Tokens in a new bucket."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/hyssoptack/policy/callcommand.py
+++ b/hyssoptack/policy/callcommand.py
@@ -52,7 +52,14 @@
 
 
 class OutcomeKind(enum.Enum):
-    """Classifies how a call ended with regard to the request."""
+    """How a call ended, with regard to the request.
+
+    Attributes:
+        ANSWERED: The upstream answered.
+        NOT_RUN: The upstream did not run the request.
+        SHED: The upstream refused the request for lack of capacity.
+        FAILED: The call failed, and the request may have run.
+    """
 
     ANSWERED = "answered"
     NOT_RUN = "not_run"
--- a/hyssoptack/policy/callerlatency.py
+++ b/hyssoptack/policy/callerlatency.py
@@ -26,6 +26,7 @@
 instead of to the round trip of a new connection."""
 
 ROUND_TRIP_SAMPLES_COUNT = 32
+"""Number of recent round trips over which the median is taken."""
 
 WAIT_SAMPLES_COUNT = 256
 """Number of recent requests of a route whose longest wait is taken as the full
@@ -99,5 +100,5 @@
 
     @property
     def margin_ms(self) -> float:
-        """Time to reserve before a latency goal that counts from the sending."""
+        """Time to reserve before a goal that counts from sending the request."""
         return self.round_trip_ms + self.answer_delay.estimate_ms
--- a/hyssoptack/policy/callpart.py
+++ b/hyssoptack/policy/callpart.py
@@ -50,7 +50,7 @@
         reply: The answer; None until one arrives.
         failure: An upstream's failure reply, which is passed on to the caller.
         abandoned: Whether the part was given up without an answer.
-        hedged: Whether a hedge was sent or ruled out for lack of budget.
+        hedged: Whether a hedge was attempted; there is at most one.
         last_reason: Reason of the last outcome, for the caller and the log.
     """
 
--- a/hyssoptack/policy/callplan.py
+++ b/hyssoptack/policy/callplan.py
@@ -34,7 +34,7 @@
 value, an answer without that part only a twentieth."""
 
 DEADLINE_MARGIN_MS = 10.0
-"""Time reserved before the caller's deadline to write and transmit the answer."""
+"""Time reserved before the caller's deadline to write and send the answer."""
 
 
 class CallPlan:
@@ -44,7 +44,7 @@
         request: The request.
         calls: The open calls.
         finished: Whether the request has ended.
-        caution: The guard against requests that crash upstreams.
+        caution: Guard against requests that crash upstreams.
         attempts: The attempts that the request may make from this instance.
     """
 
@@ -420,7 +420,7 @@
             relayed
             and self._upstream_choice.untried_upstream(part, now_ms) is None
         ):
-            # The upstream may be healthy and the relaying instance gone.
+            # The upstream may be healthy and the relaying instance lost.
             part.tried_upstream_ids.discard(call.upstream_id)
         return self._send(part, now_ms, probeguard.HEDGE)
 
--- a/hyssoptack/policy/callplan_cross_test.py
+++ b/hyssoptack/policy/callplan_cross_test.py
@@ -1,4 +1,4 @@
-"""Which calls of a query are for instances of other failure domains."""
+"""Tests which calls of a query are relayed by instances of other domains."""
 
 from hyssoptack.policy import callcommand
 from hyssoptack.policy import callplan_test
@@ -6,48 +6,48 @@
 SHARD_COUNT = 6
 
 
-def _plan(*far_only):
-    """A plan over shards with upstreams here and in the south.
+def _plan(*remote_only):
+    """Returns a plan over shards with upstreams in the local and another domain.
 
     Args:
-        *far_only: Shards that have none here.
+        *remote_only: Numbers of the shards without a local upstream.
     """
     upstreams = []
     for shard in range(SHARD_COUNT):
         service = f"s{shard}"
-        if shard not in far_only:
+        if shard not in remote_only:
             upstreams.append(callplan_test.upstream(f"n{shard}", service))
         upstreams += [
             callplan_test.upstream(f"f{shard}-{copy}", service, zone="south")
             for copy in range(2)
         ]
-    know = callplan_test.plan_context(*upstreams)
-    return callplan_test.plan(know, callplan_test.shards(SHARD_COUNT, 0.8))
+    context = callplan_test.plan_context(*upstreams)
+    return callplan_test.plan(context, callplan_test.shards(SHARD_COUNT, 0.8))
 
 
-def test_calls_that_only_another_domain_can_take_are_for_instances_there():
+def test_shards_without_local_upstreams_are_marked_cross_domain_only():
     plan = _plan(0, 1, 2)
     sends = callplan_test.sends(plan.start(0.0))
-    crossing = {
+    cross_domain_services = {
         each.upstream.service for each in sends if each.cross_domain_only
     }
-    assert crossing == {"s0", "s1", "s2"}
+    assert cross_domain_services == {"s0", "s1", "s2"}
 
 
-def test_under_load_calls_that_leave_a_full_domain_go_from_here():
-    # Near upstreams refuse for want of room: the next ones are far, and the
-    # detour over another instance would cost as many bytes once more.
+def test_retries_that_leave_an_overloaded_domain_are_not_relayed():
+    # The local upstreams shed the calls, so the retries go to another domain.
+    # Relaying them would transfer the same bytes a second time.
     plan = _plan()
     sends = callplan_test.sends(plan.start(0.0))
     assert not any(each.cross_domain_only for each in sends)
     shed = callcommand.Outcome(kind=callcommand.OutcomeKind.SHED)
-    again = [
+    retries = [
         each
         for first in sends
         for each in callplan_test.sends(
             plan.on_outcome(first.call_id, shed, 5.0)
         )
     ]
-    assert len(again) == SHARD_COUNT
-    assert all(each.upstream.failure_domain == "south" for each in again)
-    assert not any(each.cross_domain_only for each in again)
+    assert len(retries) == SHARD_COUNT
+    assert all(each.upstream.failure_domain == "south" for each in retries)
+    assert not any(each.cross_domain_only for each in retries)
--- a/hyssoptack/policy/callplan_partition_test.py
+++ b/hyssoptack/policy/callplan_partition_test.py
@@ -1,4 +1,4 @@
-"""What a request's decisions make of a failure domain that is cut off."""
+"""Tests call plans during a network partition between failure domains."""
 
 from hyssoptack.policy import callcommand
 from hyssoptack.policy import callplan_test
@@ -6,30 +6,32 @@
 from hyssoptack.policy import partitiondetector
 
 
-def _cut_off(floor_ratio):
-    """A query over two shards here and four elsewhere, while cut off."""
-    here = [callplan_test.upstream(f"u{i}", f"s{i}") for i in range(2)]
-    there = [
+def _start_partitioned(floor_ratio):
+    """Starts a query over two local and four remote shards while partitioned."""
+    local = [callplan_test.upstream(f"u{i}", f"s{i}") for i in range(2)]
+    remote = [
         callplan_test.upstream(f"u{i}", f"s{i}", zone="south")
         for i in range(2, 6)
     ]
-    know = callplan_test.plan_context(*here, *there)
-    know.partition_detector.state = partitiondetector.PartitionState.PARTITIONED
-    return callplan_test.plan(know, callplan_test.shards(6, floor_ratio)).start(
-        0.0
+    context = callplan_test.plan_context(*local, *remote)
+    context.partition_detector.state = (
+        partitiondetector.PartitionState.PARTITIONED
     )
+    return callplan_test.plan(
+        context, callplan_test.shards(6, floor_ratio)
+    ).start(0.0)
 
 
-def test_what_a_cut_off_domain_can_not_cover_is_refused_at_once():
-    commands = _cut_off(floor_ratio=0.9)
+def test_a_query_below_its_floor_in_a_partition_is_refused_at_once():
+    commands = _start_partitioned(floor_ratio=0.9)
     assert not callplan_test.sends(commands)
     assert callplan_test.result(commands) == callcommand.Refuse(
         reason="failure_domain_cut_off"
     )
 
 
-def test_a_cut_off_domain_serves_what_it_can_cover():
-    commands = _cut_off(floor_ratio=0.3)
+def test_a_query_that_local_shards_can_cover_is_sent_in_a_partition():
+    commands = _start_partitioned(floor_ratio=0.3)
     assert {
         each.upstream.upstream_id for each in callplan_test.sends(commands)
     } == {
@@ -38,45 +40,46 @@
     }
 
 
-def test_a_query_that_heard_nothing_from_afar_raises_a_doubt():
-    here = [callplan_test.upstream(f"u{i}", f"s{i}") for i in range(2)]
-    there = [
+def test_a_query_without_any_remote_answer_makes_a_partition_suspected():
+    local = [callplan_test.upstream(f"u{i}", f"s{i}") for i in range(2)]
+    remote = [
         callplan_test.upstream(f"u{i}", f"s{i}", zone="south")
         for i in range(2, 6)
     ]
-    know = callplan_test.plan_context(*here, *there)
-    running = callplan_test.plan(know, callplan_test.shards(6, 0.9))
+    context = callplan_test.plan_context(*local, *remote)
+    running = callplan_test.plan(context, callplan_test.shards(6, 0.9))
     for call in callplan_test.sends(running.start(0.0))[:2]:
         running.on_outcome(call.call_id, callplan_test.answered(), 10.0)
     running.on_timeout(callplan_test.END_MS)
     assert (
-        know.partition_detector.state
+        context.partition_detector.state
         is partitiondetector.PartitionState.SUSPECTED
     )
 
 
-def test_refused_calls_into_other_domains_raise_a_doubt():
-    # In a cut by resets each query ended within 6 ms, and was failed for 5.6 s.
-    know = callplan_test.plan_context(
+def test_refused_calls_to_other_domains_make_a_partition_suspected():
+    # If connections are reset during a partition, each query ends within 6 ms,
+    # before any wait counts. Without this rule queries failed for 5.6 s.
+    context = callplan_test.plan_context(
         callplan_test.upstream("n0"),
         *(
             callplan_test.upstream(f"f{i}", f"s{i}", zone="south")
             for i in range(1, 5)
         ),
     )
-    running = callplan_test.plan(know, callplan_test.shards(5, 0.2))
+    running = callplan_test.plan(context, callplan_test.shards(5, 0.2))
     calls = callplan_test.sends(running.start(0.0))
     for call in calls:
         if call.upstream.failure_domain == "south":
             running.on_outcome(call.call_id, callplan_test.UNREACHABLE, 2.0)
     assert (
-        know.partition_detector.state
+        context.partition_detector.state
         is partitiondetector.PartitionState.SUSPECTED
     )
 
 
-def test_when_a_cut_is_seen_what_the_own_domain_can_not_cover_ends():
-    know = callplan_test.plan_context(
+def test_a_detected_partition_ends_queries_that_cannot_reach_their_floor():
+    context = callplan_test.plan_context(
         callplan_test.upstream("n0"),
         callplan_test.upstream("n1", "s1"),
         *(
@@ -84,72 +87,85 @@
             for i in range(2, 6)
         ),
     )
-    running = callplan_test.plan(know, callplan_test.shards(6, 0.9))
+    running = callplan_test.plan(context, callplan_test.shards(6, 0.9))
     running.start(0.0)
-    know.partition_detector.state = partitiondetector.PartitionState.PARTITIONED
+    context.partition_detector.state = (
+        partitiondetector.PartitionState.PARTITIONED
+    )
     commands = running.on_partition(50.0)
     end = callplan_test.result(commands)
     assert isinstance(end, callcommand.Fail)
     assert end.reason == callresult.PARTITIONED
     assert not end.timed_out
-    # The upstreams beyond the cut are not taken for slow ones.
-    assert know.load_balancer.upstream_states["f2"].slowness_ratio == 1.0
+    # Unreachable upstreams are not recorded as slow.
+    assert context.load_balancer.upstream_states["f2"].slowness_ratio == 1.0
 
 
-def test_when_a_cut_is_seen_calls_move_to_the_own_domain():
-    know = callplan_test.plan_context(
+def test_a_detected_partition_moves_calls_to_the_local_domain():
+    context = callplan_test.plan_context(
         callplan_test.upstream("n0"),
         callplan_test.upstream("f0", zone="south"),
         callplan_test.upstream("n1", "s1"),
     )
-    know.load_balancer.record_connect_failure("n0", 0.0)
-    running = callplan_test.plan(know, callplan_test.shards(2, 0.9))
+    context.load_balancer.record_connect_failure("n0", 0.0)
+    running = callplan_test.plan(context, callplan_test.shards(2, 0.9))
     first = callplan_test.sends(running.start(0.0))
     assert [each.upstream.upstream_id for each in first] == ["f0", "n1"]
-    know.partition_detector.state = partitiondetector.PartitionState.PARTITIONED
-    (again,) = callplan_test.sends(running.on_partition(20.0))
-    assert again.upstream.upstream_id == "n0"
+    context.partition_detector.state = (
+        partitiondetector.PartitionState.PARTITIONED
+    )
+    (retry,) = callplan_test.sends(running.on_partition(20.0))
+    assert retry.upstream.upstream_id == "n0"
 
 
-def test_a_call_given_up_in_the_same_breath_may_be_said_to_wait():
-    # Found by a grown day: a cut moved one part to the own domain and then
-    # ended the query; the runner's word on the first call ended the process.
-    know = callplan_test.plan_context(
+def test_marking_a_call_that_was_already_cancelled_is_ignored():
+    # A partition moves one part to the local domain and then ends the query.
+    # The runner still reports the new call, now cancelled, as waiting for a
+    # connection. This ended the process.
+    context = callplan_test.plan_context(
         callplan_test.upstream("f0", zone="south"),
         callplan_test.upstream("n0"),
         callplan_test.upstream("f1", "s1", zone="south"),
         callplan_test.upstream("f2", "s2", zone="south"),
     )
-    know.load_balancer.record_connect_failure("n0", 0.0)
-    running = callplan_test.plan(know, callplan_test.shards(3, 0.9))
+    context.load_balancer.record_connect_failure("n0", 0.0)
+    running = callplan_test.plan(context, callplan_test.shards(3, 0.9))
     running.start(0.0)
-    know.partition_detector.state = partitiondetector.PartitionState.PARTITIONED
+    context.partition_detector.state = (
+        partitiondetector.PartitionState.PARTITIONED
+    )
     commands = running.on_partition(20.0)
     assert callplan_test.result(commands) is not None
-    (again,) = callplan_test.sends(commands)
-    running.calls.mark_unsent(again.call_id)
+    (retry,) = callplan_test.sends(commands)
+    running.calls.mark_unsent(retry.call_id)
 
 
-def test_while_cut_off_a_single_request_stays_near_or_is_refused():
-    know = callplan_test.plan_context(
+def test_a_single_request_in_a_partition_stays_local_or_is_refused():
+    context = callplan_test.plan_context(
         callplan_test.upstream("n"), callplan_test.upstream("f", zone="south")
     )
-    know.load_balancer.record_connect_failure("n", 0.0)
-    know.partition_detector.state = partitiondetector.PartitionState.PARTITIONED
-    (first,) = callplan_test.sends(callplan_test.plan(know).start(0.0))
+    context.load_balancer.record_connect_failure("n", 0.0)
+    context.partition_detector.state = (
+        partitiondetector.PartitionState.PARTITIONED
+    )
+    (first,) = callplan_test.sends(callplan_test.plan(context).start(0.0))
     assert first.upstream.upstream_id == "n"
-    know = callplan_test.plan_context(callplan_test.upstream("f", zone="south"))
-    know.partition_detector.state = partitiondetector.PartitionState.PARTITIONED
+    context = callplan_test.plan_context(
+        callplan_test.upstream("f", zone="south")
+    )
+    context.partition_detector.state = (
+        partitiondetector.PartitionState.PARTITIONED
+    )
     end = callplan_test.result(
-        callplan_test.plan(know, idempotent=False).start(0.0)
+        callplan_test.plan(context, idempotent=False).start(0.0)
     )
     assert end == callcommand.Refuse(reason=callresult.PARTITIONED)
 
 
-def test_an_upstream_that_a_lost_gatherer_may_have_called_stays_an_attempt():
-    # Found in a grown day: called again from here and not reached, it was
-    # taken for one that had seen nothing, and 6 requests ran on three
-    # upstreams of a shard where routes allow two.
+def test_an_upstream_that_a_lost_gatherer_may_have_called_counts_as_reached():
+    # The upstream is called again by this instance, and that call does not
+    # reach it. It must still count as reached by the gatherer's call: else
+    # requests run on three upstreams of a shard where the route allows two.
     target = callplan_test.shards(2, 1.0)
     listed = [
         callplan_test.upstream(f"{name}-{end}", service=name)
@@ -162,11 +178,11 @@
     lost = callcommand.Outcome(
         kind=callcommand.OutcomeKind.FAILED, reason=callresult.GATHERER_LOST
     )
-    (again,) = callplan_test.sends(plan.on_outcome(first.call_id, lost, 10.0))
-    assert again.upstream == first.upstream
+    (retry,) = callplan_test.sends(plan.on_outcome(first.call_id, lost, 10.0))
+    assert retry.upstream == first.upstream
     unreached = callplan_test.UNREACHABLE
     (other,) = callplan_test.sends(
-        plan.on_outcome(again.call_id, unreached, 12.0)
+        plan.on_outcome(retry.call_id, unreached, 12.0)
     )
     assert other.upstream != first.upstream
     failed = callplan_test.FAILED
--- a/hyssoptack/policy/callresult.py
+++ b/hyssoptack/policy/callresult.py
@@ -4,25 +4,28 @@
 from hyssoptack.policy import callpart
 
 PARTITIONED = "failure_domain_cut_off"
-"""Reason: no upstream is reachable while the failure domain is partitioned."""
+"""Reason for a part or call that cannot reach an upstream in another failure
+domain during a network partition."""
 
 GATHERER_LOST = "gatherer_lost"
-"""Reason: the instance that made the call is gone or does not respond."""
+"""Reason for a call whose outcome is unknown: the instance that made it is gone
+or does not respond."""
 
 GATHERER_DECLINED = "gatherer_declined"
-"""Reason: the instance that was to make the call declined to make any."""
+"""Reason for a call that was not made: the instance that was to make it makes no
+calls."""
 
 GATHERER_FAULTS = frozenset((GATHERER_LOST, GATHERER_DECLINED))
-"""Reasons that lie with the gatherer: this instance may call the upstream
-itself."""
+"""Reasons for which this instance may call the upstream itself: the fault lies
+with the gatherer, the instance that makes calls for others."""
 
 CRASHES_UPSTREAMS = "crashes_upstreams"
-"""Reason: this instance or the relaying one rejected the request because
-upstreams exited each time that it ran (`policy.quarantine`)."""
+"""Reason for a request that this instance or its gatherer rejects: upstreams
+exited each time that it ran (`policy.quarantine`)."""
 
 NOT_LISTED_AT_GATHERER = "not_listed_there"
-"""Reason: the instance that was to make the call does not know the upstream, or
-knows that it is draining."""
+"""Reason for a call that was not made: the gatherer does not know the upstream,
+or knows that it is draining."""
 
 
 def request_result(
@@ -46,7 +49,7 @@
         )
         return callcommand.Answer(replies=replies, part_count=len(parts.all))
     unanswered = [part for part in parts.all if part.reply is None]
-    lost = [part for part in unanswered if part.lost]
+    lost = [part for part in unanswered if part.abandoned]
     worst = (lost or unanswered)[0]
     reason = "deadline" if timed_out else worst.last_reason
     if may_have_run:
--- a/hyssoptack/policy/hedgequeue.py
+++ b/hyssoptack/policy/hedgequeue.py
@@ -14,6 +14,7 @@
 from hyssoptack.policy import hedgetiming
 
 MayHedge = collections.abc.Callable[[callpart.Part], bool]
+"""A function that returns whether a part may be hedged."""
 
 
 class HedgeQueue:
@@ -62,7 +63,7 @@
         )
 
     def next_due_ms(self) -> float:
-        """Returns the time at which the next call is due; infinity for never."""
+        """Returns when the next call is due; infinity for never."""
         next_ms = math.inf
         call = self._oldest_open(self._own)
         if call is not None:
--- a/hyssoptack/policy/records.py
+++ b/hyssoptack/policy/records.py
@@ -3,6 +3,7 @@
 import heapq
 
 RECORD_BYTES = 16
+"""Length of a record in bytes."""
 
 
 def greatest(bodies: tuple[bytes, ...], top_count: int) -> bytes:
--- a/hyssoptack/policy/records_test.py
+++ b/hyssoptack/policy/records_test.py
@@ -1,4 +1,4 @@
-"""The merge of records, against the obvious way."""
+"""Tests the merge of records against a naive implementation."""
 
 import hypothesis
 import hypothesis.strategies
@@ -12,15 +12,15 @@
 
 @hypothesis.given(_bodies, hypothesis.strategies.integers(1, 9))
 def test_the_greatest_records_come_first(bodies, top_count):
-    cut = [
+    whole_records = [
         body[start : start + 16]
         for body in bodies
         for start in range(0, len(body), 16)
         if len(body[start : start + 16]) == 16
     ]
-    expected = b"".join(sorted(cut, reverse=True)[:top_count])
+    expected = b"".join(sorted(whole_records, reverse=True)[:top_count])
     assert records.greatest(tuple(bodies), top_count) == expected
 
 
-def test_equal_records_all_count():
+def test_duplicate_records_are_kept():
     assert records.greatest((b"a" * 16, b"a" * 16), 5) == b"a" * 32
