--- a/hyssoptack/policy/attempts_test.py
+++ b/hyssoptack/policy/attempts_test.py
@@ -93,7 +93,7 @@
                 self.reached_upstream_ids.add(each.upstream.upstream_id)
 
     def step(self, event):
-        """Advances the time by 20 ms and applies one event of event.
+        """Advances the time by 20 ms and applies one event.
 
         Args:
             event: "time" for a timeout, "dries" for stalled calls, else the
--- a/hyssoptack/policy/callerlatency.py
+++ b/hyssoptack/policy/callerlatency.py
@@ -100,5 +100,5 @@
 
     @property
     def margin_ms(self) -> float:
-        """Time to reserve before a goal that counts from sending the request."""
+        """Time to reserve before a goal counted from sending the request."""
         return self.round_trip_ms + self.answer_delay.estimate_ms
--- a/hyssoptack/policy/callplan.py
+++ b/hyssoptack/policy/callplan.py
@@ -420,7 +420,7 @@
             relayed
             and self._upstream_choice.untried_upstream(part, now_ms) is None
         ):
-            # The upstream may be healthy and the relaying instance lost.
+            # The relaying instance may be lost and the upstream healthy.
             part.tried_upstream_ids.discard(call.upstream_id)
         return self._send(part, now_ms, probeguard.HEDGE)
 
--- a/hyssoptack/policy/callplan_crash_test.py
+++ b/hyssoptack/policy/callplan_crash_test.py
@@ -1,4 +1,4 @@
-"""How a request is sent under which upstreams end."""
+"""Tests call plans of requests that crash the upstreams that run them."""
 
 from hyssoptack.policy import callcommand
 from hyssoptack.policy import callplan_test
@@ -6,59 +6,66 @@
 
 SHARD_COUNT = 4
 COPY_COUNT = 3
-NAME = "00c0ffee"
+FINGERPRINT = "00c0ffee"
 ANSWERED = callcommand.Outcome(
     kind=callcommand.OutcomeKind.ANSWERED, reply=b"records"
 )
-ENDED = callcommand.Outcome(
+EXITED = callcommand.Outcome(
     kind=callcommand.OutcomeKind.FAILED,
     reason="connection_closed",
     upstream_exited=True,
     was_only_call=True,
 )
-BROKEN = callcommand.Outcome(
+RESET = callcommand.Outcome(
     kind=callcommand.OutcomeKind.FAILED, reason="connection_reset"
 )
 CRASHES = callcommand.Fail(reason=callresult.CRASHES_UPSTREAMS, timed_out=False)
 
 
-class _Sent:
-    """One attempt of a query, and the calls of it that are out."""
+class _RequestRun:
+    """One run of a request.
 
-    def __init__(self, know, name=NAME, single=False, **given):
+    Attributes:
+        plan: The plan of the request.
+        open_calls: The open calls, by call ID.
+        result: The result; None until the request has ended.
+        sent_count: Number of calls sent so far.
+    """
+
+    def __init__(self, context, name=FINGERPRINT, single=False, **given):
         target = None if single else callplan_test.shards(SHARD_COUNT, 0.75)
-        self.plan = callplan_test.plan(know, target, name=name, **given)
-        self.out: dict[int, callcommand.Send] = {}
+        self.plan = callplan_test.plan(context, target, name=name, **given)
+        self.open_calls: dict[int, callcommand.Send] = {}
         self.result = None
-        self.count = 0
+        self.sent_count = 0
 
-    def take(self, commands):
-        """Carries commands out."""
+    def execute(self, commands):
+        """Applies commands to the open calls, the count and the result."""
         for each in commands:
             match each:
                 case callcommand.Send():
-                    self.out[each.call_id] = each
-                    self.count += 1
+                    self.open_calls[each.call_id] = each
+                    self.sent_count += 1
                 case callcommand.Cancel(call_id=call_id):
-                    self.out.pop(call_id)
+                    self.open_calls.pop(call_id)
                 case callcommand.Finish(result=result):
                     self.result = result
 
     def start(self, now_ms=0.0):
-        """Starts the attempt."""
-        self.take(self.plan.start(now_ms))
+        """Starts the run."""
+        self.execute(self.plan.start(now_ms))
         return self
 
-    def end(self, outcome, now_ms, count=1):
-        """Ends the oldest calls that are out, one after the other."""
-        for call_id in list(self.out)[:count]:
-            if self.out.pop(call_id, None) is None:
-                # Cancelled, as the attempt was over.
+    def end_calls(self, outcome, now_ms, count=1):
+        """Ends the oldest open calls with an outcome, one after the other."""
+        for call_id in list(self.open_calls)[:count]:
+            if self.open_calls.pop(call_id, None) is None:
+                # The call was cancelled because the request ended.
                 continue
-            self.take(self.plan.on_outcome(call_id, outcome, now_ms))
+            self.execute(self.plan.on_outcome(call_id, outcome, now_ms))
 
 
-def _know(**given):
+def _plan_context(**given):
     upstreams = [
         callplan_test.upstream(f"u{shard}-{copy}", f"s{shard}")
         for shard in range(SHARD_COUNT)
@@ -67,180 +74,181 @@
     return callplan_test.plan_context(*upstreams, **given)
 
 
-def test_a_query_that_ends_all_its_upstreams_costs_two_more_and_no_third():
-    know = _know()
-    sent = _Sent(know).start()
-    assert len(sent.out) == SHARD_COUNT
-    # The others are waited for: one of them may answer.
-    sent.end(ENDED, 20.0, SHARD_COUNT - 1)
-    assert sent.count == SHARD_COUNT
-    sent.end(ENDED, 20.0)
+def test_a_query_that_crashes_all_its_upstreams_gets_only_two_probes():
+    context = _plan_context()
+    run = _RequestRun(context).start()
+    assert len(run.open_calls) == SHARD_COUNT
+    # The last call is waited for, since it may be answered.
+    run.end_calls(EXITED, 20.0, SHARD_COUNT - 1)
+    assert run.sent_count == SHARD_COUNT
+    run.end_calls(EXITED, 20.0)
     for now_ms in (40.0, 60.0):
-        assert len(sent.out) == 1
-        assert all(each.is_probe for each in sent.out.values())
-        sent.end(ENDED, now_ms)
-    assert sent.result == CRASHES
-    assert sent.count == SHARD_COUNT + 2
-
-
-def test_it_is_refused_from_then_on_at_once_whoever_repeats_it():
-    know = _know()
-    sent = _Sent(know).start()
-    sent.end(ENDED, 20.0, SHARD_COUNT)
-    sent.end(ENDED, 40.0)
-    sent.end(ENDED, 60.0)
-    again = _Sent(know).start(70.0)
-    assert (again.count, again.result) == (0, CRASHES)
-    other = _Sent(know, name="0ddba11").start(70.0)
-    assert other.count == SHARD_COUNT
-
-
-def test_one_answer_sends_all_the_rest_as_ever():
-    know = _know()
-    sent = _Sent(know).start()
-    sent.end(ENDED, 20.0, SHARD_COUNT)
-    assert len(sent.out) == 1
-    sent.end(ANSWERED, 30.0)
-    assert len(sent.out) == SHARD_COUNT - 1
-    assert not any(each.is_probe for each in sent.out.values())
-    sent.end(ANSWERED, 40.0, SHARD_COUNT)
-    assert len(sent.result.replies) == SHARD_COUNT
-    assert not know.suspicions.has_entries
-
-
-def test_what_is_answered_in_part_is_not_held_up_by_an_end():
-    # Most queries that lose an upstream: nothing but the usual retry.
-    know = _know()
-    sent = _Sent(know).start()
-    sent.end(ANSWERED, 10.0)
-    sent.end(ENDED, 20.0)
-    assert len(sent.out) == SHARD_COUNT - 1
-    assert not any(each.is_probe for each in sent.out.values())
-    assert not know.suspicions.has_entries
-
-
-def test_a_broken_connection_is_no_end():
-    know = _know()
-    sent = _Sent(know).start()
-    sent.end(BROKEN, 10.0, SHARD_COUNT)
-    assert len(sent.out) == SHARD_COUNT
-    assert not know.suspicions.has_entries
-
-
-def test_a_careful_call_goes_where_least_is_in_hand():
-    know = _know()
-    _Sent(know).start().end(ENDED, 20.0, SHARD_COUNT)
+        assert len(run.open_calls) == 1
+        assert all(each.is_probe for each in run.open_calls.values())
+        run.end_calls(EXITED, now_ms)
+    assert run.result == CRASHES
+    assert run.sent_count == SHARD_COUNT + 2
+
+
+def test_repeats_of_a_quarantined_query_are_rejected_at_once():
+    context = _plan_context()
+    run = _RequestRun(context).start()
+    run.end_calls(EXITED, 20.0, SHARD_COUNT)
+    run.end_calls(EXITED, 40.0)
+    run.end_calls(EXITED, 60.0)
+    repeated = _RequestRun(context).start(70.0)
+    assert (repeated.sent_count, repeated.result) == (0, CRASHES)
+    other = _RequestRun(context, name="0ddba11").start(70.0)
+    assert other.sent_count == SHARD_COUNT
+
+
+def test_an_answered_probe_releases_all_other_parts():
+    context = _plan_context()
+    run = _RequestRun(context).start()
+    run.end_calls(EXITED, 20.0, SHARD_COUNT)
+    assert len(run.open_calls) == 1
+    run.end_calls(ANSWERED, 30.0)
+    assert len(run.open_calls) == SHARD_COUNT - 1
+    assert not any(each.is_probe for each in run.open_calls.values())
+    run.end_calls(ANSWERED, 40.0, SHARD_COUNT)
+    assert len(run.result.replies) == SHARD_COUNT
+    assert not context.suspicions.has_entries
+
+
+def test_a_partly_answered_query_is_retried_normally_after_a_crash():
+    # The usual case of a query that loses an upstream: a retry, no probe.
+    context = _plan_context()
+    run = _RequestRun(context).start()
+    run.end_calls(ANSWERED, 10.0)
+    run.end_calls(EXITED, 20.0)
+    assert len(run.open_calls) == SHARD_COUNT - 1
+    assert not any(each.is_probe for each in run.open_calls.values())
+    assert not context.suspicions.has_entries
+
+
+def test_a_connection_reset_does_not_count_as_a_crash():
+    context = _plan_context()
+    run = _RequestRun(context).start()
+    run.end_calls(RESET, 10.0, SHARD_COUNT)
+    assert len(run.open_calls) == SHARD_COUNT
+    assert not context.suspicions.has_entries
+
+
+def test_a_probe_goes_to_the_upstream_with_the_fewest_open_calls():
+    context = _plan_context()
+    _RequestRun(context).start().end_calls(EXITED, 20.0, SHARD_COUNT)
     for shard in range(SHARD_COUNT):
         for copy in range(COPY_COUNT - 1):
-            know.load_balancer.begin_call(f"u{shard}-{copy}", 0.0)
-    sent = _Sent(know).start(100.0)
-    (only,) = sent.out.values()
-    assert only.upstream.upstream_id.endswith(f"-{COPY_COUNT - 1}")
-
-
-def test_a_careful_call_that_is_late_is_hedged():
-    know = _know()
-    _Sent(know).start().end(ENDED, 20.0, SHARD_COUNT)
-    sent = _Sent(know).start(100.0)
-    assert len(sent.out) == 1
-    sent.take(sent.plan.on_timeout(sent.plan.next_deadline_ms()))
-    assert len(sent.out) == 2
-    services = {each.upstream.service for each in sent.out.values()}
+            context.load_balancer.begin_call(f"u{shard}-{copy}", 0.0)
+    run = _RequestRun(context).start(100.0)
+    (probe,) = run.open_calls.values()
+    assert probe.upstream.upstream_id.endswith(f"-{COPY_COUNT - 1}")
+
+
+def test_a_late_probe_is_hedged():
+    context = _plan_context()
+    _RequestRun(context).start().end_calls(EXITED, 20.0, SHARD_COUNT)
+    run = _RequestRun(context).start(100.0)
+    assert len(run.open_calls) == 1
+    run.execute(run.plan.on_timeout(run.plan.next_deadline_ms()))
+    assert len(run.open_calls) == 2
+    services = {each.upstream.service for each in run.open_calls.values()}
     assert len(services) == 1
 
 
-def test_upstreams_that_end_with_other_calls_beside_convict_nobody():
-    # Two requests that lost the same upstreams and were sent on side by side.
-    know = _know()
-    sent = _Sent(know).start()
-    beside = callcommand.Outcome(
+def test_crashes_with_other_calls_open_quarantine_no_request():
+    # Two requests that lost the same upstreams were both retried on others at
+    # the same time, so either may have caused the crashes.
+    context = _plan_context()
+    run = _RequestRun(context).start()
+    exited_beside_others = callcommand.Outcome(
         kind=callcommand.OutcomeKind.FAILED,
         reason="connection_closed",
         upstream_exited=True,
     )
-    sent.end(beside, 20.0, SHARD_COUNT)
+    run.end_calls(exited_beside_others, 20.0, SHARD_COUNT)
     for step in range(SHARD_COUNT):
-        sent.end(beside, 40.0 + step)
-    assert sent.result != CRASHES
-    assert not know.suspicions.is_quarantined(NAME, 100.0)
+        run.end_calls(exited_beside_others, 40.0 + step)
+    assert run.result != CRASHES
+    assert not context.suspicions.is_quarantined(FINGERPRINT, 100.0)
 
 
-def test_requests_that_lost_the_same_upstreams_go_different_ways():
-    know = _know()
-    names = [f"{number:08x}" for number in range(SHARD_COUNT)]
+def test_requests_that_lost_the_same_upstreams_probe_different_shards():
+    context = _plan_context()
+    fingerprints = [f"{number:08x}" for number in range(SHARD_COUNT)]
     first = set()
-    for name in names:
-        sent = _Sent(know, name=name).start()
-        sent.end(ENDED, 20.0, SHARD_COUNT)
-        first.update(each.upstream.service for each in sent.out.values())
+    for name in fingerprints:
+        run = _RequestRun(context, name=name).start()
+        run.end_calls(EXITED, 20.0, SHARD_COUNT)
+        first.update(each.upstream.service for each in run.open_calls.values())
     assert len(first) == SHARD_COUNT
 
 
-def test_a_single_request_is_refused_after_three_upstreams():
+def test_a_single_request_is_rejected_after_three_crashes():
     for idempotent, attempt_count in ((True, 2), (False, 3)):
-        know = callplan_test.plan_context(
+        context = callplan_test.plan_context(
             *(callplan_test.upstream(f"u{index}") for index in range(6))
         )
         count = 0
         for attempt in range(attempt_count):
-            sent = _Sent(know, single=True, idempotent=idempotent)
+            run = _RequestRun(context, single=True, idempotent=idempotent)
             now_ms = 300.0 * attempt
-            sent.start(now_ms)
-            while sent.out:
+            run.start(now_ms)
+            while run.open_calls:
                 now_ms += 20.0
-                sent.end(ENDED, now_ms)
-            count += sent.count
+                run.end_calls(EXITED, now_ms)
+            count += run.sent_count
         assert count == 3
-        assert sent.result == CRASHES
-        assert know.suspicions.is_quarantined(NAME, now_ms)
-
-
-def test_word_from_elsewhere_ends_what_is_out_unless_it_was_answered():
-    know = _know()
-    sent = _Sent(know).start()
-    sent.take(sent.plan.on_quarantined(10.0))
-    assert (sent.result, sent.out) == (CRASHES, {})
-    answered = _Sent(know, name="0ddba11").start()
-    answered.end(ANSWERED, 10.0)
-    answered.take(answered.plan.on_quarantined(20.0))
+        assert run.result == CRASHES
+        assert context.suspicions.is_quarantined(FINGERPRINT, now_ms)
+
+
+def test_a_quarantine_notice_ends_a_request_without_answers():
+    context = _plan_context()
+    run = _RequestRun(context).start()
+    run.execute(run.plan.on_quarantined(10.0))
+    assert (run.result, run.open_calls) == (CRASHES, {})
+    answered = _RequestRun(context, name="0ddba11").start()
+    answered.end_calls(ANSWERED, 10.0)
+    answered.execute(answered.plan.on_quarantined(20.0))
     assert answered.result is None
 
 
-def test_a_gatherer_that_refuses_it_ends_it():
-    know = _know()
-    sent = _Sent(know).start()
+def test_a_rejection_by_a_gatherer_ends_the_request():
+    context = _plan_context()
+    run = _RequestRun(context).start()
     refused = callcommand.Outcome(
         kind=callcommand.OutcomeKind.NOT_RUN,
         reason=callresult.CRASHES_UPSTREAMS,
         reached=False,
     )
-    sent.end(refused, 10.0)
-    assert sent.result == CRASHES
+    run.end_calls(refused, 10.0)
+    assert run.result == CRASHES
 
 
-def test_without_budget_for_more_the_query_ends_and_others_are_told():
-    know = _know(tokens=0.0)
-    sent = _Sent(know).start()
-    sent.end(ENDED, 20.0, SHARD_COUNT)
-    assert sent.result is not None
+def test_a_query_without_budget_for_probes_ends_and_is_gossiped():
+    context = _plan_context(tokens=0.0)
+    run = _RequestRun(context).start()
+    run.end_calls(EXITED, 20.0, SHARD_COUNT)
+    assert run.result is not None
     assert [
-        each.fingerprint for each in know.suspicions.pop_new_notices(9, 20.0)
+        each.fingerprint for each in context.suspicions.pop_new_notices(9, 20.0)
     ]
 
 
-def test_a_careful_request_goes_to_no_upstream_more_than_its_route_allows():
-    # Both upstreams that it may be sent to refuse it for want of room: the
-    # first is asked again, though it had to wait for its turn.
-    know = _know()
-    _Sent(know).start().end(ENDED, 20.0, SHARD_COUNT)
-    sent = _Sent(know).start(100.0)
+def test_a_probed_request_stays_within_its_routes_attempt_limit():
+    # Both upstreams that the route allows shed the request. The first one is
+    # called again, although that call was queued behind the probe.
+    context = _plan_context()
+    _RequestRun(context).start().end_calls(EXITED, 20.0, SHARD_COUNT)
+    run = _RequestRun(context).start(100.0)
     shed = callcommand.Outcome(kind=callcommand.OutcomeKind.SHED)
-    asked: dict[str, set[str]] = {}
+    called_upstream_ids: dict[str, set[str]] = {}
     for step in range(12):
-        for each in sent.out.values():
-            asked.setdefault(each.upstream.service, set()).add(
+        for each in run.open_calls.values():
+            called_upstream_ids.setdefault(each.upstream.service, set()).add(
                 each.upstream.upstream_id
             )
-        sent.end(shed, 110.0 + step)
-    assert asked
-    assert max(len(each) for each in asked.values()) <= 2
+        run.end_calls(shed, 110.0 + step)
+    assert called_upstream_ids
+    assert max(len(each) for each in called_upstream_ids.values()) <= 2
--- a/hyssoptack/policy/callplan_cross_test.py
+++ b/hyssoptack/policy/callplan_cross_test.py
@@ -7,7 +7,7 @@
 
 
 def _plan(*remote_only):
-    """Returns a plan over shards with upstreams in the local and another domain.
+    """Returns a plan over shards with upstreams in two failure domains.
 
     Args:
         *remote_only: Numbers of the shards without a local upstream.
--- a/hyssoptack/policy/callplan_partition_test.py
+++ b/hyssoptack/policy/callplan_partition_test.py
@@ -7,7 +7,7 @@
 
 
 def _start_partitioned(floor_ratio):
-    """Starts a query over two local and four remote shards while partitioned."""
+    """Starts a query over two local and four remote shards in a partition."""
     local = [callplan_test.upstream(f"u{i}", f"s{i}") for i in range(2)]
     remote = [
         callplan_test.upstream(f"u{i}", f"s{i}", zone="south")
@@ -163,9 +163,10 @@
 
 
 def test_an_upstream_that_a_lost_gatherer_may_have_called_counts_as_reached():
-    # The upstream is called again by this instance, and that call does not
-    # reach it. It must still count as reached by the gatherer's call: else
-    # requests run on three upstreams of a shard where the route allows two.
+    # This instance calls the upstream again, and that call does not reach it.
+    # The upstream must still count as reached by the gatherer's call. When it
+    # did not, 6 requests ran on three upstreams of a shard where the route
+    # allows two.
     target = callplan_test.shards(2, 1.0)
     listed = [
         callplan_test.upstream(f"{name}-{end}", service=name)
--- a/hyssoptack/policy/callplan_test.py
+++ b/hyssoptack/policy/callplan_test.py
@@ -1,4 +1,4 @@
-"""Replays of one request's decisions: what is sent, hedged, given up."""
+"""Tests the calls, hedges, retries and results of call plans."""
 
 import dataclasses
 import sys
@@ -29,24 +29,26 @@
 
 
 def plan_context(*upstreams, tokens=10.0):
-    known = loadbalancer.LoadBalancer(
+    load_balancer = loadbalancer.LoadBalancer(
         loadbalancer.LoadBalancerSettings(
             failure_domain="north", crossing_ratio=1.5
         )
     )
-    known.set_upstreams({each.upstream_id: each for each in upstreams}, 0.0)
+    load_balancer.set_upstreams(
+        {each.upstream_id: each for each in upstreams}, 0.0
+    )
     share = windowbudget.BudgetShare(
         ratio=0.15,
         slack_count=tokens / windowbudget.BUCKET_RATIO,
         window_ms=10_000.0,
     )
     return plancontext.PlanContext(
-        load_balancer=known,
+        load_balancer=load_balancer,
         extra_call_budget=windowbudget.WindowBudget(share, -10_000.0),
     )
 
 
-def plan(know, target=None, idempotent=True, attempts=2, name=""):
+def plan(context, target=None, idempotent=True, attempts=2, name=""):
     route = traffic.Route(
         name="r",
         host="h",
@@ -59,14 +61,14 @@
         target=target or traffic.OneService(service="s0"),
     )
     services = target.shards if target else ("s0",)
-    ask = callcommand.PlanRequest(
+    request = callcommand.PlanRequest(
         route=route,
         services=services,
         goal_at_ms=GOAL_MS,
         deadline_at_ms=END_MS,
         fingerprint=name,
     )
-    return callplan.CallPlan(ask, know, 0.0)
+    return callplan.CallPlan(request, context, 0.0)
 
 
 def shards(count, floor_ratio):
@@ -99,20 +101,22 @@
 
 
 def result(commands):
-    ends = [each for each in commands if isinstance(each, callcommand.Finish)]
-    return ends[0].result if ends else None
+    finishes = [
+        each for each in commands if isinstance(each, callcommand.Finish)
+    ]
+    return finishes[0].result if finishes else None
 
 
 def test_the_own_failure_domain_is_called_first():
-    know = plan_context(upstream("far", zone="south"), upstream("near"))
-    (first,) = sends(plan(know).start(0.0))
+    context = plan_context(upstream("far", zone="south"), upstream("near"))
+    (first,) = sends(plan(context).start(0.0))
     assert first.upstream.upstream_id == "near"
     assert not first.extra_reason
 
 
 def test_a_slow_call_is_hedged_elsewhere_and_the_loser_cancelled():
-    know = plan_context(upstream("a"), upstream("b"))
-    running = plan(know)
+    context = plan_context(upstream("a"), upstream("b"))
+    running = plan(context)
     (first,) = sends(running.start(0.0))
     due_ms = running.next_deadline_ms()
     assert due_ms < GOAL_MS
@@ -124,23 +128,27 @@
     assert isinstance(result(commands), callcommand.Answer)
 
 
-def test_quick_routes_hedge_no_sooner_than_the_goal_asks_for():
-    know = plan_context(upstream("a"), upstream("b"))
+def test_fast_routes_do_not_hedge_before_a_minimum_share_of_the_goal():
+    context = plan_context(upstream("a"), upstream("b"))
     for number in range(100):
-        know.load_balancer.record_answer("r", "a", 5.0, number)
-    running = plan(know)
+        context.load_balancer.record_answer("r", "a", 5.0, number)
+    running = plan(context)
     running.start(0.0)
     assert running.next_deadline_ms() >= hedgetiming.MIN_DELAY_RATIO * GOAL_MS
 
 
 def _replicated_index(part_count, delay_ms):
-    """A query over shards of two upstreams, all but the last two answered."""
+    """Runs a query over replicated shards until all but two have answered.
+
+    Returns:
+        The plan, and the time of the last answer.
+    """
     names = [f"s{index}" for index in range(part_count)]
-    know = plan_context(
+    context = plan_context(
         *(upstream(f"{name}-a", name) for name in names),
         *(upstream(f"{name}-b", name) for name in names),
     )
-    running = plan(know, shards(part_count, 0.9))
+    running = plan(context, shards(part_count, 0.9))
     calls = sends(running.start(0.0))
     at_ms = delay_ms
     for call in calls[:-2]:
@@ -149,9 +157,10 @@
     return running, at_ms - 1.3
 
 
-def test_parts_that_are_missing_once_answers_dry_up_are_hedged_at_once():
-    # Answers were in at 30 ms; the missing ones, 2 of 54 that pause at any
-    # time, waited to 72 ms for their first hedge, and came back over the goal.
+def test_missing_parts_are_hedged_at_once_when_answers_stop_arriving():
+    # Of 54 upstreams, 2 pause at any time. Without this rule their parts were
+    # first hedged at 72 ms, although all others had answered at 30 ms, and the
+    # hedges were answered after the goal.
     running, last_ms = _replicated_index(20, 10.0)
     due_ms = running.next_deadline_ms()
     assert last_ms + 3.0 < due_ms < last_ms + 8.0
@@ -160,65 +169,65 @@
     assert due_ms < hedgetiming.MIN_DELAY_RATIO * GOAL_MS
 
 
-def test_answers_that_still_come_in_hold_the_hedges_back():
-    # On a narrow link answers come one behind the other, 1.3 ms apart: hedges
-    # of calls that only wait for their turn lengthen the queue.
+def test_missing_parts_are_not_hedged_while_answers_still_arrive():
+    # On a slow link, answers arrive one after the other, 1.3 ms apart. Hedging
+    # calls whose answers are only queued would lengthen the queue.
     running, last_ms = _replicated_index(20, 10.0)
     assert not sends(running.on_timeout(last_ms + 2.0))
 
 
-def test_with_many_parts_missing_no_gap_says_anything():
-    know = plan_context(
+def test_a_gap_between_answers_is_ignored_while_many_parts_are_missing():
+    context = plan_context(
         *(upstream(f"a{i}", f"s{i}") for i in range(4)),
         *(upstream(f"b{i}", f"s{i}") for i in range(4)),
     )
-    running = plan(know, shards(4, 0.5))
+    running = plan(context, shards(4, 0.5))
     first, *_ = sends(running.start(0.0))
     running.on_outcome(first.call_id, answered(), 5.0)
     assert running.next_deadline_ms() >= hedgetiming.MIN_DELAY_RATIO * 92.0
 
 
 def test_without_budget_nothing_is_hedged():
-    know = plan_context(upstream("a"), upstream("b"), tokens=0.0)
-    running = plan(know)
+    context = plan_context(upstream("a"), upstream("b"), tokens=0.0)
+    running = plan(context)
     running.start(0.0)
     assert not sends(running.on_timeout(running.next_deadline_ms()))
 
 
-def test_a_request_that_may_run_once_is_neither_hedged_nor_resent():
-    know = plan_context(upstream("a"), upstream("b"))
-    running = plan(know, idempotent=False)
+def test_a_non_idempotent_request_is_neither_hedged_nor_retried():
+    context = plan_context(upstream("a"), upstream("b"))
+    running = plan(context, idempotent=False)
     (first,) = sends(running.start(0.0))
     assert running.next_deadline_ms() > GOAL_MS
     end = result(running.on_outcome(first.call_id, FAILED, 5.0))
     assert isinstance(end, callcommand.Fail)
 
 
-def test_a_refused_request_that_may_run_once_goes_to_another():
-    know = plan_context(upstream("a"), upstream("b"))
-    running = plan(know, idempotent=False)
+def test_a_shed_non_idempotent_request_goes_to_another_upstream():
+    context = plan_context(upstream("a"), upstream("b"))
+    running = plan(context, idempotent=False)
     (first,) = sends(running.start(0.0))
     (second,) = sends(running.on_outcome(first.call_id, SHED, 1.0))
     assert second.upstream != first.upstream
 
 
-def test_after_all_refused_the_first_is_asked_again_and_no_third_ever():
-    know = plan_context(upstream("a"), upstream("b"), upstream("c"))
-    running = plan(know, idempotent=False)
+def test_a_request_shed_by_all_allowed_upstreams_is_resent_to_them_only():
+    context = plan_context(upstream("a"), upstream("b"), upstream("c"))
+    running = plan(context, idempotent=False)
     (call,) = sends(running.start(0.0))
-    asked = [call.upstream.upstream_id]
+    called_upstream_ids = [call.upstream.upstream_id]
     end = None
     while end is None:
         commands = running.on_outcome(call.call_id, SHED, 1.0)
         end = result(commands)
         for call in sends(commands):
-            asked.append(call.upstream.upstream_id)
+            called_upstream_ids.append(call.upstream.upstream_id)
     assert isinstance(end, callcommand.Refuse)
-    assert len(set(asked)) == 2
-    assert len(asked) == 2 + upstreamchoice.MAX_RESEND_COUNT
+    assert len(set(called_upstream_ids)) == 2
+    assert len(called_upstream_ids) == 2 + upstreamchoice.MAX_RESEND_COUNT
 
 
-def test_the_only_upstream_is_asked_again_after_it_refused():
+def test_the_only_upstream_is_called_again_after_it_shed_the_request():
     running = plan(plan_context(upstream("a")))
     (first,) = sends(running.start(0.0))
     (second,) = sends(running.on_outcome(first.call_id, SHED, 1.0))
@@ -227,18 +236,20 @@
     assert isinstance(end, callcommand.Answer)
 
 
-def test_resending_ends_with_the_budget():
-    know = plan_context(upstream("a"), upstream("b"), tokens=1.0)
-    running = plan(know, idempotent=False)
+def test_resending_ends_when_the_budget_is_spent():
+    context = plan_context(upstream("a"), upstream("b"), tokens=1.0)
+    running = plan(context, idempotent=False)
     (first,) = sends(running.start(0.0))
     (second,) = sends(running.on_outcome(first.call_id, SHED, 1.0))
     end = result(running.on_outcome(second.call_id, SHED, 2.0))
     assert end == callcommand.Refuse(reason="no_retry_budget")
 
 
-def test_an_upstream_that_can_not_be_reached_costs_no_attempt():
-    know = plan_context(upstream("a"), upstream("b"), upstream("c"), tokens=1.0)
-    running = plan(know, idempotent=False)
+def test_an_unreachable_upstream_uses_up_no_attempt():
+    context = plan_context(
+        upstream("a"), upstream("b"), upstream("c"), tokens=1.0
+    )
+    running = plan(context, idempotent=False)
     (call,) = sends(running.start(0.0))
     for _ in range(2):
         (call,) = sends(running.on_outcome(call.call_id, UNREACHABLE, 1.0))
@@ -256,9 +267,9 @@
     assert isinstance(end, callcommand.Fail)
 
 
-def test_at_the_goal_a_query_answers_with_what_covers_the_floor():
-    know = plan_context(*(upstream(f"u{i}", f"s{i}") for i in range(4)))
-    running = plan(know, shards(4, 0.75))
+def test_a_query_that_meets_its_floor_answers_at_the_goal():
+    context = plan_context(*(upstream(f"u{i}", f"s{i}") for i in range(4)))
+    running = plan(context, shards(4, 0.75))
     calls = sends(running.start(0.0))
     for call in calls[:3]:
         assert (
@@ -270,9 +281,9 @@
     assert (len(end.replies), end.part_count) == (3, 4)
 
 
-def test_below_the_floor_a_query_waits_on_for_a_late_answer():
-    know = plan_context(*(upstream(f"u{i}", f"s{i}") for i in range(4)))
-    running = plan(know, shards(4, 0.75))
+def test_a_query_below_its_floor_waits_beyond_the_goal():
+    context = plan_context(*(upstream(f"u{i}", f"s{i}") for i in range(4)))
+    running = plan(context, shards(4, 0.75))
     calls = sends(running.start(0.0))
     for call in calls[:2]:
         running.on_outcome(call.call_id, answered(), 20.0)
@@ -282,9 +293,11 @@
 
 
 def _hedges_with_one_token(floor_ratio):
-    """Returns how many of two open parts of four are hedged."""
-    ups = [upstream(f"u{i}{zone}", f"s{i}") for i in range(4) for zone in "ab"]
-    running = plan(plan_context(*ups, tokens=1.0), shards(4, floor_ratio))
+    """Returns how many of two open parts are hedged with one budget token."""
+    upstreams = [
+        upstream(f"u{i}{zone}", f"s{i}") for i in range(4) for zone in "ab"
+    ]
+    running = plan(plan_context(*upstreams, tokens=1.0), shards(4, floor_ratio))
     for call in sends(running.start(0.0))[:2]:
         running.on_outcome(call.call_id, answered(), 20.0)
     return len(sends(running.on_timeout(running.next_deadline_ms())))
@@ -294,18 +307,22 @@
     assert _hedges_with_one_token(floor_ratio=0.75) == 2
 
 
-def test_the_last_token_is_kept_where_the_answer_can_do_without():
+def test_the_last_token_is_kept_if_the_answer_meets_its_floor():
     assert _hedges_with_one_token(floor_ratio=0.5) == 0
 
 
-def _hedged_at_risk(*hedge_targets):
-    """A query whose only part that is missing was hedged, and the hedge."""
-    know = plan_context(
+def _hedged_below_floor(*hedge_targets):
+    """Runs a query until its only open part is hedged.
+
+    Returns:
+        The plan, and the command that sends the hedge.
+    """
+    context = plan_context(
         upstream("a"),
         *(upstream(name) for name in hedge_targets),
         upstream("c", "s1"),
     )
-    running = plan(know, shards(2, 1.0))
+    running = plan(context, shards(2, 1.0))
     first, other = sends(running.start(0.0))
     running.on_outcome(other.call_id, answered(), 5.0)
     (hedge,) = sends(running.on_timeout(running.next_deadline_ms()))
@@ -313,33 +330,33 @@
     return running, hedge
 
 
-def test_a_hedge_that_reaches_nobody_goes_on_to_the_next():
-    # While a failure domain was cut off, hedges went there and ended there: 25
-    # of 180 queries came 10 to 30 ms late for one part that paused.
-    running, hedge = _hedged_at_risk("b", "d")
-    (again,) = sends(running.on_outcome(hedge.call_id, UNREACHABLE, 60.0))
-    assert again.upstream.upstream_id not in ("a", hedge.upstream.upstream_id)
+def test_a_hedge_to_an_unreachable_upstream_is_rerouted():
+    # During a partition, hedges to the unreachable domain were lost: 25 of 180
+    # queries were 10 to 30 ms late because of one part that paused.
+    running, hedge = _hedged_below_floor("b", "d")
+    (retry,) = sends(running.on_outcome(hedge.call_id, UNREACHABLE, 60.0))
+    assert retry.upstream.upstream_id not in ("a", hedge.upstream.upstream_id)
 
 
-def test_a_refused_hedge_is_sent_again_where_the_floor_depends_on_it():
-    running, hedge = _hedged_at_risk("b")
-    (again,) = sends(running.on_outcome(hedge.call_id, SHED, 60.0))
-    assert again.upstream == hedge.upstream
+def test_a_shed_hedge_is_resent_if_the_floor_depends_on_it():
+    running, hedge = _hedged_below_floor("b")
+    (retry,) = sends(running.on_outcome(hedge.call_id, SHED, 60.0))
+    assert retry.upstream == hedge.upstream
 
 
-def test_a_failed_hedge_leaves_the_first_call_its_chance():
-    running, hedge = _hedged_at_risk("b")
+def test_the_first_call_stays_open_after_its_hedge_failed():
+    running, hedge = _hedged_below_floor("b")
     assert not running.on_outcome(hedge.call_id, FAILED, 60.0)
     assert not running.finished
     assert not sends(running.on_outcome(1, answered(), 70.0))
     assert running.finished
 
 
-def test_a_refused_hedge_ends_where_the_answer_can_do_without():
-    know = plan_context(
+def test_a_shed_hedge_is_not_resent_if_the_answer_meets_its_floor():
+    context = plan_context(
         *(upstream(f"a{i}", f"s{i}") for i in range(4)), upstream("b0", "s0")
     )
-    running = plan(know, shards(4, 0.5))
+    running = plan(context, shards(4, 0.5))
     _, *others = sends(running.start(0.0))
     for call in others:
         running.on_outcome(call.call_id, answered(), 5.0)
@@ -347,44 +364,44 @@
     assert not running.on_outcome(hedge.call_id, SHED, 60.0)
 
 
-def test_a_floor_out_of_reach_ends_a_query_before_anything_is_sent():
-    know = plan_context(*(upstream(f"u{i}", f"s{i}") for i in range(2)))
-    commands = plan(know, shards(4, 0.75)).start(0.0)
+def test_a_query_that_cannot_reach_its_floor_is_refused_unsent():
+    context = plan_context(*(upstream(f"u{i}", f"s{i}") for i in range(2)))
+    commands = plan(context, shards(4, 0.75)).start(0.0)
     assert result(commands) == callcommand.Refuse(reason="no_upstream")
     assert not sends(commands)
 
 
-def test_a_floor_lost_on_the_way_ends_a_query_at_once():
-    know = plan_context(*(upstream(f"u{i}", f"s{i}") for i in range(4)))
-    running = plan(know, shards(4, 0.75))
+def test_a_query_ends_at_once_when_its_floor_gets_out_of_reach():
+    context = plan_context(*(upstream(f"u{i}", f"s{i}") for i in range(4)))
+    running = plan(context, shards(4, 0.75))
     calls = sends(running.start(0.0))
     assert result(running.on_outcome(calls[0].call_id, FAILED, 5.0)) is None
     end = result(running.on_outcome(calls[1].call_id, FAILED, 6.0))
     assert isinstance(end, callcommand.Fail)
 
 
-def test_a_failure_names_the_part_that_was_lost_not_one_still_open():
-    know = plan_context(*(upstream(f"u{i}", f"s{i}") for i in range(4)))
-    running = plan(know, shards(4, 1.0))
+def test_a_failure_gives_the_reason_of_the_failed_part_not_of_an_open_one():
+    context = plan_context(*(upstream(f"u{i}", f"s{i}") for i in range(4)))
+    running = plan(context, shards(4, 1.0))
     calls = sends(running.start(0.0))
     end = result(running.on_outcome(calls[3].call_id, FAILED, 5.0))
     assert end.reason == "reset"
 
 
-def test_what_never_left_for_an_upstream_has_not_run():
-    # 73 requests of a day were told 502 though nothing had been sent: callers
-    # may not repeat what is not idempotent after that.
-    know = plan_context(upstream("a"))
-    running = plan(know, idempotent=False)
+def test_a_request_still_waiting_for_a_connection_is_refused_not_failed():
+    # Of one day's requests, 73 were failed with 502 although nothing had been
+    # sent. Callers may not repeat a non-idempotent request after that.
+    context = plan_context(upstream("a"))
+    running = plan(context, idempotent=False)
     (call,) = sends(running.start(0.0))
     running.calls.mark_unsent(call.call_id)
     end = result(running.on_timeout(END_MS))
     assert isinstance(end, callcommand.Refuse)
 
 
-def test_what_is_sent_at_last_may_have_run():
-    know = plan_context(upstream("a"))
-    running = plan(know, idempotent=False)
+def test_a_request_sent_after_waiting_for_a_connection_may_have_run():
+    context = plan_context(upstream("a"))
+    running = plan(context, idempotent=False)
     (call,) = sends(running.start(0.0))
     running.calls.mark_unsent(call.call_id)
     running.calls.mark_sent(call.call_id)
@@ -392,12 +409,12 @@
     assert isinstance(end, callcommand.Fail)
 
 
-def test_no_upstream_at_all_is_a_refusal():
+def test_a_request_without_any_upstream_is_refused():
     end = result(plan(plan_context()).start(0.0))
     assert end == callcommand.Refuse(reason="no_upstream")
 
 
-def test_the_deadline_fails_what_may_still_run():
+def test_a_request_that_may_still_run_fails_at_its_deadline():
     running = plan(plan_context(upstream("a")))
     running.start(0.0)
     end = result(running.on_timeout(END_MS))
@@ -405,33 +422,33 @@
     assert end.timed_out
 
 
-def test_abandoning_cancels_every_call():
-    know = plan_context(*(upstream(f"u{i}", f"s{i}") for i in range(4)))
-    running = plan(know, shards(4, 0.75))
+def test_a_disconnected_caller_cancels_every_call():
+    context = plan_context(*(upstream(f"u{i}", f"s{i}") for i in range(4)))
+    running = plan(context, shards(4, 0.75))
     calls = sends(running.start(0.0))
     commands = running.on_caller_left(5.0)
     assert {each.call_id for each in commands} == {c.call_id for c in calls}
     assert not running.on_outcome(calls[0].call_id, answered(), 6.0)
 
 
-def test_in_flight_counts_return_to_zero():
-    know = plan_context(*(upstream(f"u{i}", f"s{i}") for i in range(4)))
-    running = plan(know, shards(4, 1.0))
+def test_in_flight_counts_return_to_zero_when_a_request_ends():
+    context = plan_context(*(upstream(f"u{i}", f"s{i}") for i in range(4)))
+    running = plan(context, shards(4, 1.0))
     for call in sends(running.start(0.0))[:2]:
         running.on_outcome(call.call_id, answered(), 3.0)
     running.on_caller_left(5.0)
-    standings = know.load_balancer.upstream_states.values()
-    assert all(each.in_flight_count == 0 for each in standings)
+    upstream_states = context.load_balancer.upstream_states.values()
+    assert all(each.in_flight_count == 0 for each in upstream_states)
 
 
-def test_a_frozen_ask_can_be_replaced_for_replay():
-    ask = plan(plan_context(upstream("a"))).request
-    assert dataclasses.replace(ask, goal_at_ms=1.0).goal_at_ms == 1.0
+def test_a_frozen_plan_request_can_be_copied_with_changes():
+    request = plan(plan_context(upstream("a"))).request
+    assert dataclasses.replace(request, goal_at_ms=1.0).goal_at_ms == 1.0
 
 
-def _work_count(part_count):
-    """Returns the function calls that one whole query takes."""
-    know = plan_context(
+def _function_call_count(part_count):
+    """Returns the number of function calls that one whole query makes."""
+    context = plan_context(
         *(upstream(f"u{i}", f"s{i}") for i in range(part_count))
     )
     counted = 0
@@ -441,7 +458,7 @@
         counted += event in ("call", "c_call")
 
     sys.setprofile(count)
-    running = plan(know, shards(part_count, 0.9))
+    running = plan(context, shards(part_count, 0.9))
     for call in sends(running.start(0.0)):
         running.on_outcome(call.call_id, answered(), 20.0)
         running.next_deadline_ms()
@@ -449,5 +466,5 @@
     return counted
 
 
-def test_a_part_costs_the_same_among_many_as_among_few():
-    assert _work_count(360) / 360 < 1.1 * _work_count(36) / 36
+def test_the_cost_of_a_part_does_not_grow_with_the_number_of_parts():
+    assert _function_call_count(360) / 360 < 1.1 * _function_call_count(36) / 36
--- a/hyssoptack/policy/callresult.py
+++ b/hyssoptack/policy/callresult.py
@@ -8,8 +8,8 @@
 domain during a network partition."""
 
 GATHERER_LOST = "gatherer_lost"
-"""Reason for a call whose outcome is unknown: the instance that made it is gone
-or does not respond."""
+"""Reason for a call whose outcome is unknown: the instance that made it is
+gone or does not respond."""
 
 GATHERER_DECLINED = "gatherer_declined"
 """Reason for a call that was not made: the instance that was to make it makes no
