--- a/hyssoptack/policy/callcommand.py
+++ b/hyssoptack/policy/callcommand.py
@@ -56,7 +56,7 @@
 
     Attributes:
         ANSWERED: The upstream answered.
-        NOT_RUN: The upstream did not run the request.
+        NOT_RUN: The request did not reach the upstream or did not run there.
         SHED: The upstream refused the request for lack of capacity.
         FAILED: The call failed, and the request may have run.
     """
@@ -120,7 +120,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Cancel:
-    """Command to cancel a call."""
+    """Command to cancel a call.
+
+    Attributes:
+        call_id: The number of the call.
+    """
 
     call_id: int
 
@@ -140,7 +144,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Refuse:
-    """Result of a request that did not run; the caller may retry it."""
+    """Result of a request that did not run; the caller may retry it.
+
+    Attributes:
+        reason: Short identifier of the cause.
+    """
 
     reason: str
 
@@ -165,7 +173,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Finish:
-    """Command to end the request with a result."""
+    """Command to end the request.
+
+    Attributes:
+        result: The result of the request.
+    """
 
     result: Result
 
--- a/hyssoptack/policy/callerlatency.py
+++ b/hyssoptack/policy/callerlatency.py
@@ -62,7 +62,10 @@
     def observe_elapsed_ms(
         self, route_name: str, wait_ms: float | None, first_on_connection: bool
     ) -> float:
-        """Returns the time that a caller had spent when it sent a request.
+        """Records a caller's wait and returns the time the caller had spent.
+
+        This is the time from the caller's first attempt until it sent this
+        request.
 
         Args:
             route_name: Name of the request's route.
--- a/hyssoptack/policy/callpart.py
+++ b/hyssoptack/policy/callpart.py
@@ -91,7 +91,13 @@
 
 
 class Parts:
-    """All parts of a request, with counts kept so that no scan is needed."""
+    """All parts of a request, with counts that avoid scans over the parts.
+
+    Attributes:
+        all: The parts, in the order of the services.
+        answered_count: Number of answered parts.
+        abandoned_count: Number of parts given up without an answer.
+    """
 
     def __init__(self, services: tuple[str, ...], floor_count: float):
         """Creates the parts of a request, all unsent.
--- a/hyssoptack/policy/callplan.py
+++ b/hyssoptack/policy/callplan.py
@@ -27,11 +27,11 @@
 from hyssoptack.policy import upstreamchoice
 
 HEDGE_RESERVE_COUNT = 1.0
-"""Tokens that a hedge must leave in the budget if the answer already meets its
-coverage floor. They are kept for retries after failures and for queries that
-would miss their floor. A hedge that the floor depends on may spend the last
-token: an answer that is late because of one part loses nine tenths of its
-value, an answer without that part only a twentieth."""
+"""Tokens that a hedge must leave in the budget unless a query needs the hedge
+to reach its coverage floor. They are kept for retries after failures and for
+queries that would miss their floor. A hedge that the floor depends on may spend
+the last token: an answer that is late because of one part loses nine tenths of
+its value, an answer without that part only a twentieth."""
 
 DEADLINE_MARGIN_MS = 10.0
 """Time reserved before the caller's deadline to write and send the answer."""
@@ -157,9 +157,9 @@
             return []
         retries, stalled = self.attempts.grant()
         commands: list[callcommand.Command] = []
-        for part, why in retries:
+        for part, reason in retries:
             if part.is_open():
-                commands.extend(self._retry(part, why, now_ms))
+                commands.extend(self._retry(part, reason, now_ms))
         commands.extend(self.on_stalled(stalled, now_ms))
         commands.extend(self._send_queued(now_ms))
         return commands + self.on_timeout(now_ms)
@@ -310,7 +310,7 @@
                 return self._retry(part, outcome.kind.value, now_ms)
 
     def _retry(
-        self, part: callpart.Part, why: str, now_ms: float
+        self, part: callpart.Part, reason: str, now_ms: float
     ) -> list[callcommand.Command]:
         """Retries a part if its attempts and budget allow it.
 
@@ -320,12 +320,12 @@
         if part.calls and not self._parts.is_below_floor():
             return []
         if not self.attempts.granted:
-            self.attempts.defer_retry(part, why)
+            self.attempts.defer_retry(part, reason)
             return []
         upstream = self._upstream_choice.retry_upstream(part, now_ms)
         if upstream is not None:
             if self._context.extra_call_budget.try_spend(part.service, now_ms):
-                return self._send_to(part, upstream, now_ms, why)
+                return self._send_to(part, upstream, now_ms, reason)
             part.last_reason = "no_retry_budget"
         if not part.calls:
             self._parts.abandon(part)
@@ -377,7 +377,7 @@
         ]
 
     def _send_queued(self, now_ms: float) -> list[callcommand.Command]:
-        """Sends the calls that were queued while the request was being probed."""
+        """Sends the calls that were queued while the request was probed."""
         commands: list[callcommand.Command] = []
         while not self.finished:
             queued = self.caution.next_queued(self.calls, now_ms)
@@ -387,8 +387,8 @@
             if len(part.reached_upstream_ids) < self.attempts.limit_count:
                 sends = self._send(part, now_ms, extra)
             else:
-                # The route allows no other upstream, so this one, which
-                # refused before, gets the call again.
+                # The route allows no further upstream, so the call goes to
+                # one that shed the request before.
                 sends = self._send_to(part, queued.upstream, now_ms, extra)
             commands += sends + self._finish_if_due(now_ms)
         return commands
--- a/hyssoptack/policy/callresult.py
+++ b/hyssoptack/policy/callresult.py
@@ -12,8 +12,8 @@
 gone or does not respond."""
 
 GATHERER_DECLINED = "gatherer_declined"
-"""Reason for a call that was not made: the instance that was to make it makes no
-calls."""
+"""Reason for a call that was not made: the instance that was to make it
+declined to make calls for others."""
 
 GATHERER_FAULTS = frozenset((GATHERER_LOST, GATHERER_DECLINED))
 """Reasons for which this instance may call the upstream itself: the fault lies
--- a/hyssoptack/policy/domaincover.py
+++ b/hyssoptack/policy/domaincover.py
@@ -20,7 +20,7 @@
 
     Args:
         own_domain: The local failure domain.
-        domains: The failure domains with upstreams of each shard.
+        domains: For each shard, the failure domains of its upstreams.
     """
     remote = {
         shard: found
@@ -43,7 +43,7 @@
 
 
 def _cover(own_domain: str, shard_domains: list[set[str]]) -> list[str]:
-    """Returns a small set of domains that covers every shard (greedily)."""
+    """Returns a small set of domains that covers all shards, found greedily."""
     total_counts = collections.Counter(
         each for at in shard_domains for each in at
     )
--- a/hyssoptack/policy/hedgequeue.py
+++ b/hyssoptack/policy/hedgequeue.py
@@ -18,7 +18,7 @@
 
 
 class HedgeQueue:
-    """Calls in the order of the time at which they are hedged."""
+    """Holds calls in the order of the time at which they are hedged."""
 
     def __init__(
         self,
@@ -65,11 +65,11 @@
     def next_due_ms(self) -> float:
         """Returns when the next call is due; infinity for never."""
         next_ms = math.inf
-        call = self._oldest_open(self._own)
+        call = self._oldest_hedgeable(self._own)
         if call is not None:
             due_ms = self._timing.single_hedge_at_ms(call.created_ms)
             next_ms = min(due_ms, self._stall_hedge_at_ms())
-        call = self._oldest_open(self._relayed)
+        call = self._oldest_hedgeable(self._relayed)
         if call is not None:
             next_ms = min(next_ms, call.overdue_at_ms)
         return next_ms
@@ -79,13 +79,13 @@
         due: list[callpart.Call] = []
         if now_ms >= self._stall_hedge_at_ms():
             self._stall_hedges = False
-            due.extend(each for each in self._own if self._is_open(each))
+            due.extend(each for each in self._own if self._is_hedgeable(each))
             self._own.clear()
-        while call := self._oldest_open(self._own):
+        while call := self._oldest_hedgeable(self._own):
             if now_ms < self._timing.single_hedge_at_ms(call.created_ms):
                 break
             due.append(self._own.popleft())
-        while call := self._oldest_open(self._relayed):
+        while call := self._oldest_hedgeable(self._relayed):
             if now_ms < call.overdue_at_ms:
                 break
             due.append(self._relayed.popleft())
@@ -98,7 +98,7 @@
         at_ms = self._timing.stall_at_ms()
         return math.inf if at_ms is None else at_ms
 
-    def _oldest_open(
+    def _oldest_hedgeable(
         self, calls: collections.deque[callpart.Call]
     ) -> callpart.Call | None:
         """Returns the oldest call that may be hedged, if there is one.
@@ -107,10 +107,10 @@
         time.
         """
         while calls:
-            if self._is_open(calls[0]):
+            if self._is_hedgeable(calls[0]):
                 return calls[0]
             calls.popleft()
         return None
 
-    def _is_open(self, call: callpart.Call) -> bool:
+    def _is_hedgeable(self, call: callpart.Call) -> bool:
         return call.call_id in call.part.calls and self._may_hedge(call.part)
--- a/hyssoptack/policy/opencalls.py
+++ b/hyssoptack/policy/opencalls.py
@@ -8,7 +8,7 @@
 
 
 class OpenCalls:
-    """The open calls of one request, by call ID."""
+    """Holds the open calls of one request by call ID."""
 
     def __init__(
         self, load_balancer: loadbalancer.LoadBalancer, route_name: str
