--- a/hyssoptack/gateway/restarted_test.py
+++ b/hyssoptack/gateway/restarted_test.py
@@ -27,7 +27,7 @@
     async with asyncio.timeout(WAIT_S):
         while not ready():
             await asyncio.sleep(0.05)
-    narrow._delegating.selector.note_reply("route-0", REPLY_BYTES)
+    narrow._delegating.selector.record_reply_size("route-0", REPLY_BYTES)
 
 
 async def _stamps(site, request_id):
@@ -41,7 +41,7 @@
     """Kills the narrow instance with a query under way and starts it again."""
     address = site.settings["narrow"].peer_address
     for each in site.services.values():
-        each.manners.delay_ms = WORK_MS
+        each.behaviour.delay_ms = WORK_MS
     lost = asyncio.create_task(
         site.get("/all/x", "r1", deadline_ms=8_000, name="narrow")
     )
@@ -49,7 +49,7 @@
     site.kill("narrow")
     lost.cancel()
     for each in site.services.values():
-        each.manners.delay_ms = 0.0
+        each.behaviour.delay_ms = 0.0
     narrow = await site.start("narrow", link_mbps=0.5, peer_address=address)
     await _ready(site, narrow, lambda: ready(narrow))
 
@@ -64,7 +64,7 @@
             await site.start("wide", link_mbps=1_000.0)
 
             def knows(each):
-                return bool(each.readers.neighbours())
+                return bool(each.reader_election.neighbours())
 
             await _ready(site, narrow, lambda: knows(narrow))
             await _restart(site, knows)
