--- a/hyssoptack/policy/delayestimate.py
+++ b/hyssoptack/policy/delayestimate.py
@@ -1,41 +1,43 @@
-"""How late something usually is that this instance does by itself.
+"""Estimates the usual delay of work inside this instance.
 
-A timer waits behind other work, 40 parts take a while to merge, a message waits
-for its turn: 1 to 3 ms on a whole processor, 5 to 15 on 0.12 of one. What is
-known of it is kept back from the time at which an answer has to leave.
+A timer waits behind other work, merging 40 parts takes time, and a message
+waits in a queue: 1 to 3 ms on a whole processor, 5 to 15 ms on 0.12 of one. The
+estimate is subtracted from the time at which an answer has to be sent.
 """
 
 import collections
 
 SAMPLES_COUNT = 32
+"""Number of recent delays that the estimate is computed from."""
 
 QUANTILE_RATIO = 0.8
-"""Of 5 answers given at the goal 4 should be in time: what is kept back more
-costs parts (a twentieth of the use each), a late answer nine tenths of it."""
+"""Quantile of the recent delays that is used: of 5 answers sent at the latency
+goal 4 should be in time. A larger allowance loses parts, each worth a twentieth
+of the answer's value; a late answer loses nine tenths of its value."""
 
 MAX_MS = 40.0
-"""Most that is kept back: what is later had a stop of the process before it,
-which comes seldom and leaves other queries alone."""
+"""Largest delay that is counted: longer ones follow a stop of the process,
+which is rare and does not affect other queries."""
 
 
 class DelayEstimate:
-    """What was seen of one kind of work."""
+    """The estimated delay of one kind of work."""
 
     def __init__(self, least_ms: float):
-        """Makes a belief without anything seen.
+        """Creates an estimate without recorded delays.
 
         Args:
-            least_ms: What is assumed at least.
+            least_ms: Lower bound of the estimate.
         """
         self._least_ms = least_ms
-        self._seen_ms: collections.deque[float] = collections.deque(
+        self._delays_ms: collections.deque[float] = collections.deque(
             maxlen=SAMPLES_COUNT
         )
         self.estimate_ms = least_ms
 
     def record(self, late_ms: float) -> None:
-        """Takes how late it was once."""
-        self._seen_ms.append(min(MAX_MS, late_ms))
-        ordered = sorted(self._seen_ms)
+        """Records one delay."""
+        self._delays_ms.append(min(MAX_MS, late_ms))
+        ordered = sorted(self._delays_ms)
         usual_ms = ordered[int(QUANTILE_RATIO * (len(ordered) - 1))]
         self.estimate_ms = max(self._least_ms, usual_ms)
--- a/hyssoptack/policy/latencyestimate.py
+++ b/hyssoptack/policy/latencyestimate.py
@@ -1,19 +1,21 @@
-"""What calls of one route usually take, from those that were answered."""
+"""Estimates the latency of a route's calls from the answered ones."""
 
 import collections
 
 TYPICAL_STEP_RATIO = 0.05
-"""Step of the running median; 20 calls move it by its own size at most."""
+"""Step of the running median as a part of its value: 20 calls move it by at
+most about its own value."""
 
 WINDOW_COUNT = 128
-"""Calls that quantiles are taken of."""
+"""Number of recent calls from which quantiles are computed."""
 
 WINDOW_STEP_COUNT = 16
-"""They are sorted again after so many more, as sorting costs 10 us."""
+"""Number of new calls after which the recent ones are sorted again, because
+sorting takes 10 us."""
 
 
 class LatencyEstimate:
-    """What calls of one route take: a running median and recent quantiles."""
+    """A running median and recent quantiles of the times of a route's calls."""
 
     def __init__(self) -> None:
         self.median_ms = 0.0
@@ -24,7 +26,7 @@
         self._since_sort_count = 0
 
     def record(self, elapsed_ms: float) -> None:
-        """Takes the time of a call that was answered."""
+        """Records the time of an answered call."""
         if not self.median_ms:
             self.median_ms = elapsed_ms
         step_ms = TYPICAL_STEP_RATIO * self.median_ms
@@ -36,7 +38,7 @@
             self._since_sort_count = 0
 
     def quantile_ms(self, ratio: float) -> float | None:
-        """Returns a quantile of the recent calls; None with too few."""
+        """Returns a quantile of the recent call times, or None with too few."""
         if len(self._sorted) < WINDOW_STEP_COUNT:
             return None
         return self._sorted[int(ratio * (len(self._sorted) - 1))]
--- a/hyssoptack/policy/loadbalancer.py
+++ b/hyssoptack/policy/loadbalancer.py
@@ -1,10 +1,10 @@
-"""Chooses the upstream for a call, from what calls have shown.
+"""Chooses the upstream for each call from the results of earlier calls.
 
-Each upstream has a slowness: how long its calls take, relative to what calls of
-the same route take elsewhere. The choice goes by slowness, by the calls that
-this instance has out there, and by the price of crossing failure domains. A
-belief fades towards "as fast as the others", so an upstream that was slow is
-tried again without a separate probe.
+Each upstream has a slowness ratio: the time of its calls divided by the typical
+time of calls on the same route. The score of an upstream combines this ratio,
+the number of calls that this instance has in flight to it, and the cost of
+crossing failure domains. Without new calls the ratio decays towards 1, so a
+slow upstream is tried again without a separate probe.
 """
 
 import collections
@@ -21,56 +21,62 @@
 from hyssoptack.policy import warmup
 
 DEFAULT_CALL_MS = 15.0
-"""Assumed time of a call before any was measured."""
+"""Assumed time of a call before any call of the route was answered."""
 
 BASE_EJECTION_MS = 1_000.0
-"""No calls for this long after a failure to connect; doubles up to the most."""
+"""Duration of the first ejection after a failure to connect. Each further
+failure in a row doubles it, up to `MAX_EJECTION_MS`."""
 
 MAX_EJECTION_MS = 4_000.0
-"""A crashed upstream's entry is gone after about this long."""
+"""Longest ejection: the entry of a crashed upstream expires after about this
+long."""
 
 FAILURE_SLOWNESS_RATIO = 6.0
-"""A failed call counts as one that took this many times the usual: upstreams
-that fail part of their calls are then avoided like slow ones."""
+"""A failed call counts as one that took this many times the typical time, so
+that upstreams that fail some of their calls are avoided like slow ones."""
 
 COLD_RATIO = 1.6
-"""How much slower an upstream is after its start."""
+"""How many times slower an upstream is while it warms up after a start."""
 
 SHED_QUIET_MS = 150.0
-"""An upstream that refused for want of room is left alone for about as long as
-its queue takes to clear."""
+"""How long other upstreams are preferred after an upstream shed a call: about
+the time that its queue takes to clear."""
 
 SHED_SLOWNESS_RATIO = 6.0
-"""A refused call counts as one that took this many times the usual, here and at
-neighbours: an upstream that refuses time and again is worth avoiding across
-failure domains, as each refusal costs an extra call of a scarce budget."""
+"""A shed call counts as one that took this many times the typical time, at this
+instance and its neighbours. Each shed call costs an extra call from a small
+budget, so an upstream that sheds repeatedly is avoided even where that means
+calling another failure domain."""
 
 CANCELLED_SLOWNESS_RATIO = 2.0
-"""A call given up unanswered counts as one that took this many times as long as
-it was waited for: half of those that last so long last longer still."""
+"""A call cancelled before its answer counts as one that took this many times
+the time waited: half of the calls that last so long last longer still."""
 
 SHARE_MAX_AGE_MS = 600.0
-"""A call is told for about one round of telling; twice does no harm."""
+"""Maximum age of a call that is shared with neighbours: about one sharing
+interval. Sharing a call twice does no harm."""
 
 LOCAL_FAULT_RATIO = 0.5
-"""Where more than this part of the upstreams called of late looks slow, the
-fault is more likely this instance's own, and nothing is told."""
+"""Largest share of the recently called upstreams that may look slow. Above it
+the fault is more likely in this instance, and no calls are shared."""
 
 
 PREFERRED_RATIO = 0.2
-"""What a call to the preferred failure domain gains, in typical times: enough
-to choose among upstreams that look alike, less than one slow call shows."""
+"""Bonus in the score for the preferred failure domain, as a multiple of the
+typical time: enough to choose among upstreams with similar scores, less than
+the effect of one slow call."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LoadBalancerSettings:
-    """How upstreams are weighed.
+    """Settings for the choice of an upstream.
 
     Attributes:
-        failure_domain: Where this instance runs.
-        crossing_ratio: What a call to another failure domain must gain to be
-            worth its network price, as a multiple of the route's typical time.
-        mechanisms: What is at work.
+        failure_domain: The failure domain of this instance.
+        crossing_ratio: Time that a call to another failure domain must save
+            to be worth its network cost, as a multiple of the route's typical
+            time.
+        mechanisms: The mechanisms that are enabled.
     """
 
     failure_domain: str
@@ -79,18 +85,18 @@
 
 
 class LoadBalancer:
-    """Standings of all listed upstreams."""
+    """Keeps the state of all listed upstreams and chooses among them."""
 
     def __init__(
         self,
         settings: LoadBalancerSettings,
         warmups: warmup.WarmupLimiter | None = None,
     ):
-        """Makes the placing of one instance.
+        """Creates the load balancer of one instance.
 
         Args:
-            settings: How upstreams are weighed.
-            warmups: What cold upstreams may get from here; None for no limit.
+            settings: The settings for the choice of an upstream.
+            warmups: Limits the requests to cold upstreams; None for no limit.
         """
         self.settings = settings
         self._warmups = warmups
@@ -105,52 +111,53 @@
         now_ms: float,
         restored_domains: frozenset[str] = frozenset(),
     ) -> None:
-        """Replaces the list of upstreams; what calls have shown is kept.
+        """Replaces the list of upstreams, keeping the state of known ones.
 
         Args:
             upstreams: The upstreams that may be called.
             now_ms: The time now.
-            restored_domains: Failure domains whose upstreams got nothing before: they
-                may be cold, whatever their entries said then.
+            restored_domains: Failure domains whose upstreams received no
+                calls until now. Their upstreams may be cold, whatever their
+                entries say.
         """
         known = self.upstream_states
         self.upstream_states = {}
         self._by_service = {}
         self._preferred = {}
         for upstream_id, upstream in upstreams.items():
-            standing = known.get(upstream_id)
-            if standing is None:
-                standing = upstreamstate.UpstreamState(upstream=upstream)
-                standing.cold_until_ms = now_ms + self._cold_ms(
+            state = known.get(upstream_id)
+            if state is None:
+                state = upstreamstate.UpstreamState(upstream=upstream)
+                state.cold_until_ms = now_ms + self._cold_ms(
                     upstream, upstream.failure_domain in restored_domains
                 )
-            elif upstream.cold_ms != standing.upstream.cold_ms:
-                self._note_cold(standing, upstream, now_ms)
-            standing.upstream = upstream
-            self.upstream_states[upstream_id] = standing
+            elif upstream.cold_ms != state.upstream.cold_ms:
+                self._update_cold(state, upstream, now_ms)
+            state.upstream = upstream
+            self.upstream_states[upstream_id] = state
             listed = self._by_service.setdefault(upstream.service, [])
-            listed.append(standing)
+            listed.append(state)
 
-    def _cold_ms(self, upstream: traffic.Upstream, returning: bool) -> float:
-        """Returns how much longer an upstream that is new here is cold."""
-        if not returning or self._warmups is None:
+    def _cold_ms(self, upstream: traffic.Upstream, restored: bool) -> float:
+        """Returns the remaining warm-up time of a newly listed upstream."""
+        if not restored or self._warmups is None:
             return upstream.cold_ms
         return max(upstream.cold_ms, self._warmups.warmup_ms(upstream.service))
 
-    def _note_cold(
+    def _update_cold(
         self,
-        standing: upstreamstate.UpstreamState,
+        state: upstreamstate.UpstreamState,
         upstream: traffic.Upstream,
         now_ms: float,
     ) -> None:
-        """Takes how much longer an upstream in use says that it is cold."""
-        was_cold = standing.cold_until_ms > now_ms
-        standing.cold_until_ms = now_ms + upstream.cold_ms
+        """Updates the warm-up end of a known upstream from its new entry."""
+        was_cold = state.cold_until_ms > now_ms
+        state.cold_until_ms = now_ms + upstream.cold_ms
         if upstream.cold_ms and not was_cold and self._warmups is not None:
             self._warmups.on_upstream_cold(upstream, now_ms)
 
     def latency_of(self, route_name: str) -> latencyestimate.LatencyEstimate:
-        """Returns what is known of a route's calls."""
+        """Returns the latency estimate of a route, creating it if needed."""
         found = self._typical.get(route_name)
         if found is None:
             found = self._typical[route_name] = (
@@ -172,32 +179,38 @@
         """Returns the best upstream for a call.
 
         Args:
-            route_name: The route, whose typical time is used.
+            route_name: The route whose typical call time is used.
             service: The service to call.
-            excluded_ids: Upstreams that this request was sent to already.
+            excluded_ids: Ids of upstreams that must not be chosen, such as
+                those that this request was already sent to.
             now_ms: The time now.
-            own_domain_only: Whether only the own failure domain can be reached.
-            preferred_domain: Among upstreams that look alike, one there.
-            prefer_idle: Rather one that has no call of this instance in hand.
-            priority: The request's urgency, 0 the most urgent.
+            own_domain_only: Whether only upstreams in the failure domain of
+                this instance may be chosen.
+            preferred_domain: The failure domain to prefer among upstreams with
+                similar scores; empty for none.
+            prefer_idle: Whether to prefer upstreams without a call of this
+                instance in flight.
+            priority: The priority of the request, 0 the most urgent.
 
         Returns:
-            The upstream, or None if there is none left.
+            The upstream, or None if none may be called.
         """
-        staying = [
+        eligible = [
             each
             for each in self._by_service.get(service, ())
             if each.upstream.upstream_id not in excluded_ids
             and not each.upstream.draining
             and not (own_domain_only and self._is_far(each))
-            and self._bears(each, priority, now_ms)
+            and self._may_send(each, priority, now_ms)
         ]
-        well = [each for each in staying if each.ejected_until_ms <= now_ms]
-        # Where none looks well, the fault may be ours: any will do.
-        candidates = well or staying
+        available = [
+            each for each in eligible if each.ejected_until_ms <= now_ms
+        ]
+        # If all are ejected, the fault may be in this instance: use any.
+        candidates = available or eligible
         if prefer_idle:
-            quiet = [each for each in candidates if not each.in_flight_count]
-            candidates = quiet or candidates
+            idle = [each for each in candidates if not each.in_flight_count]
+            candidates = idle or candidates
         if not candidates:
             return None
         typical_ms = self.latency_of(route_name).median_ms or DEFAULT_CALL_MS
@@ -213,10 +226,11 @@
         return best.upstream
 
     def preferred_domains(self, services: tuple[str, ...]) -> dict[str, str]:
-        """Returns the failure domain that each service's calls prefer.
+        """Returns the preferred failure domain for calls to each service.
 
-        So that a query's calls into other domains go to few of them. Kept until
-        the list changes: a query of 63 shards would look at 189 upstreams.
+        The preference concentrates a query's calls to other domains on few of
+        them. The result is cached until the list of upstreams changes, because
+        a query of 63 shards would otherwise examine 189 upstreams.
         """
         found = self._preferred.get(services)
         if found is None:
@@ -237,11 +251,11 @@
     def own_domain_covers(
         self, services: collections.abc.Iterable[str]
     ) -> bool:
-        """Whether the own failure domain has an upstream for each service.
+        """Returns whether the own failure domain serves all given services.
 
-        Services that no upstream serves anywhere don't count.
+        Services without an upstream in any failure domain are ignored.
         """
-        staying = [
+        far_flags = [
             [
                 self._is_far(each)
                 for each in self._by_service.get(service, ())
@@ -249,113 +263,115 @@
             ]
             for service in services
         ]
-        return not any(far and all(far) for far in staying)
+        return not any(far and all(far) for far in far_flags)
 
     def _score(
         self,
-        standing: upstreamstate.UpstreamState,
+        state: upstreamstate.UpstreamState,
         typical_ms: float,
         now_ms: float,
     ) -> float:
-        upstream = standing.upstream
-        at_work = self.settings.mechanisms
+        upstream = state.upstream
+        mechanisms = self.settings.mechanisms
         expected_ms = typical_ms
-        if at_work.slowness:
-            expected_ms *= slowness.decayed_ratio(standing, now_ms)
-        if at_work.cold_starts and standing.cold_until_ms > now_ms:
+        if mechanisms.slowness:
+            expected_ms *= slowness.decayed_ratio(state, now_ms)
+        if mechanisms.cold_starts and state.cold_until_ms > now_ms:
             expected_ms *= COLD_RATIO
-        queue = max(0, standing.in_flight_count + 1 - upstream.slot_count)
-        own_load = standing.in_flight_count / upstream.slot_count
+        queue = max(0, state.in_flight_count + 1 - upstream.slot_count)
+        own_load = state.in_flight_count / upstream.slot_count
         expected_ms *= 1.0 + 0.5 * own_load + queue / upstream.slot_count
-        if at_work.shed_quiet and standing.shed_until_ms > now_ms:
+        if mechanisms.shed_quiet and state.shed_until_ms > now_ms:
             expected_ms += SHED_QUIET_MS
-        if at_work.crossing_price and self._is_far(standing):
+        if mechanisms.crossing_price and self._is_far(state):
             expected_ms += self.settings.crossing_ratio * typical_ms
         return expected_ms
 
-    def _is_far(self, standing: upstreamstate.UpstreamState) -> bool:
+    def _is_far(self, state: upstreamstate.UpstreamState) -> bool:
         own = self.settings.failure_domain
-        return standing.upstream.failure_domain != own
+        return state.upstream.failure_domain != own
 
-    def _bears(
-        self, standing: upstreamstate.UpstreamState, rank: int, now_ms: float
+    def _may_send(
+        self, state: upstreamstate.UpstreamState, rank: int, now_ms: float
     ) -> bool:
-        """Whether an upstream bears a request more from here."""
-        if self._warmups is None or standing.cold_until_ms <= now_ms:
+        """Returns whether the warm-up limit allows one more request."""
+        if self._warmups is None or state.cold_until_ms <= now_ms:
             return True
-        return self._warmups.allows(standing.upstream, rank, now_ms)
+        return self._warmups.allows(state.upstream, rank, now_ms)
 
     def usable_upstream(
         self, upstream_id: str, rank: int, now_ms: float
     ) -> traffic.Upstream | None:
-        """Returns an upstream by its id; None if it may get nothing now."""
-        standing = self.upstream_states.get(upstream_id)
-        if standing is None or standing.upstream.draining:
+        """Returns an upstream by its id, or None if it may not be called now."""
+        state = self.upstream_states.get(upstream_id)
+        if state is None or state.upstream.draining:
             return None
-        if not self._bears(standing, rank, now_ms):
+        if not self._may_send(state, rank, now_ms):
             return None
-        return standing.upstream
+        return state.upstream
 
     def calls_to_share(
         self, now_ms: float
     ) -> dict[str, gatewaymessage.LatencySample]:
-        """Returns the calls that neighbours should know of.
+        """Returns the recent calls to share with neighbours, by upstream id.
 
-        Only this instance's own: what it was told would else go round for ever.
+        Only calls of this instance are shared; calls reported by neighbours
+        would otherwise circulate forever.
         """
-        fresh = {
-            upstream_id: standing.sample_to_share
-            for upstream_id, standing in self.upstream_states.items()
-            if now_ms - standing.last_sample_ms < SHARE_MAX_AGE_MS
+        recently_called = {
+            upstream_id: state.sample_to_share
+            for upstream_id, state in self.upstream_states.items()
+            if now_ms - state.last_sample_ms < SHARE_MAX_AGE_MS
         }
-        news = {
+        recent = {
             upstream_id: seen
-            for upstream_id, seen in fresh.items()
+            for upstream_id, seen in recently_called.items()
             if seen is not None and now_ms - seen.end_ms < SHARE_MAX_AGE_MS
         }
         slow_count = sum(
             each.ratio > slowness.SLOW_RATIO and not each.was_shed
-            for each in news.values()
+            for each in recent.values()
         )
-        if slow_count > max(1, LOCAL_FAULT_RATIO * len(fresh)):
+        if slow_count > max(1, LOCAL_FAULT_RATIO * len(recently_called)):
             return {}
         return {
             upstream_id: gatewaymessage.LatencySample(
                 ratio=round(seen.ratio, 1), age_ms=round(now_ms - seen.end_ms)
             )
-            for upstream_id, seen in news.items()
+            for upstream_id, seen in recent.items()
         }
 
     def merge_neighbour_calls(
         self, seen_calls: dict[str, gatewaymessage.LatencySample], now_ms: float
     ) -> None:
-        """Takes a neighbour's calls as if they were its own.
+        """Records calls of a neighbour as if this instance had made them.
 
-        With many instances each sees an upstream seldom: two slow calls show a
-        slow upstream rather than a pause, whoever made them.
+        With many instances each one calls an upstream rarely. Two slow calls
+        indicate a slow upstream rather than a pause, whichever instance made
+        them.
         """
         for upstream_id, call in seen_calls.items():
-            standing = self.upstream_states.get(upstream_id)
-            if standing is not None:
+            state = self.upstream_states.get(upstream_id)
+            if state is not None:
                 end_ms = now_ms - call.age_ms
-                slowness.record_call(standing, call.ratio, end_ms, now_ms)
+                slowness.record_call(state, call.ratio, end_ms, now_ms)
 
-    # What calls show.
+    # Results of calls.
 
     def begin_call(self, upstream_id: str, now_ms: float) -> None:
-        """Notes a call that goes out."""
-        standing = self.upstream_states.get(upstream_id)
-        if standing is None:
+        """Counts a call that is sent to an upstream."""
+        state = self.upstream_states.get(upstream_id)
+        if state is None:
             return
-        standing.in_flight_count += 1
-        if self._warmups is not None and standing.cold_until_ms > now_ms:
-            self._warmups.record_sent(standing.upstream, now_ms)
+        state.in_flight_count += 1
+        if self._warmups is not None and state.cold_until_ms > now_ms:
+            self._warmups.record_sent(state.upstream, now_ms)
 
     def end_call(self, upstream_id: str) -> None:
-        """Notes that a call is over."""
-        standing = self.upstream_states.get(upstream_id)
-        if standing is not None and standing.in_flight_count:
-            standing.in_flight_count -= 1
+        """Ends a call that `begin_call` counted."""
+        state = self.upstream_states.get(upstream_id)
+        if state is not None and state.in_flight_count:
+            state.in_flight_count -= 1
 
     def record_answer(
         self,
@@ -364,17 +380,15 @@
         elapsed_ms: float,
         now_ms: float,
     ) -> None:
-        """Takes the time of an answered call."""
+        """Records the time of an answered call."""
         typical = self.latency_of(route_name)
         typical.record(elapsed_ms)
-        standing = self.upstream_states.get(upstream_id)
-        if standing is None:
+        state = self.upstream_states.get(upstream_id)
+        if state is None:
             return
-        standing.failure_count = 0
-        standing.ejected_until_ms = 0.0
-        slowness.record_own_call(
-            standing, elapsed_ms / typical.median_ms, now_ms
-        )
+        state.failure_count = 0
+        state.ejected_until_ms = 0.0
+        slowness.record_own_call(state, elapsed_ms / typical.median_ms, now_ms)
 
     def record_cancelled(
         self,
@@ -383,39 +397,42 @@
         elapsed_ms: float,
         now_ms: float,
     ) -> None:
-        """Takes a call given up unanswered; too early, it shows nothing."""
-        standing = self.upstream_states.get(upstream_id)
+        """Records a call that was cancelled before its answer.
+
+        It counts only if the time waited already indicates a slow call.
+        """
+        state = self.upstream_states.get(upstream_id)
         typical_ms = self.latency_of(route_name).median_ms
-        if standing is None or not typical_ms:
+        if state is None or not typical_ms:
             return
         ratio = CANCELLED_SLOWNESS_RATIO * elapsed_ms / typical_ms
         if ratio > slowness.SLOW_RATIO:
-            slowness.record_own_call(standing, ratio, now_ms)
+            slowness.record_own_call(state, ratio, now_ms)
 
     def record_failure(self, upstream_id: str, now_ms: float) -> None:
-        """Takes a call that the upstream failed."""
-        standing = self.upstream_states.get(upstream_id)
-        if standing is not None:
-            slowness.record_own_call(standing, FAILURE_SLOWNESS_RATIO, now_ms)
+        """Records a call that failed at the upstream."""
+        state = self.upstream_states.get(upstream_id)
+        if state is not None:
+            slowness.record_own_call(state, FAILURE_SLOWNESS_RATIO, now_ms)
 
     def record_connect_failure(self, upstream_id: str, now_ms: float) -> bool:
-        """Takes a failure to connect; tells whether it ejects anew."""
-        standing = self.upstream_states.get(upstream_id)
-        if standing is None or not self.settings.mechanisms.ejection:
+        """Records a failure to connect; returns whether it starts an ejection."""
+        state = self.upstream_states.get(upstream_id)
+        if state is None or not self.settings.mechanisms.ejection:
             return False
-        anew = standing.ejected_until_ms <= now_ms
-        if anew:
-            standing.failure_count += 1
-            wait_ms = BASE_EJECTION_MS * 2 ** (standing.failure_count - 1)
-            standing.ejected_until_ms = now_ms + min(MAX_EJECTION_MS, wait_ms)
-        return anew
+        newly_ejected = state.ejected_until_ms <= now_ms
+        if newly_ejected:
+            state.failure_count += 1
+            wait_ms = BASE_EJECTION_MS * 2 ** (state.failure_count - 1)
+            state.ejected_until_ms = now_ms + min(MAX_EJECTION_MS, wait_ms)
+        return newly_ejected
 
     def record_shed(self, upstream_id: str, now_ms: float) -> None:
-        """Takes a refusal for want of room."""
-        standing = self.upstream_states.get(upstream_id)
-        if standing is not None:
-            standing.shed_until_ms = now_ms + SHED_QUIET_MS
-            standing.sample_to_share = upstreamstate.CallSample(
+        """Records a call that the upstream shed because it was full."""
+        state = self.upstream_states.get(upstream_id)
+        if state is not None:
+            state.shed_until_ms = now_ms + SHED_QUIET_MS
+            state.sample_to_share = upstreamstate.CallSample(
                 ratio=SHED_SLOWNESS_RATIO, end_ms=now_ms, was_shed=True
             )
-            slowness.update_average(standing, SHED_SLOWNESS_RATIO, now_ms)
+            slowness.update_average(state, SHED_SLOWNESS_RATIO, now_ms)
--- a/hyssoptack/policy/upstreamstate.py
+++ b/hyssoptack/policy/upstreamstate.py
@@ -1,4 +1,4 @@
-"""What is known of one upstream: what it says, and what calls have shown."""
+"""The state of one upstream: its list entry and the results of calls."""
 
 import dataclasses
 
@@ -7,9 +7,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CallSample:
-    """One call: how many times the usual it took, and when it ended.
+    """The result of one call to an upstream.
 
-    `refused` tells one that the upstream itself refused: no fault of ours.
+    Attributes:
+        ratio: Time of the call as a multiple of the typical time.
+        end_ms: When the call ended.
+        was_shed: Whether the upstream shed the call. Such a call says nothing
+            about a fault of this instance.
     """
 
     ratio: float
@@ -19,20 +23,24 @@
 
 @dataclasses.dataclass(kw_only=True)
 class UpstreamState:
-    """What is known of one upstream.
+    """The state of one upstream.
 
     Attributes:
-        upstream: The entry that lists it.
-        cold_until_ms: When it stops being slow after its start.
-        slowness_ratio: Smoothed time of its calls over the typical one.
-        last_sample_ms: When a call last told something.
-        in_flight_count: Calls of this instance that are out.
-        failure_count: Failures to connect in a row.
-        ejected_until_ms: No calls before this time.
-        shed_until_ms: Lately had no room; others are preferred until then.
-        last_slow_ms: When a slow call that counted last ended, here or elsewhere.
-        last_quick_ms: When an own call last was quick.
-        sample_to_share: The last own call that neighbours should know of.
+        upstream: The entry of the upstream in the list.
+        cold_until_ms: When the warm-up after its start ends.
+        slowness_ratio: Smoothed time of its calls divided by the typical time.
+        last_sample_ms: When a call last updated `slowness_ratio`.
+        in_flight_count: Number of calls of this instance in flight to it.
+        failure_count: Number of failures to connect in a row.
+        ejected_until_ms: When its ejection ends; no calls are sent before.
+        shed_until_ms: Until when other upstreams are preferred, because it
+            shed a call.
+        last_slow_ms: When the last slow call that was counted ended, of this
+            instance or of a neighbour.
+        last_quick_ms: When the last quick call ended, of this instance or of a
+            neighbour.
+        sample_to_share: The last call of this instance to share with
+            neighbours; None if there is none.
     """
 
     upstream: traffic.Upstream
