--- a/hyssoptack/policy/ejectionstate.py
+++ b/hyssoptack/policy/ejectionstate.py
@@ -1,27 +1,38 @@
-"""How long something that failed is left alone: longer each time."""
+"""Ejection of an instance or failure domain after failures."""
 
 import dataclasses
 
 BASE_EJECTION_MS = 1_000.0
-"""A restart or a short stop is over by then; doubles up to the most."""
+"""Duration of the first ejection: a restart or a short stop is over by then.
+Each further failure in a row doubles it, up to `MAX_EJECTION_MS`."""
 
 MAX_EJECTION_MS = 8_000.0
-"""A cut lasts 4 to 6 s, so what is lost with one is tried again soon after."""
+"""Longest ejection. Network partitions last 4 to 6 s, so an instance or domain
+that is lost in one is tried again soon after it."""
 
 
 @dataclasses.dataclass(kw_only=True)
 class EjectionState:
-    """Whether one instance, or all of a failure domain, is left alone."""
+    """The ejection of one instance or of a whole failure domain.
+
+    Attributes:
+        failure_count: Number of ejections since the last answer.
+        ejected_until_ms: When the ejection ends.
+    """
 
     failure_count: int = 0
     ejected_until_ms: float = float("-inf")
 
     def is_ejected(self, now_ms: float) -> bool:
-        """Whether it is left alone now."""
+        """Returns whether no calls should be sent to it now."""
         return self.ejected_until_ms > now_ms
 
     def record_failure(self, now_ms: float) -> None:
-        """Takes a failure; one loss shows in all that was on its way."""
+        """Records a failure and starts an ejection.
+
+        Failures during an ejection are ignored, because a single fault fails
+        all calls in flight.
+        """
         if self.is_ejected(now_ms):
             return
         wait_ms = BASE_EJECTION_MS * 2**self.failure_count
@@ -29,10 +40,10 @@
         self.ejected_until_ms = now_ms + min(MAX_EJECTION_MS, wait_ms)
 
     def record_answer(self) -> None:
-        """Takes an answer: the next failure counts as the first."""
+        """Records an answer, so that the next failure counts as the first."""
         self.failure_count = 0
 
     def end_ejection(self) -> None:
-        """Takes a sign of life that ends the avoidance itself."""
+        """Ends the ejection early, after a sign of life."""
         self.record_answer()
         self.ejected_until_ms = float("-inf")
--- a/hyssoptack/policy/evacuation.py
+++ b/hyssoptack/policy/evacuation.py
@@ -1,8 +1,9 @@
-"""Failure domains that operators have evacuated: their upstreams get nothing.
+"""Tracks evacuated failure domains, whose upstreams receive no calls.
 
-What was read later holds, whoever read it. After the store's return from an
-older copy an evacuation that the copy lacks is kept until operators had time to
-write it again; its removal there ends it at once.
+The read at the latest store position wins, whichever instance made it. After
+the store is restored from an older copy, an evacuation that the copy lacks
+stays in force until operators have had time to write it again. Its removal in
+the restored store ends it at once.
 """
 
 import collections.abc
@@ -11,17 +12,17 @@
 from hyssoptack.core import position
 
 REWRITE_GRACE_MS = 2_000.0
-"""Time that operators need to write an evacuation again after such a return."""
+"""Time for operators to write an evacuation again after such a restore."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EvacuationChange:
-    """One evacuation that was asked for, or ended.
+    """The start or end of one evacuation.
 
     Attributes:
         failure_domain: The failure domain.
         ended: Whether its upstreams may be called again.
-        store_position: Where in the store's history.
+        store_position: The position of the change in the store's history.
     """
 
     failure_domain: str
@@ -30,7 +31,11 @@
 
 
 class Evacuations:
-    """One instance's view of the evacuated failure domains."""
+    """One instance's view of the evacuated failure domains.
+
+    Attributes:
+        store_position: The store position up to which the view is current.
+    """
 
     def __init__(self) -> None:
         self.store_position = position.START
@@ -38,7 +43,7 @@
         self._kept_until_ms: dict[str, float] = {}
 
     def evacuated_domains(self, now_ms: float) -> frozenset[str]:
-        """Returns the failure domains whose upstreams must get nothing."""
+        """Returns the failure domains whose upstreams must receive no calls."""
         kept = (
             domain
             for domain, until_ms in self._kept_until_ms.items()
@@ -49,11 +54,11 @@
     def replace_all(
         self, domains: frozenset[str], at: position.Position, now_ms: float
     ) -> None:
-        """Takes the whole list, unless what is known is newer.
+        """Replaces the list of evacuated domains, unless the list is older.
 
         Args:
             domains: All failure domains that are evacuated.
-            at: Where in the store's history it was read.
+            at: The store position at which the list was read.
             now_ms: The time now.
         """
         if at < self.store_position:
@@ -70,16 +75,16 @@
         changes: collections.abc.Iterable[EvacuationChange],
         at: position.Position,
     ) -> None:
-        """Takes all changes up to a position, but those known already.
+        """Applies changes up to a position, ignoring those already known.
 
         Args:
-            changes: The changes in their order; several may be of one write,
-                and so stand at one position.
-            at: Up to where nothing else had changed.
+            changes: The changes in order. Changes made by the same write have
+                the same position.
+            at: The store position up to which there are no other changes.
         """
-        known_at = self.store_position
+        known_position = self.store_position
         for change in changes:
-            if change.store_position <= known_at:
+            if change.store_position <= known_position:
                 continue
             if change.ended:
                 self._listed -= {change.failure_domain}
--- a/hyssoptack/policy/example.py
+++ b/hyssoptack/policy/example.py
@@ -1,7 +1,7 @@
-"""A small service and the knowledge around it, to try decisions without I/O.
+"""A small example service with its routing state, to run decisions without I/O.
 
-For embedders who want to see the parts at work, for the replay of traces, and
-for tests.
+It is meant for embedders who want to see the components at work, for the replay
+of traces and for tests.
 """
 
 from hyssoptack.core import catalog
@@ -17,13 +17,22 @@
 from hyssoptack.policy import routing
 
 OWN_ID = "plateau-1"
+"""Id of the instance that makes the decisions."""
+
 DOMAINS = ("plateau", "almadies", "pikine")
+"""The failure domains of the example."""
 
 
 def service(
     shard_count: int, replica_count: int, name: str = "oven-kiosk"
 ) -> catalog.Service:
-    """Returns a service of equal shards with replicas in some domains."""
+    """Returns a service of equal shards with replicas in some domains.
+
+    Args:
+        shard_count: Number of shards.
+        replica_count: Number of replicas of each shard, each in its own domain.
+        name: The name of the service.
+    """
     size = keyspace.KEYSPACE_SIZE_COUNT
     upstreams: dict[str, catalog.Upstream] = {}
     shards = []
@@ -62,7 +71,7 @@
 
 
 def profile(**changed: float) -> catalog.Profile:
-    """Returns a profile; fields can be changed."""
+    """Returns a profile with defaults for the fields that are not given."""
     fields: dict[str, float] = {
         "deadline_ms": 400,
         "coverage_floor_ratio": 0.5,
@@ -76,7 +85,12 @@
     current: catalog.Service,
     hedges: hedging.HedgePolicy | None = None,
 ) -> queryplan.QueryPlanContext:
-    """Returns what a fresh instance of three domains knows of a service."""
+    """Returns the planning context of a fresh instance for a service.
+
+    Args:
+        current: The service.
+        hedges: The hedge policy; by default `HedgeAfterQuantile`.
+    """
     upstream_health = health.HealthTracker()
     router = routing.Router(OWN_ID, upstream_health)
     members = {
@@ -137,7 +151,7 @@
     held_versions: tuple[int, ...] = (1,),
     service_ms: float = 5.0,
 ) -> message.UpstreamReply:
-    """Returns an upstream's whole answer to an ask."""
+    """Returns the complete answer of an upstream to a call."""
     shard = next(
         each
         for each in current.shards
@@ -163,7 +177,7 @@
     held_versions: tuple[int, ...] = (),
     reached: bool = True,
 ) -> message.UpstreamReply:
-    """Returns a reply without an answer."""
+    """Returns a reply that reports a failed call."""
     return message.UpstreamReply(
         call_id=ask.call_id,
         upstream_id=ask.path.upstream_id,
--- a/hyssoptack/policy/hedgetiming.py
+++ b/hyssoptack/policy/hedgetiming.py
@@ -1,65 +1,69 @@
-"""When a call of a request is sent once more, to another upstream.
-
-A call alone is hedged when it takes longer than nearly all calls of its route.
-The calls of a query say more: once most shards have answered and nothing more
-comes in for a while, those that are missing wait for an upstream that pauses or
-is slow, not for their turn on this instance's own link, where answers come in
-one behind the other without a gap. They are then hedged at once, while a second
-call still has most of the time to the goal.
-
-While answers keep coming in, one behind the other, what is missing may as well
-be this instance's own fault: on 0.12 of a core the first of 42 answers came
-after 35 to 112 ms, and the rest over 50 more, of upstreams that take 8. A hedge
-then waits in the same queue and lengthens it, so none is sent until the answers
-pause. Nor when all calls are silent together, until twice the time.
+"""Decides when a call of a request is hedged with a call to another upstream.
+
+A single call is hedged when it takes longer than nearly all calls of its route.
+The calls of a query to many shards give more information. Once most shards have
+answered and no answer arrives for a while, the missing calls are delayed by
+upstreams that pause or are slow: answers that queue on this instance's own link
+arrive one after the other without a gap. The missing calls are then hedged at
+once, while a second call still has most of the time to the latency goal.
+
+While answers keep arriving, the delay of the missing ones may be caused by this
+instance: on 0.12 of a core the first of 42 answers arrived after 35 to 112 ms
+and the rest over 50 ms more, from upstreams that take 8 ms. A hedge would wait
+in the same queue and lengthen it, so none is sent until the answers pause. If
+no call has been answered at all, hedges wait for twice the usual time.
 """
 
 from hyssoptack.policy import latencyestimate
 
 QUANTILE_RATIO = 0.97
-"""A call that takes longer than this share of its route's calls is hedged: the
-users' upstreams pause for 4 calls in 100, so most hedges answer a pause."""
+"""Quantile of the route's call times after which a call is hedged. Upstreams
+pause for 4 calls in 100, so most hedges replace a call delayed by a pause."""
 
 MIN_DELAY_MS = 5.0
-"""No hedge sooner: below it, timers and the wire decide, not the upstream."""
+"""Shortest delay before a hedge. Below it the delay of timers and the network
+outweighs that of the upstream."""
 
 DEFAULT_RATIO = 0.4
-"""Before a route has measured calls, hedge at this share of its goal."""
+"""Delay before a hedge while a route has too few answered calls, as a part of
+its latency goal."""
 
 MAX_DELAY_RATIO = 0.6
-"""Hedge at this share of the time to the goal at the latest, so that the second
-call has time to answer."""
+"""Longest delay before a hedge, as a part of the time to the latency goal, so
+that the second call has time to answer."""
 
 MIN_DELAY_RATIO = 0.5
-"""Nor hedge a call alone before this share of the time to the goal: an answer
-that is in time sooner is worth no more, and in most cases the first call
-answers within 10 ms of the earlier hedge (60 in 100 on the grown sites' calm
-seconds), which then has spent what a call that fails needs."""
+"""Shortest delay before a single call is hedged, as a part of the time to the
+latency goal. An answer before the goal is worth no more for being earlier, and
+in most cases the first call answers within 10 ms of an earlier hedge (60 in 100
+on large sites without faults). That hedge would use up budget that a failed
+call needs."""
 
 STALL_ANSWERED_RATIO = 0.7
 """Part of a query's shards that must have answered before a gap between answers
-says anything of the others: with 15 in 100 upstreams slow, and 4 pausing, 8 in
-10 are in; with fewer the fault may be this instance's."""
+counts as a stall of the others. With 15 in 100 upstreams slow and 4 pausing, 8
+in 10 have answered; with fewer answers the fault may be in this instance."""
 
 STALL_GAP_RATIO = 0.15
-"""Gap without an answer, over the time to the query's first answer, after which
-the missing ones are late for a cause of their own. The first answer waited for
-nothing here, so it shows what an upstream takes (9 and 22 ms on the users'
-routes); on the narrowest links answers come 1.3 ms apart."""
+"""Gap without an answer that counts as a stall, as a part of the time to the
+query's first answer. The first answer did not queue in this instance, so it
+shows how long an upstream takes (9 and 22 ms on the operators' routes). On the
+narrowest links answers arrive 1.3 ms apart."""
 
 STREAM_GAP_RATIO = 3.0
-"""Answers are still coming in while the last one is no older than this many
-times their usual distance: 1 in 20 distances is longer where answers come at
-random, so a stream ends late by two or three of them (1 to 9 ms) at most."""
+"""Answers count as still arriving until the age of the last one exceeds this
+many times their mean interval. With answers at random times 1 in 20 intervals
+is longer, so the end of a stream is detected at most two or three intervals (1
+to 9 ms) late."""
 
 ALL_SILENT_RATIO = 2.0
-"""Where no shard has answered, calls are waited for this many times as long:
-that all upstreams pause or are slow at once is rarer than a stop or a queue of
-this process; only a cut shows the same, and a hedge mends none."""
+"""Factor on the delay before a hedge while no shard has answered. All upstreams
+being paused or slow at once is rarer than a stop or a queue of this process.
+Only a network partition looks the same, and a hedge does not help there."""
 
 
 class HedgeTiming:
-    """The times at which one request's calls are hedged."""
+    """Computes when the calls of one request are hedged."""
 
     def __init__(
         self,
@@ -69,63 +73,68 @@
         now_ms: float,
         part_count: int,
     ):
-        """Makes the times of a request.
+        """Creates the hedge timing of a request.
 
         Args:
-            typical: What calls of its route take.
-            goal_ms: The route's goal.
-            goal_at_ms: When this request's answer loses most of its use.
+            typical: The latency estimate of the request's route.
+            goal_ms: The latency goal of the route.
+            goal_at_ms: When the latency goal of this request is reached; a
+                later answer has lost most of its value.
             now_ms: The time now.
-            part_count: Its shards.
+            part_count: Number of shards that the request calls.
         """
         self._started_ms = now_ms
-        self._first_ms: float | None = None
-        self._last_ms = now_ms
+        self._first_answer_at_ms: float | None = None
+        self._last_answer_at_ms = now_ms
         self._part_count = part_count
         self._answered_count = 0
-        self._alone_ms = _alone_ms(typical, goal_ms, goal_at_ms - now_ms)
+        self._single_delay_ms = _single_delay_ms(
+            typical, goal_ms, goal_at_ms - now_ms
+        )
 
     def record_answer(self, now_ms: float) -> None:
-        """Takes an answer of one of the shards."""
-        if self._first_ms is None:
-            self._first_ms = now_ms
-        self._last_ms = now_ms
+        """Records an answer of one of the shards."""
+        if self._first_answer_at_ms is None:
+            self._first_answer_at_ms = now_ms
+        self._last_answer_at_ms = now_ms
         self._answered_count += 1
 
     def single_hedge_at_ms(self, created_ms: float) -> float:
-        """Returns when a call is hedged that is alone in being late.
+        """Returns when a call is hedged, apart from a stall of the answers.
 
         Args:
-            created_ms: When it was decided on.
+            created_ms: When the call was created.
         """
-        due_ms = created_ms + self._alone_ms
+        due_ms = created_ms + self._single_delay_ms
         if self._part_count < 2:
             return due_ms
-        if self._first_ms is None:
-            return created_ms + ALL_SILENT_RATIO * self._alone_ms
-        return max(due_ms, self._last_ms + self._stream_gap_ms())
+        if self._first_answer_at_ms is None:
+            return created_ms + ALL_SILENT_RATIO * self._single_delay_ms
+        return max(due_ms, self._last_answer_at_ms + self._stream_gap_ms())
 
     def stall_at_ms(self) -> float | None:
-        """Returns when answers have dried up; None while that can't be told."""
-        if self._first_ms is None or self._part_count < 2:
+        """Returns when the answers count as stalled; None while unknown."""
+        if self._first_answer_at_ms is None or self._part_count < 2:
             return None
         if self._answered_count < STALL_ANSWERED_RATIO * self._part_count:
             return None
-        own_ms = self._first_ms - self._started_ms
-        gap_ms = max(STALL_GAP_RATIO * own_ms, self._stream_gap_ms())
-        return self._last_ms + gap_ms
+        first_answer_ms = self._first_answer_at_ms - self._started_ms
+        gap_ms = max(STALL_GAP_RATIO * first_answer_ms, self._stream_gap_ms())
+        return self._last_answer_at_ms + gap_ms
 
     def _stream_gap_ms(self) -> float:
-        """Returns the age of the last answer at which they have paused."""
+        """Returns the age of the last answer at which the stream has paused."""
         gaps_count = max(1, self._answered_count - 1)
-        usual_ms = (self._last_ms - self._first_ms) / gaps_count
-        return max(MIN_DELAY_MS, STREAM_GAP_RATIO * usual_ms)
+        mean_gap_ms = (
+            self._last_answer_at_ms - self._first_answer_at_ms
+        ) / gaps_count
+        return max(MIN_DELAY_MS, STREAM_GAP_RATIO * mean_gap_ms)
 
 
-def _alone_ms(
+def _single_delay_ms(
     typical: latencyestimate.LatencyEstimate, goal_ms: float, to_goal_ms: float
 ) -> float:
-    """Returns how long a call is waited for, whatever the others do."""
+    """Returns the delay before a hedge that ignores the other calls."""
     slow_ms = typical.quantile_ms(QUANTILE_RATIO)
     if slow_ms is None:
         slow_ms = DEFAULT_RATIO * goal_ms
--- a/hyssoptack/policy/hedging.py
+++ b/hyssoptack/policy/hedging.py
@@ -1,38 +1,39 @@
-"""When to send a second call for a shard: the product's way, and baselines."""
+"""Policies for hedging calls to shards: the product's own, and baselines."""
 
 import dataclasses
 import math
 
 MIN_DELAY_MS = 1.0
-"""No hedge sooner: timers fire that late."""
+"""Shortest delay before a hedge: timers fire late by about this long."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HedgeAfterQuantile:
-    """Hedge calls slower than the profile's quantile, within budget."""
+    """Hedges calls slower than the profile's quantile, within the budget."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HedgeAfterDelay:
-    """Hedge after a fixed delay without a budget: a baseline."""
+    """Hedges after a fixed delay without a budget, as a baseline."""
 
     delay_ms: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NoHedge:
-    """Never hedge: a baseline for measurements."""
+    """Never hedges, as a baseline for benchmarks."""
 
 
 HedgePolicy = HedgeAfterQuantile | HedgeAfterDelay | NoHedge
 
 
 def delay_ms(hedges: HedgePolicy, quantile_ms: float | None) -> float:
-    """Returns how long a call is waited for before it is hedged.
+    """Returns the delay before a call is hedged, in ms; infinite for never.
 
     Args:
-        hedges: The policy.
-        quantile_ms: The profile's quantile of recent calls; None with too few.
+        hedges: The hedge policy.
+        quantile_ms: The profile's quantile of recent call times; None with too
+            few calls.
     """
     match hedges:
         case HedgeAfterQuantile():
--- a/hyssoptack/policy/loadbalancer.py
+++ b/hyssoptack/policy/loadbalancer.py
@@ -302,7 +302,7 @@
     def usable_upstream(
         self, upstream_id: str, rank: int, now_ms: float
     ) -> traffic.Upstream | None:
-        """Returns an upstream by its id, or None if it may not be called now."""
+        """Returns an upstream by its id; None if it may not be called now."""
         state = self.upstream_states.get(upstream_id)
         if state is None or state.upstream.draining:
             return None
@@ -416,7 +416,11 @@
             slowness.record_own_call(state, FAILURE_SLOWNESS_RATIO, now_ms)
 
     def record_connect_failure(self, upstream_id: str, now_ms: float) -> bool:
-        """Records a failure to connect; returns whether it starts an ejection."""
+        """Records a failure to connect.
+
+        Returns:
+            Whether the failure starts an ejection.
+        """
         state = self.upstream_states.get(upstream_id)
         if state is None or not self.settings.mechanisms.ejection:
             return False
--- a/hyssoptack/policy/retrydelay.py
+++ b/hyssoptack/policy/retrydelay.py
@@ -1,8 +1,8 @@
-"""When a refused caller may come back: as soon as it is likely to be served.
+"""Computes the retry delay that a refused caller is given.
 
-Every reason for a refusal ends at a time of its own. A caller that is told less
-comes back to the same refusal, and callers have few tries; one that is told
-more waits for nothing. Times are spread, so that returns don't meet.
+Each cause of a refusal has its own expected duration. A caller that retries
+earlier is refused again and uses up one of its few tries; one that retries
+later waits needlessly. Delays are randomized so that retries do not coincide.
 """
 
 import dataclasses
@@ -13,30 +13,31 @@
 from hyssoptack.policy import routetable
 
 BALANCER_REMOVAL_MS = 2_200.0
-"""From the start of a cut until the balancer sends callers elsewhere: it takes
-two failed checks, one a second, of every instance of the domain, and some 200
-ms for the neighbours to hear of the cut."""
+"""Time from the start of a partition until the external load balancer sends
+callers elsewhere: two failed health checks, one per second, of every instance
+of the domain, and some 200 ms until the neighbours learn of the partition."""
 
 SOON_MS = 50.0
-"""Where a caller that comes back is sent elsewhere already, or an upstream is
-about to be free: a few times the way to the caller and back (6 ms)."""
+"""Delay where the balancer already sends the caller elsewhere: a few times the
+round trip to the caller (6 ms)."""
 
 OVERLOADED_RETRY_MS = 100.0
-"""About as long as a full queue of an upstream takes to clear."""
+"""Delay after overload: about the time a full upstream queue takes to clear."""
 
 LISTED_MS = 1_000.0
-"""A new upstream is known one reading of the list later."""
+"""Delay where no upstream is listed: a new one is known after the next read of
+the list."""
 
 STARTING_MS = 200.0
-"""A new instance has a configuration 10 to 20 ms after its start, or with the
-first try again after the store refused."""
+"""Delay while the instance starts: it has a configuration 10 to 20 ms after its
+start, or after the first retry if the store refused."""
 
 SPREAD_RATIO = 0.25
-"""Returns are spread over this part of the wait besides."""
+"""Largest random addition to a delay, as a part of the delay."""
 
 
 class RefusalCause(enum.Enum):
-    """What keeps a request from being served, by how it ends."""
+    """The causes of refusals that differ in their retry delay."""
 
     PARTITIONED = "cut_off"
     STARTING = "starting"
@@ -46,11 +47,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RefusalContext:
-    """A refusal, as far as its end is known.
+    """A refusal and what is known about the end of its cause.
 
     Attributes:
-        cause: What it is for.
-        partitioned_for_ms: How long the domain has been cut off; 0 where it is not.
+        cause: The cause of the refusal.
+        partitioned_for_ms: How long the failure domain has been partitioned; 0
+            if it is not.
     """
 
     cause: RefusalCause
@@ -58,7 +60,7 @@
 
 
 def cause_of(reason: str) -> RefusalCause:
-    """Returns the cause behind a plan's or a route table's reason."""
+    """Returns the cause for a reason given by a call plan or route table."""
     match reason:
         case callresult.PARTITIONED:
             return RefusalCause.PARTITIONED
@@ -70,16 +72,16 @@
             return RefusalCause.OVERLOADED
 
 
-def retry_delay_ms(refusal: RefusalContext, source: random.Random) -> float:
-    """Returns after what time a refused caller should come back."""
+def retry_delay_ms(refusal: RefusalContext, rng: random.Random) -> float:
+    """Returns the randomized delay after which a caller should retry."""
     match refusal.cause:
         case RefusalCause.PARTITIONED:
-            away_ms = BALANCER_REMOVAL_MS - refusal.partitioned_for_ms
-            least_ms = max(SOON_MS, away_ms)
+            removal_in_ms = BALANCER_REMOVAL_MS - refusal.partitioned_for_ms
+            min_delay_ms = max(SOON_MS, removal_in_ms)
         case RefusalCause.STARTING:
-            least_ms = STARTING_MS
+            min_delay_ms = STARTING_MS
         case RefusalCause.NO_UPSTREAM:
-            least_ms = LISTED_MS
+            min_delay_ms = LISTED_MS
         case RefusalCause.OVERLOADED:
-            least_ms = OVERLOADED_RETRY_MS
-    return least_ms * source.uniform(1.0, 1.0 + SPREAD_RATIO)
+            min_delay_ms = OVERLOADED_RETRY_MS
+    return min_delay_ms * rng.uniform(1.0, 1.0 + SPREAD_RATIO)
--- a/hyssoptack/policy/warmup.py
+++ b/hyssoptack/policy/warmup.py
@@ -1,13 +1,14 @@
-"""How many requests this instance may send to an upstream that warms up.
+"""Limits the requests of this instance to upstreams that are warming up.
 
-A cold upstream bears few requests a second from all instances together, and
-crashes well above that. Instances don't count together: those of the upstream's
-own failure domain with the widest links share the limit evenly, by rendezvous
-hashing, and nobody else calls it. Half of the limit is shared out, so that
-views of who lives may differ.
+A cold upstream can serve few requests per second from all instances together
+and crashes well above that rate. Instances do not coordinate their counts:
+rendezvous hashing divides the limit evenly among the instances with the widest
+links in the upstream's failure domain, and no other instance calls it. Only
+half of the limit is divided, because instances may differ in which others they
+know to be alive.
 
-It answers a load of returns: a failure domain whose upstreams all come back at
-once, beside instances that start, stop, or are cut off.
+The limiter covers the recovery of a whole failure domain, in which all
+upstreams start at once while instances start, stop or are partitioned.
 """
 
 import collections
@@ -21,36 +22,38 @@
 from hyssoptack.policy import rendezvous
 
 SHARED_RATIO = 0.5
-"""Part of the limit that the instances share out."""
+"""Part of the limit that is divided among the instances."""
 
 WINDOW_MS = 1_250.0
-"""An upstream counts by the second; requests that wait for a connection come
-somewhat later than they were decided on."""
+"""Length of the window in which requests are counted. An upstream counts per
+second; the rest covers requests that arrive late because they waited for a
+connection."""
 
 SETTLE_MS = 1_700.0
-"""An instance uses no share until it has heard who lives this long after its
-start: those that start together have entered themselves by then."""
+"""Time after the start of an instance before it uses its share. Instances that
+start together have registered by then; the share also needs an update of the
+live instances after this time."""
 
 PEER_RETENTION_MS = 30_000.0
-"""An instance that is not listed any more keeps its share for so long: its
-entry may have lapsed while it lives."""
+"""How long an instance keeps its share after it was last listed: its entry may
+have expired while it is alive."""
 
 RESERVED_RATIO = 0.5
-"""Part of a share that is kept for the most urgent requests of late."""
+"""Part of a share that is reserved for the most urgent recent requests."""
 
 URGENT_RETENTION_MS = 1_000.0
-"""How long a request counts as of late."""
+"""How long a request counts as recent."""
 
 
 def instance_share_count(
     own: member.Peer, others: tuple[member.Peer, ...], limit_count: float
 ) -> int:
-    """Returns how many requests a second an instance may send.
+    """Returns how many requests per second an instance may send.
 
     Args:
         own: The instance.
         others: The other instances of its failure domain.
-        limit_count: What all may send together.
+        limit_count: Requests per second that all may send together.
     """
     if limit_count < 1.0:
         return 0
@@ -65,15 +68,20 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Urgency:
-    """The most urgent request for a service of late."""
+class _UrgentRequest:
+    """The most urgent recent request for a service.
+
+    Attributes:
+        rank: Its priority, 0 the most urgent.
+        seen_ms: When it was seen.
+    """
 
     rank: int
     seen_ms: float
 
 
 class WarmupLimiter:
-    """One instance's shares of the cold upstreams of its failure domain."""
+    """Limits one instance's requests to cold upstreams of its failure domain."""
 
     def __init__(
         self,
@@ -88,22 +96,27 @@
         self._others: dict[str, tuple[member.Peer, float]] = {}
         self._services: dict[str, traffic.Service] = {}
         self._shares: dict[float, int] = {}
-        self._sent: dict[str, collections.deque[float]] = {}
-        self._urgent: dict[str, _Urgency] = {}
+        self._sent_at_ms: dict[str, collections.deque[float]] = {}
+        self._most_urgent: dict[str, _UrgentRequest] = {}
 
     def set_services(self, services: dict[str, traffic.Service]) -> None:
-        """Takes what is said of the services."""
+        """Replaces the settings of all services."""
         self._services = services
-        self._urgent = {
+        self._most_urgent = {
             name: each
-            for name, each in self._urgent.items()
+            for name, each in self._most_urgent.items()
             if name in services
         }
 
     def update_instances(
         self, others: tuple[member.Peer, ...], now_ms: float
     ) -> None:
-        """Takes who else lives in the failure domain."""
+        """Updates the live instances of the failure domain.
+
+        Args:
+            others: The other instances of the failure domain that are listed.
+            now_ms: The time now.
+        """
         for each in others:
             self._others[each.instance_id] = each, now_ms
         self._others = {
@@ -113,23 +126,23 @@
         }
         self._settled |= now_ms - self._started_ms >= SETTLE_MS
         self._shares.clear()
-        for upstream_id in tuple(self._sent):
-            # Drops those of upstreams that nobody asks for any more.
+        for upstream_id in tuple(self._sent_at_ms):
+            # Drops the counts of upstreams that are no longer requested.
             self._sent_count(upstream_id, now_ms)
 
     def warmup_ms(self, service: str) -> float:
-        """Returns how long upstreams of a service are cold after a start."""
+        """Returns how long a service's upstreams are cold after a start."""
         found = self._services.get(service)
         return found.warmup_ms if found else 0.0
 
     def allows(
         self, upstream: traffic.Upstream, rank: int, now_ms: float
     ) -> bool:
-        """Whether a cold upstream may get a request from here now.
+        """Returns whether this instance may send a cold upstream a request.
 
         Args:
             upstream: The upstream.
-            rank: The request's urgency, 0 the most urgent.
+            rank: The priority of the request, 0 the most urgent.
             now_ms: The time now.
         """
         limit_count = self._limit_count(upstream)
@@ -140,14 +153,14 @@
         if not self._settled:
             return False
         share = self._share(limit_count)
-        if self._yields(upstream.service, rank, now_ms):
+        if self._outranked(upstream.service, rank, now_ms):
             share -= int(RESERVED_RATIO * share)
         return self._sent_count(upstream.upstream_id, now_ms) < share
 
     def record_sent(self, upstream: traffic.Upstream, now_ms: float) -> None:
-        """Notes a request to a cold upstream."""
+        """Counts a request sent to a cold upstream."""
         if self._limit_count(upstream) < math.inf:
-            sent = self._sent.setdefault(
+            sent = self._sent_at_ms.setdefault(
                 upstream.upstream_id, collections.deque()
             )
             sent.append(now_ms)
@@ -155,7 +168,10 @@
     def on_upstream_cold(
         self, upstream: traffic.Upstream, now_ms: float
     ) -> None:
-        """Takes that an upstream in use is cold: it had requests just now."""
+        """Uses up the share of an upstream that became cold while in use.
+
+        It may have received requests just before, which were not counted.
+        """
         limit_count = self._limit_count(upstream)
         if limit_count < math.inf:
             for _ in range(self._share(limit_count)):
@@ -173,21 +189,26 @@
             self._shares[limit_count] = found
         return found
 
-    def _yields(self, service: str, rank: int, now_ms: float) -> bool:
-        """Whether requests that are more urgent came for a service of late."""
-        seen = self._urgent.get(service)
-        over = seen is None or now_ms - seen.seen_ms > URGENT_RETENTION_MS
-        if over or rank <= seen.rank:
-            self._urgent[service] = _Urgency(rank=rank, seen_ms=now_ms)
+    def _outranked(self, service: str, rank: int, now_ms: float) -> bool:
+        """Returns whether a service had more urgent requests recently.
+
+        Otherwise the request is recorded as the most urgent recent one.
+        """
+        seen = self._most_urgent.get(service)
+        expired = seen is None or now_ms - seen.seen_ms > URGENT_RETENTION_MS
+        if expired or rank <= seen.rank:
+            self._most_urgent[service] = _UrgentRequest(
+                rank=rank, seen_ms=now_ms
+            )
             return False
         return True
 
     def _sent_count(self, upstream_id: str, now_ms: float) -> int:
-        sent = self._sent.get(upstream_id)
+        sent = self._sent_at_ms.get(upstream_id)
         if sent is None:
             return 0
         while sent and now_ms - sent[0] > WINDOW_MS:
             sent.popleft()
         if not sent:
-            del self._sent[upstream_id]
+            del self._sent_at_ms[upstream_id]
         return len(sent)
