--- a/hyssoptack/policy/connections_test.py
+++ b/hyssoptack/policy/connections_test.py
@@ -1,4 +1,4 @@
-"""Shares of an upstream's connections."""
+"""Connection limits of instances that share an upstream."""
 
 import pytest
 
@@ -10,7 +10,8 @@
     [(31, 4, 5), (110, 3, 6), (26, 2, 6), (530, 26, 52)],
 )
 def test_all_instances_together_stay_within_the_limit(most, own, other):
-    # An upstream of a domain with `own` instances is shared by all the others.
+    # An upstream in a domain with `own` instances is also called by the `other`
+    # instances outside it.
     inside = connections.InstanceCounts(
         same_domain_count=own, other_domain_count=other
     )
@@ -22,10 +23,10 @@
     assert total <= most
 
 
-def test_every_instance_may_call_whatever_the_crowd():
-    crowd = connections.InstanceCounts(
+def test_every_instance_has_the_least_limit_among_very_many_instances():
+    counts = connections.InstanceCounts(
         same_domain_count=600, other_domain_count=2_600
     )
     least = connections.MIN_CONNECTION_COUNT
-    assert connections.connection_limit_count(30, True, crowd) == least
-    assert connections.connection_limit_count(30, False, crowd) == least
+    assert connections.connection_limit_count(30, True, counts) == least
+    assert connections.connection_limit_count(30, False, counts) == least
--- a/hyssoptack/policy/delayestimate.py
+++ b/hyssoptack/policy/delayestimate.py
@@ -21,7 +21,11 @@
 
 
 class DelayEstimate:
-    """The estimated delay of one kind of work."""
+    """The estimated delay of one kind of work.
+
+    Attributes:
+        estimate_ms: The estimated delay.
+    """
 
     def __init__(self, least_ms: float):
         """Creates an estimate without recorded delays.
--- a/hyssoptack/policy/delayestimate_test.py
+++ b/hyssoptack/policy/delayestimate_test.py
@@ -1,19 +1,19 @@
-"""What an instance usually is late by."""
+"""The estimate of the usual delay inside an instance."""
 
 from hyssoptack.policy import delayestimate
 
 
-def test_most_of_what_was_seen_is_kept_back():
-    late = delayestimate.DelayEstimate(2.0)
+def test_the_estimate_is_a_high_quantile_of_the_recent_delays():
+    delay = delayestimate.DelayEstimate(2.0)
     for number in range(32):
-        late.record(float(number % 10))
-    assert late.estimate_ms == 7.0
+        delay.record(float(number % 10))
+    assert delay.estimate_ms == 7.0
 
 
-def test_no_less_than_the_least_and_no_stop_of_the_process():
-    late = delayestimate.DelayEstimate(2.0)
-    late.record(-5.0)
-    assert late.estimate_ms == 2.0
-    late.record(2_000.0)
-    late.record(2_000.0)
-    assert late.estimate_ms <= delayestimate.MAX_MS
+def test_the_estimate_stays_between_its_lower_bound_and_max_ms():
+    delay = delayestimate.DelayEstimate(2.0)
+    delay.record(-5.0)
+    assert delay.estimate_ms == 2.0
+    delay.record(2_000.0)
+    delay.record(2_000.0)
+    assert delay.estimate_ms <= delayestimate.MAX_MS
--- a/hyssoptack/policy/evacuation_test.py
+++ b/hyssoptack/policy/evacuation_test.py
@@ -1,4 +1,4 @@
-"""Evacuations over reordered news, and over the store's older copies."""
+"""Evacuations with reordered changes and restores of the store."""
 
 from hyssoptack.core import position
 from hyssoptack.policy import evacuation
@@ -7,70 +7,71 @@
 NONE = frozenset()
 
 
-def note(known, domain, ended, revision, era=0):
-    """Takes one change, as a watch tells it."""
+def watch_change(evacuations, domain, ended, revision, era=0):
+    """Applies one change as a watch of the store reports it."""
     at = position.Position(era, revision)
     change = evacuation.EvacuationChange(
         failure_domain=domain, ended=ended, store_position=at
     )
-    known.take_changes([change], at)
-
-
-def test_news_that_is_older_changes_nothing():
-    known = evacuation.Evacuations()
-    note(known, "north", False, 7)
-    known.replace_all(NONE, position.Position(0, 6), 0.0)
-    note(known, "north", True, 5)
-    assert known.evacuated_domains(0.0) == NORTH
-    note(known, "north", True, 8)
-    note(known, "north", False, 7)
-    assert known.evacuated_domains(0.0) == NONE
-
-
-def test_a_whole_list_replaces_what_was_known():
-    known = evacuation.Evacuations()
-    note(known, "north", False, 7)
-    known.replace_all(frozenset(("south",)), position.Position(0, 9), 0.0)
-    assert known.evacuated_domains(0.0) == {"south"}
-
-
-def test_an_older_copy_of_the_store_ends_no_evacuation_at_once():
-    known = evacuation.Evacuations()
-    known.replace_all(NORTH, position.Position(0, 90), 0.0)
-    known.replace_all(NONE, position.Position(1, 40), 1_000.0)
-    assert known.evacuated_domains(1_000.0) == NORTH
-    known.replace_all(NONE, position.Position(1, 41), 1_500.0)
-    assert known.evacuated_domains(2_000.0) == NORTH
+    evacuations.take_changes([change], at)
+
+
+def test_older_lists_and_changes_are_ignored():
+    evacuations = evacuation.Evacuations()
+    watch_change(evacuations, "north", False, 7)
+    evacuations.replace_all(NONE, position.Position(0, 6), 0.0)
+    watch_change(evacuations, "north", True, 5)
+    assert evacuations.evacuated_domains(0.0) == NORTH
+    watch_change(evacuations, "north", True, 8)
+    watch_change(evacuations, "north", False, 7)
+    assert evacuations.evacuated_domains(0.0) == NONE
+
+
+def test_a_newer_list_replaces_all_known_evacuations():
+    evacuations = evacuation.Evacuations()
+    watch_change(evacuations, "north", False, 7)
+    evacuations.replace_all(frozenset(("south",)), position.Position(0, 9), 0.0)
+    assert evacuations.evacuated_domains(0.0) == {"south"}
+
+
+def test_a_restored_older_copy_ends_no_evacuation_before_the_grace_time():
+    evacuations = evacuation.Evacuations()
+    evacuations.replace_all(NORTH, position.Position(0, 90), 0.0)
+    evacuations.replace_all(NONE, position.Position(1, 40), 1_000.0)
+    assert evacuations.evacuated_domains(1_000.0) == NORTH
+    evacuations.replace_all(NONE, position.Position(1, 41), 1_500.0)
+    assert evacuations.evacuated_domains(2_000.0) == NORTH
     assert (
-        known.evacuated_domains(1_000.0 + evacuation.REWRITE_GRACE_MS) == NONE
+        evacuations.evacuated_domains(1_000.0 + evacuation.REWRITE_GRACE_MS)
+        == NONE
     )
 
 
-def test_an_evacuation_written_again_after_the_return_holds_on():
-    known = evacuation.Evacuations()
-    known.replace_all(NORTH, position.Position(0, 90), 0.0)
-    known.replace_all(NONE, position.Position(1, 40), 1_000.0)
-    note(known, "north", False, 41, era=1)
-    assert known.evacuated_domains(60_000.0) == NORTH
+def test_an_evacuation_written_again_after_a_restore_stays_in_force():
+    evacuations = evacuation.Evacuations()
+    evacuations.replace_all(NORTH, position.Position(0, 90), 0.0)
+    evacuations.replace_all(NONE, position.Position(1, 40), 1_000.0)
+    watch_change(evacuations, "north", False, 41, era=1)
+    assert evacuations.evacuated_domains(60_000.0) == NORTH
 
 
-def test_a_removal_after_the_return_ends_it_at_once():
-    known = evacuation.Evacuations()
-    known.replace_all(NORTH, position.Position(0, 90), 0.0)
-    known.replace_all(NONE, position.Position(1, 40), 1_000.0)
-    note(known, "north", True, 41, era=1)
-    assert known.evacuated_domains(1_001.0) == NONE
+def test_a_removal_after_a_restore_ends_the_evacuation_at_once():
+    evacuations = evacuation.Evacuations()
+    evacuations.replace_all(NORTH, position.Position(0, 90), 0.0)
+    evacuations.replace_all(NONE, position.Position(1, 40), 1_000.0)
+    watch_change(evacuations, "north", True, 41, era=1)
+    assert evacuations.evacuated_domains(1_001.0) == NONE
 
 
-def test_a_neighbour_that_missed_the_return_takes_nothing_back():
-    known = evacuation.Evacuations()
-    known.replace_all(NORTH, position.Position(1, 40), 0.0)
-    known.replace_all(NONE, position.Position(0, 95), 1.0)
-    assert known.evacuated_domains(1.0) == NORTH
+def test_a_list_from_before_a_restore_is_ignored():
+    evacuations = evacuation.Evacuations()
+    evacuations.replace_all(NORTH, position.Position(1, 40), 0.0)
+    evacuations.replace_all(NONE, position.Position(0, 95), 1.0)
+    assert evacuations.evacuated_domains(1.0) == NORTH
 
 
-def test_two_domains_evacuated_by_one_write_are_both():
-    known = evacuation.Evacuations()
+def test_both_domains_evacuated_by_one_write_are_evacuated():
+    evacuations = evacuation.Evacuations()
     at = position.Position(0, 7)
     changes = [
         evacuation.EvacuationChange(
@@ -78,5 +79,5 @@
         )
         for domain in ("north", "south")
     ]
-    known.apply_changes(changes, at)
-    assert known.evacuated_domains(0.0) == {"north", "south"}
+    evacuations.apply_changes(changes, at)
+    assert evacuations.evacuated_domains(0.0) == {"north", "south"}
--- a/hyssoptack/policy/hedgetiming_test.py
+++ b/hyssoptack/policy/hedgetiming_test.py
@@ -1,4 +1,4 @@
-"""When calls are hedged: on upstreams' delays, not on this instance's own."""
+"""Calls are hedged for delays of upstreams, not of this instance."""
 
 from hyssoptack.policy import callplan_test
 from hyssoptack.policy import hedgetiming
@@ -8,26 +8,26 @@
 GOAL_MS = 80.0
 
 
-def made(part_count=PART_COUNT):
+def hedge_timing(part_count=PART_COUNT):
     return hedgetiming.HedgeTiming(
         latencyestimate.LatencyEstimate(), GOAL_MS, GOAL_MS, 0.0, part_count
     )
 
 
-def test_a_call_alone_waits_for_its_time():
-    times = made(part_count=1)
+def test_a_single_call_is_hedged_after_its_own_delay():
+    times = hedge_timing(part_count=1)
     assert (
         times.single_hedge_at_ms(0.0) == hedgetiming.MIN_DELAY_RATIO * GOAL_MS
     )
     assert times.stall_at_ms() is None
 
 
-def test_calls_that_are_silent_together_are_given_twice_the_time():
-    assert made().single_hedge_at_ms(0.0) == GOAL_MS
+def test_the_hedge_delay_doubles_while_no_shard_has_answered():
+    assert hedge_timing().single_hedge_at_ms(0.0) == GOAL_MS
 
 
-def test_while_answers_stream_in_nothing_is_hedged():
-    times = made()
+def test_nothing_is_hedged_while_answers_keep_arriving():
+    times = hedge_timing()
     for number in range(20):
         times.record_answer(35.0 + 2.0 * number)
     last_ms = 35.0 + 2.0 * 19
@@ -35,8 +35,8 @@
     assert times.stall_at_ms() is None
 
 
-def test_a_pause_among_quick_answers_is_hedged_at_once():
-    times = made()
+def test_calls_missing_after_quick_answers_are_hedged_at_once():
+    times = hedge_timing()
     for number in range(38):
         times.record_answer(8.0 + 0.2 * number)
     assert times.stall_at_ms() <= 8.0 + 0.2 * 37 + hedgetiming.MIN_DELAY_MS
@@ -46,10 +46,11 @@
 
 
 def _hedges(answer_times_ms):
-    """Plays a query; returns how many of its calls were hedged.
+    """Simulates a query; returns how many of its calls were hedged.
 
     Args:
-        answer_times_ms: When the answer of each shard is read, in order.
+        answer_times_ms: Times at which the answers of the shards are read, in
+            the order of the shards.
     """
     target = callplan_test.shards(len(answer_times_ms), 0.9)
     upstreams = [
@@ -69,9 +70,10 @@
     return hedge_count
 
 
-def test_a_starved_instance_hedges_none_of_its_own_queue():
-    # 0.12 of a core: the first answer is read after 35 ms, the others one
-    # behind the other. 31 of 42 calls were hedged, into the same queue.
+def test_answers_queued_in_a_starved_instance_are_not_hedged():
+    # On 0.12 of a core the first answer is read after 35 ms and the others one
+    # after the other. Hedging by the first delay alone hedged 31 of 42 calls,
+    # whose answers waited in the same queue.
     times_ms = [35.0 + 1.5 * number for number in range(PART_COUNT)]
     assert _hedges(times_ms) == 0
 
--- a/hyssoptack/policy/hedging.py
+++ b/hyssoptack/policy/hedging.py
@@ -14,7 +14,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HedgeAfterDelay:
-    """Hedges after a fixed delay without a budget, as a baseline."""
+    """Hedges after a fixed delay without a budget, as a baseline.
+
+    Attributes:
+        delay_ms: Delay before a call is hedged.
+    """
 
     delay_ms: float
 
--- a/hyssoptack/policy/latencyestimate.py
+++ b/hyssoptack/policy/latencyestimate.py
@@ -15,7 +15,11 @@
 
 
 class LatencyEstimate:
-    """A running median and recent quantiles of the times of a route's calls."""
+    """A running median and recent quantiles of a route's call times.
+
+    Attributes:
+        median_ms: The running median; 0 before the first call.
+    """
 
     def __init__(self) -> None:
         self.median_ms = 0.0
--- a/hyssoptack/policy/loadbalancer.py
+++ b/hyssoptack/policy/loadbalancer.py
@@ -85,7 +85,12 @@
 
 
 class LoadBalancer:
-    """Keeps the state of all listed upstreams and chooses among them."""
+    """Keeps the state of all listed upstreams and chooses among them.
+
+    Attributes:
+        settings: The settings for the choice of an upstream.
+        upstream_states: The state of each listed upstream, by its id.
+    """
 
     def __init__(
         self,
--- a/hyssoptack/policy/retrydelay.py
+++ b/hyssoptack/policy/retrydelay.py
@@ -18,8 +18,8 @@
 of the domain, and some 200 ms until the neighbours learn of the partition."""
 
 SOON_MS = 50.0
-"""Delay where the balancer already sends the caller elsewhere: a few times the
-round trip to the caller (6 ms)."""
+"""Delay where the balancer already sends the caller elsewhere or an upstream is
+about to have room: a few times the round trip to the caller (6 ms)."""
 
 OVERLOADED_RETRY_MS = 100.0
 """Delay after overload: about the time a full upstream queue takes to clear."""
--- a/hyssoptack/policy/retrydelay_test.py
+++ b/hyssoptack/policy/retrydelay_test.py
@@ -1,4 +1,4 @@
-"""Refused callers come back when they are likely to be served."""
+"""Refused callers are told to retry when they are likely to be served."""
 
 import random
 
@@ -8,20 +8,24 @@
 from hyssoptack.policy import retrydelay
 
 
-def waits(reason, cut_for_ms=0.0):
+def delays_ms(reason, partitioned_for_ms=0.0):
     refusal = retrydelay.RefusalContext(
-        cause=retrydelay.cause_of(reason), partitioned_for_ms=cut_for_ms
+        cause=retrydelay.cause_of(reason), partitioned_for_ms=partitioned_for_ms
     )
-    source = random.Random(7)
-    return [retrydelay.retry_delay_ms(refusal, source) for _ in range(50)]
+    rng = random.Random(7)
+    return [retrydelay.retry_delay_ms(refusal, rng) for _ in range(50)]
 
 
-def test_callers_of_a_cut_domain_come_back_once_they_are_sent_elsewhere():
-    # They were told 100 ms, came back to the same domain, and had no try left.
-    for cut_for_ms in (0.0, 400.0, 2_000.0):
-        away_ms = retrydelay.BALANCER_REMOVAL_MS - cut_for_ms
-        assert min(waits(callresult.PARTITIONED, cut_for_ms)) >= away_ms
-    assert max(waits(callresult.PARTITIONED, 9_000.0)) < 100.0
+def test_callers_of_a_partitioned_domain_retry_after_its_removal():
+    # With a delay of 100 ms callers reached the same domain again and used up
+    # their tries.
+    for partitioned_for_ms in (0.0, 400.0, 2_000.0):
+        removal_in_ms = retrydelay.BALANCER_REMOVAL_MS - partitioned_for_ms
+        assert (
+            min(delays_ms(callresult.PARTITIONED, partitioned_for_ms))
+            >= removal_in_ms
+        )
+    assert max(delays_ms(callresult.PARTITIONED, 9_000.0)) < 100.0
 
 
 @pytest.mark.parametrize(
@@ -33,10 +37,10 @@
         ("connect_timeout", retrydelay.RefusalCause.OVERLOADED),
     ],
 )
-def test_each_reason_has_its_own_end(reason, cause):
+def test_each_reason_maps_to_its_cause(reason, cause):
     assert retrydelay.cause_of(reason) is cause
 
 
-def test_returns_are_spread():
-    seen = waits("shed_503")
+def test_retry_delays_are_randomized():
+    seen = delays_ms("shed_503")
     assert max(seen) - min(seen) > 0.15 * retrydelay.OVERLOADED_RETRY_MS
--- a/hyssoptack/policy/warmup.py
+++ b/hyssoptack/policy/warmup.py
@@ -81,7 +81,11 @@
 
 
 class WarmupLimiter:
-    """Limits one instance's requests to cold upstreams of its failure domain."""
+    """Limits one instance's requests to cold upstreams.
+
+    Attributes:
+        limits: The warm-up limits of the platform.
+    """
 
     def __init__(
         self,
--- a/hyssoptack/policy/warmup_test.py
+++ b/hyssoptack/policy/warmup_test.py
@@ -1,4 +1,4 @@
-"""Shares of cold upstreams, over instances that don't know of each other."""
+"""Warm-up limits over instances that may not know of each other."""
 
 import collections
 import random
@@ -29,20 +29,20 @@
     )
 
 
-def made(index, started_ms=0.0, per_s=PER_S):
-    one = warmup.WarmupLimiter(peer(index), LIMITS, started_ms)
+def make_limiter(index, started_ms=0.0, per_s=PER_S):
+    limiter = warmup.WarmupLimiter(peer(index), LIMITS, started_ms)
     service = traffic.Service(
         name=COLD.service,
         max_connections_count=1,
         warmup_ms=3_000.0,
         warmup_per_s=per_s,
     )
-    one.set_services({COLD.service: service})
-    return one
+    limiter.set_services({COLD.service: service})
+    return limiter
 
 
 def worst_second(sent):
-    """Returns the most requests within any second."""
+    """Returns the largest number of requests within any second."""
     window = collections.deque()
     most = 0
     for at_ms in sorted(sent):
@@ -54,18 +54,18 @@
 
 
 class Fleet:
-    """Instances that learn late of each other, and die and start again."""
+    """Instances that learn late of each other, stop and start again."""
 
     def __init__(self, source, count):
         self.source = source
-        self.alive = {index: made(index) for index in range(count)}
+        self.alive = {index: make_limiter(index) for index in range(count)}
         self.sent = []
 
     def restart(self, index, now_ms):
-        self.alive[index] = made(index, started_ms=now_ms)
+        self.alive[index] = make_limiter(index, started_ms=now_ms)
 
-    def tell(self, now_ms, heard_ratio):
-        """Tells some of them of most of the others."""
+    def update_some(self, now_ms, heard_ratio):
+        """Updates about half of the instances with part of the others."""
         for index, each in self.alive.items():
             if self.source.random() < 0.5:
                 others = tuple(
@@ -75,7 +75,8 @@
                 )
                 each.update_instances(others, now_ms)
 
-    def press(self, now_ms):
+    def send_where_allowed(self, now_ms):
+        """Sends a request from each instance whose limit allows it."""
         for each in self.alive.values():
             if each.allows(COLD, 0, now_ms):
                 each.record_sent(COLD, now_ms)
@@ -88,9 +89,9 @@
     fleet = Fleet(source, source.choice((3, 12, 30)))
     for step in range(2_000):
         now_ms = step * 10.0
-        fleet.press(now_ms)
+        fleet.send_where_allowed(now_ms)
         if step % 50 == 0:
-            fleet.tell(now_ms, heard_ratio=0.9)
+            fleet.update_some(now_ms, heard_ratio=0.9)
         if step % 700 == 0:
             fleet.restart(source.choice(tuple(fleet.alive)), now_ms)
         if step == 1_000:
@@ -100,45 +101,45 @@
     assert len(fleet.sent) > 20.0 * LIMIT_COUNT * warmup.SHARED_RATIO / 4
 
 
-def test_an_instance_that_knows_of_nobody_sends_nothing():
-    one = made(0)
-    assert not one.allows(COLD, 0, 0.0)
-    one.update_instances((), 100.0)
-    assert not one.allows(COLD, 0, 60_000.0)
+def test_an_instance_without_a_settled_view_sends_nothing():
+    limiter = make_limiter(0)
+    assert not limiter.allows(COLD, 0, 0.0)
+    limiter.update_instances((), 100.0)
+    assert not limiter.allows(COLD, 0, 60_000.0)
 
 
-def test_an_upstream_without_a_limit_gets_any_number():
-    one = made(0, per_s=0.0)
+def test_an_upstream_without_a_limit_gets_any_number_of_requests():
+    limiter = make_limiter(0, per_s=0.0)
     for _ in range(100):
-        assert one.allows(COLD, 0, 0.0)
-        one.record_sent(COLD, 0.0)
+        assert limiter.allows(COLD, 0, 0.0)
+        limiter.record_sent(COLD, 0.0)
 
 
 def test_only_the_own_failure_domain_calls_a_cold_upstream():
-    one = made(0)
-    one.update_instances((), warmup.SETTLE_MS)
+    limiter = make_limiter(0)
+    limiter.update_instances((), warmup.SETTLE_MS)
     far = callplan_test.upstream("b", zone="south")
-    assert one.allows(COLD, 0, 2_000.0)
-    assert not one.allows(far, 0, 2_000.0)
+    assert limiter.allows(COLD, 0, 2_000.0)
+    assert not limiter.allows(far, 0, 2_000.0)
 
 
-def test_urgent_requests_keep_half_of_a_share():
-    one = made(0)
-    one.update_instances((), warmup.SETTLE_MS)
+def test_half_of_a_share_is_reserved_for_urgent_requests():
+    limiter = make_limiter(0)
+    limiter.update_instances((), warmup.SETTLE_MS)
     now_ms = 10_000.0
-    assert one.allows(COLD, 1, now_ms)
+    assert limiter.allows(COLD, 1, now_ms)
     counts = collections.Counter()
     for _ in range(int(LIMIT_COUNT)):
-        if one.allows(COLD, 2, now_ms):
-            one.record_sent(COLD, now_ms)
+        if limiter.allows(COLD, 2, now_ms):
+            limiter.record_sent(COLD, now_ms)
             counts["browse"] += 1
-    while one.allows(COLD, 1, now_ms):
-        one.record_sent(COLD, now_ms)
+    while limiter.allows(COLD, 1, now_ms):
+        limiter.record_sent(COLD, now_ms)
         counts["urgent"] += 1
     assert counts["urgent"] == counts["browse"] == LIMIT_COUNT / 4
 
 
-def test_wide_instances_share_the_limit_where_they_gather():
+def test_instances_with_wide_links_share_the_limit():
     wide = [peer(index, 140.0) for index in range(2)]
     narrow = [peer(index, 14.0) for index in range(2, 29)]
     shares = {
@@ -153,50 +154,54 @@
     assert sum(shares.values()) == 10
 
 
-def placed(cold_ms, per_s=PER_S, returning=frozenset()):
-    one = made(0, per_s=per_s)
-    one.update_instances((), warmup.SETTLE_MS)
-    known = loadbalancer.LoadBalancer(
+def load_balancer(cold_ms, per_s=PER_S, restored=frozenset()):
+    limiter = make_limiter(0, per_s=per_s)
+    limiter.update_instances((), warmup.SETTLE_MS)
+    balancer = loadbalancer.LoadBalancer(
         loadbalancer.LoadBalancerSettings(
             failure_domain="north", crossing_ratio=1.5
         ),
-        one,
+        limiter,
     )
     cold = callplan_test.upstream("a", cold_ms=cold_ms)
     warm = callplan_test.upstream("b")
-    known.set_upstreams({"a": cold, "b": warm}, 10_000.0, returning)
-    return known
+    balancer.set_upstreams({"a": cold, "b": warm}, 10_000.0, restored)
+    return balancer
 
 
-def test_beside_a_cold_upstream_the_warm_one_serves():
-    known = placed(cold_ms=3_000.0)
+def test_calls_above_a_cold_upstreams_limit_go_to_the_warm_one():
+    balancer = load_balancer(cold_ms=3_000.0)
     chosen = collections.Counter()
     for index in range(100):
         now_ms = 10_000.0 + 5.0 * index
-        upstream = known.choose("r", COLD.service, frozenset(), now_ms)
-        known.begin_call(upstream.upstream_id, now_ms)
+        upstream = balancer.choose("r", COLD.service, frozenset(), now_ms)
+        balancer.begin_call(upstream.upstream_id, now_ms)
         chosen[upstream.upstream_id] += 1
     assert 0 < chosen["a"] <= LIMIT_COUNT * warmup.SHARED_RATIO
     assert sum(chosen.values()) == 100
 
 
-def test_upstreams_of_a_domain_that_was_evacuated_count_as_cold():
-    known = placed(cold_ms=0.0, returning=frozenset(("north",)))
+def test_upstreams_of_a_restored_domain_count_as_cold():
+    balancer = load_balancer(cold_ms=0.0, restored=frozenset(("north",)))
     now_ms = 10_000.0
     sent = 0
-    while known.choose("r", COLD.service, frozenset("b"), now_ms) is not None:
-        known.begin_call("a", now_ms)
+    while (
+        balancer.choose("r", COLD.service, frozenset("b"), now_ms) is not None
+    ):
+        balancer.begin_call("a", now_ms)
         sent += 1
     assert sent == LIMIT_COUNT * warmup.SHARED_RATIO
 
 
-def test_an_upstream_that_turns_cold_in_use_gets_nothing_for_a_moment():
-    known = placed(cold_ms=0.0)
+def test_an_upstream_that_becomes_cold_in_use_gets_nothing_for_one_window():
+    balancer = load_balancer(cold_ms=0.0)
     again = {
         "a": callplan_test.upstream("a", cold_ms=3_000.0),
         "b": callplan_test.upstream("b"),
     }
-    known.set_upstreams(again, 10_000.0)
-    assert known.choose("r", COLD.service, frozenset("b"), 10_100.0) is None
+    balancer.set_upstreams(again, 10_000.0)
+    assert balancer.choose("r", COLD.service, frozenset("b"), 10_100.0) is None
     later_ms = 10_001.0 + warmup.WINDOW_MS
-    assert known.choose("r", COLD.service, frozenset("b"), later_ms) is not None
+    assert (
+        balancer.choose("r", COLD.service, frozenset("b"), later_ms) is not None
+    )
