--- a/hyssoptack/policy/delayestimate.py
+++ b/hyssoptack/policy/delayestimate.py
@@ -16,7 +16,7 @@
 of the answer's value; a late answer loses nine tenths of its value."""
 
 MAX_MS = 40.0
-"""Largest delay that is counted: longer ones follow a stop of the process,
+"""Upper bound of a recorded delay: longer delays follow a stop of the process,
 which is rare and does not affect other queries."""
 
 
--- a/hyssoptack/policy/hedgetiming.py
+++ b/hyssoptack/policy/hedgetiming.py
@@ -100,7 +100,7 @@
         self._answered_count += 1
 
     def single_hedge_at_ms(self, created_ms: float) -> float:
-        """Returns when a call is hedged, apart from a stall of the answers.
+        """Returns when a call is hedged unless the answers stall earlier.
 
         Args:
             created_ms: When the call was created.
@@ -113,7 +113,12 @@
         return max(due_ms, self._last_answer_at_ms + self._stream_gap_ms())
 
     def stall_at_ms(self) -> float | None:
-        """Returns when the answers count as stalled; None while unknown."""
+        """Returns when the missing answers count as stalled.
+
+        Returns:
+            The time, or None for a single call or while too few shards have
+            answered.
+        """
         if self._first_answer_at_ms is None or self._part_count < 2:
             return None
         if self._answered_count < STALL_ANSWERED_RATIO * self._part_count:
@@ -134,7 +139,7 @@
 def _single_delay_ms(
     typical: latencyestimate.LatencyEstimate, goal_ms: float, to_goal_ms: float
 ) -> float:
-    """Returns the delay before a hedge that ignores the other calls."""
+    """Returns the delay after which a single call is hedged."""
     slow_ms = typical.quantile_ms(QUANTILE_RATIO)
     if slow_ms is None:
         slow_ms = DEFAULT_RATIO * goal_ms
--- a/hyssoptack/policy/hedgetiming_test.py
+++ b/hyssoptack/policy/hedgetiming_test.py
@@ -72,8 +72,8 @@
 
 def test_answers_queued_in_a_starved_instance_are_not_hedged():
     # On 0.12 of a core the first answer is read after 35 ms and the others one
-    # after the other. Hedging by the first delay alone hedged 31 of 42 calls,
-    # whose answers waited in the same queue.
+    # after the other. Without the wait for a pause 31 of 42 calls were hedged,
+    # which lengthened the same queue.
     times_ms = [35.0 + 1.5 * number for number in range(PART_COUNT)]
     assert _hedges(times_ms) == 0
 
--- a/hyssoptack/policy/warmup.py
+++ b/hyssoptack/policy/warmup.py
@@ -30,9 +30,9 @@
 connection."""
 
 SETTLE_MS = 1_700.0
-"""Time after the start of an instance before it uses its share. Instances that
-start together have registered by then; the share also needs an update of the
-live instances after this time."""
+"""Time after the start of an instance before it uses its share. It uses the
+share from the first update of the live instances after this time, because
+instances that start together have registered by then."""
 
 PEER_RETENTION_MS = 30_000.0
 """How long an instance keeps its share after it was last listed: its entry may
--- a/hyssoptack/policy/windowbudget.py
+++ b/hyssoptack/policy/windowbudget.py
@@ -121,7 +121,7 @@
     Attributes:
         share: The share that calls to most services draw on.
         gather_share: The share that calls to `gathered_services` draw on.
-        gathered_services: Services with a share of their own.
+        gathered_services: Services whose calls draw on `gather_share`.
     """
 
     def __init__(self, share: BudgetShare, started_ms: float):
