--- a/hyssoptack/policy/evacuation_test.py
+++ b/hyssoptack/policy/evacuation_test.py
@@ -13,7 +13,7 @@
     change = evacuation.EvacuationChange(
         failure_domain=domain, ended=ended, store_position=at
     )
-    evacuations.take_changes([change], at)
+    evacuations.apply_changes([change], at)
 
 
 def test_older_lists_and_changes_are_ignored():
--- a/hyssoptack/policy/windowbudget_test.py
+++ b/hyssoptack/policy/windowbudget_test.py
@@ -29,7 +29,7 @@
 def spent_count(budget, now_ms):
     """Spends all extra calls that are allowed now; returns their number."""
     count = 0
-    while budget.spend("s", now_ms):
+    while budget.try_spend("s", now_ms):
         count += 1
     return count
 
