--- a/hyssoptack/policy/windowbudget_test.py
+++ b/hyssoptack/policy/windowbudget_test.py
@@ -158,7 +158,7 @@
         assert _count_in_window(extras, end_ms) <= 156.0 + RATIO * counted
 
 
-def test_an_instance_that_knows_no_instances_has_no_slack():
+def test_there_is_no_slack_before_any_list_of_instances():
     shared = gateway.BudgetSettings(
         ratio=RATIO, window_ms=WINDOW_MS, slack_count=156.0
     )
