--- a/hyssoptack/policy/admission.py
+++ b/hyssoptack/policy/admission.py
@@ -1,8 +1,8 @@
-"""Admission of queries: an adaptive limit, a reserve for urgent ones.
+"""Admits queries up to an adaptive limit, with a reserve for urgent ones.
 
-The limit grows by about one for each limit's worth of answers in good time and
-shrinks by a fifth on a late or shed one, at most once in a deadline. A refused
-query costs an upstream nothing and is told when to come back.
+The limit grows by about one after as many timely answers as the limit, and
+shrinks by a fifth on a late or shed answer, at most once per deadline. A
+refused query causes no upstream calls and carries a retry delay.
 """
 
 import dataclasses
@@ -11,17 +11,18 @@
 from hyssoptack.core import query
 
 SHRINK_RATIO = 0.8
-START_COUNT = 4.0
-"""First limit of a service: a node that joins must not flood its upstreams."""
+INITIAL_LIMIT_COUNT = 4.0
+"""Initial limit of a service: a new instance must not flood its upstreams."""
 
-ROOM_RATIO = 0.7
-"""Answers later than this part of the deadline shrink the limit: waiting for
-the first misses would keep it where half of the work comes too late."""
+TIMELY_RATIO = 0.7
+"""Answers that take more than this part of the deadline shrink the limit.
+Shrinking only on missed deadlines would keep the limit at a level where half
+of the answers are late."""
 
 SMOOTHING_RATIO = 0.1
 LIMIT_MIN_COUNT = 2.0
-YIELD_MS = 500.0
-"""Browsing stands back for this long after an urgent lookup was refused."""
+BROWSING_PAUSE_MS = 500.0
+"""Browsing queries are refused for this long after a refused urgent lookup."""
 
 RETRY_MIN_MS = 50
 RETRY_MAX_MS = 10_000
@@ -29,17 +30,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Limiter:
-    """What admission knows of one service on this instance.
+    """State of admission for one service on this instance.
 
     Attributes:
-        limit_count: Queries allowed in flight now.
-        ceiling_count: The most that the limit may grow to.
-        reserve_count: The part of the ceiling kept for urgent lookups.
-        urgent_count: Urgent queries in flight.
-        browsing_count: Browsing queries in flight.
-        duration_ms: Smoothed time of a query.
-        shrunk_at_ms: When the limit last shrank.
-        urgent_refused_ms: When an urgent lookup was last refused.
+        limit_count: Number of queries allowed in flight now.
+        ceiling_count: Upper bound of the limit.
+        reserve_count: Part of the ceiling reserved for urgent lookups.
+        urgent_count: Number of urgent queries in flight.
+        browsing_count: Number of browsing queries in flight.
+        duration_ms: Smoothed duration of a query, in milliseconds.
+        shrunk_at_ms: Time at which the limit last shrank.
+        urgent_refused_ms: Time at which an urgent lookup was last refused.
     """
 
     limit_count: float
@@ -59,26 +60,26 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Overloaded:
-    """Refused; there is room again after about `retry_after_ms`."""
+    """The query is refused; a retry may succeed after `retry_after_ms`."""
 
     retry_after_ms: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DeadlineTooShort:
-    """Refused: answers take `expected_ms` now, more than the deadline."""
+    """The query is refused: `expected_ms` is over twice its deadline."""
 
     expected_ms: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Adaptive:
-    """Admit up to a limit that adapts."""
+    """Admits queries up to an adaptive limit."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AdmitAll:
-    """Admit everything: a baseline for measurements."""
+    """Admits every query; a baseline for measurements."""
 
 
 Policy = Adaptive | AdmitAll
@@ -86,49 +87,57 @@
 
 
 def new_limiter(ceiling_count: int, reserve_count: int) -> Limiter:
-    """Returns the gate of a service that has not served yet."""
+    """Returns the limiter of a service without queries so far."""
     return Limiter(
-        limit_count=min(START_COUNT, float(ceiling_count)),
+        limit_count=min(INITIAL_LIMIT_COUNT, float(ceiling_count)),
         ceiling_count=ceiling_count,
         reserve_count=reserve_count,
     )
 
 
-def _room_count(gate: Limiter, urgency: query.Urgency, now_ms: float) -> float:
-    total = gate.urgent_count + gate.browsing_count
+def _available_count(
+    limiter: Limiter, urgency: query.Urgency, now_ms: float
+) -> float:
+    total = limiter.urgent_count + limiter.browsing_count
     match urgency:
         case query.Urgency.URGENT:
-            return gate.limit_count - total
+            return limiter.limit_count - total
         case query.Urgency.BROWSING:
-            if now_ms - gate.urgent_refused_ms < YIELD_MS:
+            if now_ms - limiter.urgent_refused_ms < BROWSING_PAUSE_MS:
                 return 0.0
-            reserve = gate.reserve_count * gate.limit_count / gate.ceiling_count
-            return gate.limit_count - reserve - total
+            reserve = (
+                limiter.reserve_count
+                * limiter.limit_count
+                / limiter.ceiling_count
+            )
+            return limiter.limit_count - reserve - total
 
 
 def decide(
-    gate: Limiter, asked: query.Query, jitter_ratio: float, now_ms: float = 0.0
+    limiter: Limiter,
+    request: query.Query,
+    jitter_ratio: float,
+    now_ms: float = 0.0,
 ) -> Decision:
     """Decides whether a query may run now.
 
     Args:
-        gate: The service's gate.
-        asked: The query.
-        jitter_ratio: A random number from 0 to 1, to spread those who come
-            back.
-        now_ms: The time now.
+        limiter: The service's limiter.
+        request: The query.
+        jitter_ratio: Random number from 0 to 1 that spreads retries over time.
+        now_ms: Current time in milliseconds.
 
     Returns:
-        Admitted, or why not.
+        `Admitted`, or the reason for the refusal.
     """
-    if gate.duration_ms > 2 * asked.deadline_ms:
-        return DeadlineTooShort(expected_ms=gate.duration_ms)
-    room = _room_count(gate, asked.urgency, now_ms)
-    if room >= 1.0:
+    if limiter.duration_ms > 2 * request.deadline_ms:
+        return DeadlineTooShort(expected_ms=limiter.duration_ms)
+    available_count = _available_count(limiter, request.urgency, now_ms)
+    if available_count >= 1.0:
         return Admitted()
-    turn_ms = max(gate.duration_ms, 1.0) / gate.limit_count
+    interval_ms = max(limiter.duration_ms, 1.0) / limiter.limit_count
     wait_ms = (
-        turn_ms * (2.0 - room) * (1.0 + jitter_ratio)
+        interval_ms * (2.0 - available_count) * (1.0 + jitter_ratio)
         + RETRY_MIN_MS * jitter_ratio
     )
     return Overloaded(
@@ -137,65 +146,71 @@
 
 
 def record_refusal(
-    gate: Limiter, urgency: query.Urgency, now_ms: float
+    limiter: Limiter, urgency: query.Urgency, now_ms: float
 ) -> Limiter:
-    """Returns the gate after a query was refused."""
+    """Returns the limiter after a refusal."""
     match urgency:
         case query.Urgency.URGENT:
-            return dataclasses.replace(gate, urgent_refused_ms=now_ms)
+            return dataclasses.replace(limiter, urgent_refused_ms=now_ms)
         case query.Urgency.BROWSING:
-            return gate
+            return limiter
 
 
-def begin_query(gate: Limiter, urgency: query.Urgency) -> Limiter:
-    """Returns the gate with one more query in flight."""
-    return _moved(gate, urgency, 1)
+def begin_query(limiter: Limiter, urgency: query.Urgency) -> Limiter:
+    """Returns the limiter with one more query in flight."""
+    return _with_count_changed(limiter, urgency, 1)
 
 
-def _moved(gate: Limiter, urgency: query.Urgency, step: int) -> Limiter:
+def _with_count_changed(
+    limiter: Limiter, urgency: query.Urgency, step: int
+) -> Limiter:
     match urgency:
         case query.Urgency.URGENT:
             return dataclasses.replace(
-                gate, urgent_count=gate.urgent_count + step
+                limiter, urgent_count=limiter.urgent_count + step
             )
         case query.Urgency.BROWSING:
             return dataclasses.replace(
-                gate, browsing_count=gate.browsing_count + step
+                limiter, browsing_count=limiter.browsing_count + step
             )
 
 
 def end_query(
-    gate: Limiter,
+    limiter: Limiter,
     urgency: query.Urgency,
     elapsed_ms: float,
     good: bool,
     deadline_ms: float,
     now_ms: float,
 ) -> Limiter:
-    """Returns the gate after a query ended.
+    """Returns the limiter after the end of a query.
 
     Args:
-        gate: The gate before.
-        urgency: The query's class.
-        elapsed_ms: How long it took.
-        good: Whether it was answered in time without an upstream shedding load.
-        deadline_ms: Its deadline; the limit shrinks at most once in this time.
-        now_ms: The time now.
+        limiter: The limiter before.
+        urgency: Class of the query.
+        elapsed_ms: Duration of the query in milliseconds.
+        good: Whether the query was answered and no upstream shed a call.
+        deadline_ms: Deadline of the query in milliseconds; the limit shrinks at
+            most once in this time.
+        now_ms: Current time in milliseconds.
 
     Returns:
-        The gate with the query gone and its limit adapted.
+        The limiter without the query and with the limit adapted.
     """
-    gate = _moved(gate, urgency, -1)
-    smoothed = gate.duration_ms + SMOOTHING_RATIO * (
-        elapsed_ms - gate.duration_ms
+    limiter = _with_count_changed(limiter, urgency, -1)
+    smoothed = limiter.duration_ms + SMOOTHING_RATIO * (
+        elapsed_ms - limiter.duration_ms
     )
-    limit = gate.limit_count
-    shrunk_at_ms = gate.shrunk_at_ms
-    if good and elapsed_ms <= ROOM_RATIO * deadline_ms:
-        limit = min(float(gate.ceiling_count), limit + 1.0 / limit)
+    limit = limiter.limit_count
+    shrunk_at_ms = limiter.shrunk_at_ms
+    if good and elapsed_ms <= TIMELY_RATIO * deadline_ms:
+        limit = min(float(limiter.ceiling_count), limit + 1.0 / limit)
     elif now_ms - shrunk_at_ms >= deadline_ms:
         limit = max(LIMIT_MIN_COUNT, limit * SHRINK_RATIO)
         shrunk_at_ms = now_ms
     return dataclasses.replace(
-        gate, limit_count=limit, duration_ms=smoothed, shrunk_at_ms=shrunk_at_ms
+        limiter,
+        limit_count=limit,
+        duration_ms=smoothed,
+        shrunk_at_ms=shrunk_at_ms,
     )
--- a/hyssoptack/policy/admission_test.py
+++ b/hyssoptack/policy/admission_test.py
@@ -1,4 +1,4 @@
-"""Tests of admission: overload, urgent lookups, and when to come back."""
+"""Tests of admission: overload, urgent lookups and retry delays."""
 
 import dataclasses
 import random
@@ -12,80 +12,90 @@
 DEADLINE_MS = 400.0
 
 
-def _asked(urgency):
+def _query(urgency):
     return dataclasses.replace(example.browsing_query(), urgency=urgency)
 
 
-def _fill(gate, urgency):
-    """Admits until refused; returns the gate and the refusal."""
+def _fill(limiter, urgency):
+    """Admits until a refusal; returns the limiter and the refusal."""
     while True:
-        decision = admission.decide(gate, _asked(urgency), 0.5)
+        decision = admission.decide(limiter, _query(urgency), 0.5)
         if not isinstance(decision, admission.Admitted):
-            return gate, decision
-        gate = admission.begin_query(gate, urgency)
+            return limiter, decision
+        limiter = admission.begin_query(limiter, urgency)
 
 
-def _grown(gate):
+def _grown_to_ceiling(limiter):
     for _ in range(2_000):
-        gate = admission.begin_query(gate, _BROWSING)
-        gate = admission.end_query(gate, _BROWSING, 5.0, True, DEADLINE_MS, 1.0)
-    return gate
+        limiter = admission.begin_query(limiter, _BROWSING)
+        limiter = admission.end_query(
+            limiter, _BROWSING, 5.0, True, DEADLINE_MS, 1.0
+        )
+    return limiter
 
 
 def test_browsing_leaves_room_for_urgent_lookups():
-    gate, _ = _fill(_grown(admission.new_limiter(24, 8)), _BROWSING)
-    assert gate.browsing_count == 16
-    urgent = admission.decide(gate, _asked(_URGENT), 0.5)
+    limiter, _ = _fill(
+        _grown_to_ceiling(admission.new_limiter(24, 8)), _BROWSING
+    )
+    assert limiter.browsing_count == 16
+    urgent = admission.decide(limiter, _query(_URGENT), 0.5)
     assert isinstance(urgent, admission.Admitted)
 
 
-def test_browsing_stands_back_while_urgent_lookups_are_refused():
-    gate, _ = _fill(_grown(admission.new_limiter(24, 8)), _URGENT)
-    gate = admission.record_refusal(gate, _URGENT, 1_000.0)
-    gate = admission.end_query(gate, _URGENT, 5.0, True, DEADLINE_MS, 1_001.0)
+def test_browsing_is_refused_after_a_refused_urgent_lookup():
+    limiter, _ = _fill(_grown_to_ceiling(admission.new_limiter(24, 8)), _URGENT)
+    limiter = admission.record_refusal(limiter, _URGENT, 1_000.0)
+    limiter = admission.end_query(
+        limiter, _URGENT, 5.0, True, DEADLINE_MS, 1_001.0
+    )
     for _ in range(20):
-        gate = admission.end_query(
-            gate, _URGENT, 5.0, True, DEADLINE_MS, 1_001.0
+        limiter = admission.end_query(
+            limiter, _URGENT, 5.0, True, DEADLINE_MS, 1_001.0
         )
-    browsing = admission.decide(gate, _asked(_BROWSING), 0.5, 1_100.0)
+    browsing = admission.decide(limiter, _query(_BROWSING), 0.5, 1_100.0)
     assert isinstance(browsing, admission.Overloaded)
-    urgent = admission.decide(gate, _asked(_URGENT), 0.5, 1_100.0)
+    urgent = admission.decide(limiter, _query(_URGENT), 0.5, 1_100.0)
     assert isinstance(urgent, admission.Admitted)
-    later = admission.decide(gate, _asked(_BROWSING), 0.5, 2_000.0)
+    later = admission.decide(limiter, _query(_BROWSING), 0.5, 2_000.0)
     assert isinstance(later, admission.Admitted)
 
 
-def test_a_refusal_says_when_to_come_back():
+def test_a_refusal_carries_a_retry_delay_within_bounds():
     _, refused = _fill(admission.new_limiter(24, 8), _BROWSING)
     low, high = admission.RETRY_MIN_MS, admission.RETRY_MAX_MS
     assert low <= refused.retry_after_ms <= high
 
 
-def test_an_answer_that_would_come_too_late_is_refused():
-    gate = admission.Limiter(
+def test_a_query_with_a_too_short_deadline_is_refused():
+    limiter = admission.Limiter(
         limit_count=24.0, ceiling_count=24, reserve_count=8, duration_ms=900.0
     )
-    decision = admission.decide(gate, _asked(_BROWSING), 0.5)
+    decision = admission.decide(limiter, _query(_BROWSING), 0.5)
     assert isinstance(decision, admission.DeadlineTooShort)
 
 
 def _useful_ratio(slot_count: int, service_ms: float, factor: float) -> float:
-    """Serves a seeded load in virtual time; returns the useful share.
+    """Simulates a seeded load; returns the ratio of useful queries.
 
-    The share is of what was sent, or of capacity where more was sent.
+    A query is useful if it ends within its deadline. The ratio is relative to
+    the queries sent or, above capacity, to the capacity. One queue with slots
+    simulates all upstreams.
 
-    One queue with slots stands for all upstreams; a query is useful if it ends
-    within its deadline.
+    Args:
+        slot_count: Number of queries that the upstreams run at the same time.
+        service_ms: Mean time of a query in a slot, in milliseconds.
+        factor: Load as a multiple of capacity.
     """
     rng = random.Random(9)
-    gate = admission.new_limiter(64, 16)
+    limiter = admission.new_limiter(64, 16)
     capacity = slot_count * 1000.0 / service_ms
     free_ms = [0.0] * slot_count
     ends: list[tuple[float, float]] = []
     now_ms = 0.0
     useful = 0
-    seconds = 30.0
-    while now_ms < seconds * 1000:
+    duration_s = 30.0
+    while now_ms < duration_s * 1000:
         now_ms += rng.expovariate(factor * capacity / 1000.0)
         for ended_ms, started_ms in sorted(ends):
             if ended_ms > now_ms:
@@ -94,22 +104,22 @@
             elapsed_ms = ended_ms - started_ms
             good = elapsed_ms <= DEADLINE_MS
             useful += good
-            gate = admission.end_query(
-                gate, _BROWSING, elapsed_ms, good, DEADLINE_MS, ended_ms
+            limiter = admission.end_query(
+                limiter, _BROWSING, elapsed_ms, good, DEADLINE_MS, ended_ms
             )
-        decision = admission.decide(gate, _asked(_BROWSING), rng.random())
+        decision = admission.decide(limiter, _query(_BROWSING), rng.random())
         if isinstance(decision, admission.Admitted):
-            gate = admission.begin_query(gate, _BROWSING)
+            limiter = admission.begin_query(limiter, _BROWSING)
             slot = free_ms.index(min(free_ms))
             begins_ms = max(now_ms, free_ms[slot])
             free_ms[slot] = begins_ms + rng.expovariate(1.0 / service_ms)
             ends.append((free_ms[slot], now_ms))
-    return useful / seconds / (capacity * min(1.0, factor))
+    return useful / duration_s / (capacity * min(1.0, factor))
 
 
-def test_three_times_capacity_keeps_nine_tenths_of_it_useful():
+def test_at_three_times_capacity_nine_tenths_of_capacity_is_useful():
     assert _useful_ratio(4, 60.0, 3.0) >= 0.9
 
 
-def test_below_capacity_nearly_nothing_is_refused():
+def test_below_capacity_nearly_all_queries_are_useful():
     assert _useful_ratio(4, 60.0, 0.5) >= 0.95
--- a/hyssoptack/policy/claim.py
+++ b/hyssoptack/policy/claim.py
@@ -1,13 +1,13 @@
-"""Who may send a non-idempotent request, and what may be said of it.
+"""Decides which attempt may send a non-idempotent request, and its outcome.
 
 A claim is one value in the platform's key-value service, created by
 compare-and-swap. Only the attempt that created it may send, only once, and only
-while the claim is young.
+until the claim reaches its maximum age.
 
-A front that lost its executor writes the claim itself, released and with its
-own request barred. If that succeeds, the late executor finds its request barred
-and never sends: "not run" is then true and stays true. A released claim may be
-taken over by the attempt of a request that is not barred.
+A front whose executor does not answer writes the claim itself, released and
+with its own request barred. If that write succeeds, the executor will find its
+request barred and never send, so the outcome "not run" is final. An attempt of
+a request that is not barred may take over a released claim.
 """
 
 import dataclasses
@@ -20,31 +20,31 @@
 RETRY_AFTER_STORE_MS = 1_000
 RETRY_AFTER_PENDING_MS = 500
 BARRED_LIMIT_COUNT = 32
-"""Requests that one claim can bar; after that the key can't be used again."""
+"""Most requests that a claim can bar; beyond that its key is refused."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Create:
-    """Create the claim; there must be none yet."""
+    """The attempt must create the claim; there is none yet."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TakeOver:
-    """Replace a released claim of exactly this version."""
+    """The attempt may replace a released claim of exactly this version."""
 
     version: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Proceed:
-    """The claim is this attempt's: it may send."""
+    """The attempt holds the claim and may send."""
 
     version: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Settled:
-    """The action was decided elsewhere; this is its outcome."""
+    """The attempt must not send; the action has this outcome."""
 
     outcome: action.Outcome
 
@@ -52,16 +52,16 @@
 Decision = Create | TakeOver | Proceed | Settled
 
 
-def digest_of(asked: action.Action) -> str:
-    """Returns a digest of what is asked, to notice a key reused for another."""
-    text = f"{asked.service}\0{asked.subject}\0{asked.body_text}"
+def digest_of(request: action.Action) -> str:
+    """Returns an action's digest, which detects reuse of its key."""
+    text = f"{request.service}\0{request.subject}\0{request.body_text}"
     return xxhash.xxh128_hexdigest(text.encode())
 
 
-def key_of(asked: action.Action) -> str:
-    """Returns the key that an action's claim is kept under."""
-    digest = xxhash.xxh128_hexdigest(asked.idempotency_key.encode())
-    return f"claims/{asked.service}/{digest}"
+def key_of(request: action.Action) -> str:
+    """Returns the store key of an action's claim."""
+    digest = xxhash.xxh128_hexdigest(request.idempotency_key.encode())
+    return f"claims/{request.service}/{digest}"
 
 
 def decide(
@@ -71,30 +71,30 @@
     request_id: str,
     body_digest: str,
 ) -> Decision:
-    """Decides what an attempt does about the claim that it found.
+    """Decides the next step of an attempt from the stored claim.
 
     Args:
-        found: The claim that the store holds; None when there is none.
-        version: The store's version of it.
-        attempt_id: This attempt.
-        request_id: The request that the attempt belongs to.
-        body_digest: The digest of the action that this attempt would run.
+        found: Claim in the store; None if there is none.
+        version: Version of the claim in the store.
+        attempt_id: Id of the attempt.
+        request_id: Id of the request that the attempt belongs to.
+        body_digest: Digest of the action that the attempt would run.
 
     Returns:
-        What to do next.
+        The next step, or the outcome if the attempt must not send.
     """
     if found is None:
         return Create()
     if found.body_digest != body_digest:
-        return Settled(outcome=_reused())
+        return Settled(outcome=_key_reused_outcome())
     if request_id in found.barred:
-        return Settled(outcome=_given_up())
+        return Settled(outcome=_barred_outcome())
     if found.attempt_id == attempt_id and found.state is action.ClaimState.HELD:
         return Proceed(version=version)
     match found.state:
         case action.ClaimState.RELEASED:
             if len(found.barred) >= BARRED_LIMIT_COUNT:
-                return Settled(outcome=_worn_out())
+                return Settled(outcome=_too_many_bars_outcome())
             return TakeOver(version=version)
         case _:
             return Settled(outcome=recorded_outcome(found))
@@ -106,7 +106,7 @@
     body_digest: str,
     upstream_id: str,
 ) -> action.Claim:
-    """Returns the claim that permits an attempt to send."""
+    """Returns a claim that permits an attempt to send."""
     return action.Claim(
         attempt_id=attempt_id,
         state=action.ClaimState.HELD,
@@ -119,7 +119,7 @@
 def released_claim(
     found: action.Claim | None, request_id: str, body_digest: str, note: str
 ) -> action.Claim:
-    """Returns the claim after which a request can never send any more."""
+    """Returns a released claim that bars a request from sending."""
     before = found.barred if found else ()
     return action.Claim(
         attempt_id=request_id,
@@ -131,9 +131,10 @@
 
 
 def may_release(found: action.Claim | None, body_digest: str) -> bool:
-    """Tells whether a front may still write the release of its request.
+    """Returns whether a front may release a claim and bar its request.
 
-    Not once any attempt holds the claim: that attempt may have sent.
+    A claim that an attempt holds must not be released: the attempt may have
+    sent the request.
     """
     if found is None:
         return True
@@ -145,7 +146,7 @@
 
 
 def recorded_outcome(found: action.Claim | None) -> action.Outcome:
-    """Returns what can be said of a key when its outcome is looked up."""
+    """Returns the outcome recorded for an idempotency key."""
     if found is None:
         return not_run_outcome(
             refusal.Reason.NOT_FOUND,
@@ -158,7 +159,7 @@
                 ran=refusal.Ran.YES, receipt=found.receipt, replayed=True
             )
         case action.ClaimState.RELEASED:
-            note = found.note or "the action was given up before it was sent"
+            note = found.note or "the action was abandoned before it was sent"
             return not_run_outcome(
                 refusal.Reason.UPSTREAM_UNAVAILABLE,
                 note,
@@ -175,7 +176,7 @@
     detail: str,
     retry_after_ms: int | None = RETRY_AFTER_STORE_MS,
 ) -> action.Outcome:
-    """Returns the outcome of an action that did not run and won't."""
+    """Returns the outcome of an action that did not run and never will."""
     return action.Outcome(
         ran=refusal.Ran.NO,
         refused=refusal.Refusal(
@@ -201,7 +202,7 @@
     )
 
 
-def _reused() -> action.Outcome:
+def _key_reused_outcome() -> action.Outcome:
     return not_run_outcome(
         refusal.Reason.KEY_REUSED,
         "this key was used for another request; use a new key",
@@ -209,15 +210,16 @@
     )
 
 
-def _given_up() -> action.Outcome:
+def _barred_outcome() -> action.Outcome:
     return not_run_outcome(
-        refusal.Reason.UPSTREAM_UNAVAILABLE, "the request was given up before"
+        refusal.Reason.UPSTREAM_UNAVAILABLE,
+        "the request was abandoned before it was sent",
     )
 
 
-def _worn_out() -> action.Outcome:
+def _too_many_bars_outcome() -> action.Outcome:
     return not_run_outcome(
         refusal.Reason.KEY_REUSED,
-        "this key was given up too many times; use a new key",
+        "requests with this key were abandoned too often; use a new key",
         None,
     )
--- a/hyssoptack/policy/health.py
+++ b/hyssoptack/policy/health.py
@@ -1,8 +1,9 @@
-"""What calls have shown about upstreams.
+"""Tracks health and latency of upstreams from the results of calls.
 
-Estimates fade back towards the service's typical figure, so that an upstream
-that was slow is tried again without a probe. When most upstreams of a service
-look bad the fault may be ours, and nothing is avoided any more.
+Latency estimates decay towards the service's typical latency, so that an
+upstream that was slow is tried again without a probe. `policy.routing` uses
+avoided upstreams all the same when all candidates are avoided: the fault may
+then lie in this instance.
 """
 
 import collections
@@ -13,14 +14,15 @@
 
 SMOOTHING_RATIO = 0.2
 PRIOR_MS = 5.0
-FADE_HALF_LIFE_MS = 10_000.0
-HELD_FRESH_MS = 2_000.0
-"""Versions that an upstream said it holds are believed for this long."""
+DECAY_HALF_LIFE_MS = 10_000.0
+HELD_VERSIONS_TTL_MS = 2_000.0
+"""A report of held versions expires after this time."""
 
 EJECTION_MS = 2_000.0
-DRAIN_MEMORY_MS = 30_000.0
+DRAIN_EXPIRY_MS = 30_000.0
 STRAGGLER_RATIO = 3.0
-"""An upstream this much slower than typical is a straggler."""
+"""Multiple of the service's typical latency above which an upstream is a
+straggler."""
 
 WINDOW_COUNT = 256
 WINDOW_MIN_COUNT = 20
@@ -30,16 +32,17 @@
 
 @dataclasses.dataclass(kw_only=True)
 class UpstreamHealth:
-    """What one observer knows of one upstream.
+    """Health of one upstream as seen by this instance.
 
     Attributes:
-        state: Its state in the upstream chart.
-        service_ms: Smoothed time from a send to the upstream until its answer.
-        last_outcome_ms: When it last answered or failed.
-        state_changed_ms: When its state last changed.
-        versions_reported_ms: When it said so.
-        held_versions: The index versions it last said it holds; None before it
-            said any.
+        state: State in the upstream chart.
+        service_ms: Smoothed time from sending a call to its answer, in
+            milliseconds.
+        last_outcome_ms: Time of the last answer, failure or slow cancelled
+            call; 0 before any.
+        state_changed_ms: Time of the last change of state.
+        held_versions: Index versions in the last report; None before any.
+        versions_reported_ms: Time of the last report of held versions.
     """
 
     state: str = _CHART.initial
@@ -50,7 +53,7 @@
     versions_reported_ms: float = 0.0
 
     def apply_event(self, event: str, now_ms: float) -> bool:
-        """Steps the state chart; returns whether the state changed."""
+        """Applies an event to the chart; returns whether the state changed."""
         before = self.state
         self.state = _CHART.step(before, event)
         if self.state != before:
@@ -59,7 +62,7 @@
 
 
 class HealthTracker:
-    """Views of upstreams, and the recent latencies of each service."""
+    """Health of all upstreams and the recent latencies of each service."""
 
     def __init__(self) -> None:
         self.upstreams: dict[str, UpstreamHealth] = collections.defaultdict(
@@ -71,15 +74,15 @@
     def record_reply(
         self, service: str, reply: message.UpstreamReply, now_ms: float
     ) -> bool:
-        """Takes what a call has shown.
+        """Updates an upstream's health from the result of a call.
 
         Args:
-            service: The service that the upstream belongs to.
-            reply: What became of the call.
-            now_ms: The time now.
+            service: Name of the service that the upstream belongs to.
+            reply: Result of the call.
+            now_ms: Current time in milliseconds.
 
         Returns:
-            True when the upstream's state changed.
+            Whether the upstream's state changed.
         """
         view = self.upstreams[reply.upstream_id]
         if reply.held_versions:
@@ -93,12 +96,13 @@
                     reply.service_ms - view.service_ms
                 )
                 view.last_outcome_ms = now_ms
-                self._sample(service, view, reply.service_ms)
+                self._record_latency(service, view, reply.service_ms)
                 if reply.draining:
                     return view.apply_event("drain_seen", now_ms)
                 return view.apply_event("answered", now_ms)
             case message.CallStatus.TIMED_OUT if not reply.reached_upstream:
-                # It expired in a queue of ours; the upstream never saw it.
+                # The call expired in a local queue and never reached the
+                # upstream.
                 return False
             case message.CallStatus.FAILED | message.CallStatus.TIMED_OUT:
                 view.last_outcome_ms = now_ms
@@ -106,7 +110,8 @@
                 view.service_ms += SMOOTHING_RATIO * (slow_ms - view.service_ms)
                 return view.apply_event("failed", now_ms)
             case message.CallStatus.CANCELLED:
-                # It was at least this slow, or nobody would have moved on.
+                # The upstream took at least this long: the call had not been
+                # answered when it was cancelled.
                 if reply.service_ms > view.service_ms:
                     view.last_outcome_ms = now_ms
                     step_ms = reply.service_ms - view.service_ms
@@ -120,67 +125,70 @@
                 return False
 
     def record_drain(self, upstream_id: str, now_ms: float) -> bool:
-        """Takes a report that an upstream drains; tells whether it was news."""
+        """Records a drain report; returns whether the state changed."""
         return self.upstreams[upstream_id].apply_event("drain_seen", now_ms)
 
     def refresh(self, upstream_id: str, now_ms: float) -> UpstreamHealth:
-        """Returns an upstream's view after the steps that only time brings."""
+        """Applies due timeouts to an upstream's state; returns its health."""
         view = self.upstreams[upstream_id]
         age_ms = now_ms - view.state_changed_ms
         if view.state == "ejected" and age_ms > EJECTION_MS:
             view.apply_event("probe_due", now_ms)
-        if view.state == "draining" and age_ms > DRAIN_MEMORY_MS:
+        if view.state == "draining" and age_ms > DRAIN_EXPIRY_MS:
             view.apply_event("drain_lapsed", now_ms)
         return view
 
     def held_versions(
         self, upstream_id: str, now_ms: float
     ) -> tuple[int, ...] | None:
-        """Returns the versions that an upstream lately held, or None."""
+        """Returns an upstream's held versions; None without a recent report."""
         view = self.upstreams.get(upstream_id)
-        if view is None or now_ms - view.versions_reported_ms > HELD_FRESH_MS:
+        if (
+            view is None
+            or now_ms - view.versions_reported_ms > HELD_VERSIONS_TTL_MS
+        ):
             return None
         return view.held_versions
 
     def expected_ms(
         self, service: str, upstream_id: str, now_ms: float
     ) -> float:
-        """Returns the expected time of a call to an upstream, faded by age."""
+        """Returns an upstream's expected latency, decayed towards typical."""
         view = self.upstreams[upstream_id]
         typical_ms = self._typical_ms.get(service, PRIOR_MS)
         if not view.last_outcome_ms:
             return typical_ms
-        weight = 0.5 ** ((now_ms - view.last_outcome_ms) / FADE_HALF_LIFE_MS)
+        weight = 0.5 ** ((now_ms - view.last_outcome_ms) / DECAY_HALF_LIFE_MS)
         return typical_ms + weight * (view.service_ms - typical_ms)
 
     def is_avoided(self, upstream_id: str, now_ms: float) -> bool:
-        """Tells whether an upstream gets no new work: it failed or drains."""
+        """Returns whether an upstream is ejected or draining."""
         return self.refresh(upstream_id, now_ms).state in (
             "ejected",
             "draining",
         )
 
     def is_draining(self, upstream_id: str, now_ms: float) -> bool:
-        """Tells whether an upstream is leaving."""
+        """Returns whether an upstream is draining."""
         return self.refresh(upstream_id, now_ms).state == "draining"
 
     def quantile_ms(self, service: str, ratio: float) -> float | None:
-        """Returns a quantile of recent latencies; None with too few."""
+        """Returns a quantile of recent latencies; None with too few samples."""
         window = self._windows.get(service)
         if window is None or len(window) < WINDOW_MIN_COUNT:
             return None
         ordered = sorted(window)
         return ordered[min(len(ordered) - 1, int(ratio * len(ordered)))]
 
-    def _sample(
+    def _record_latency(
         self, service: str, view: UpstreamHealth, service_ms: float
     ) -> None:
         known_slow = view.service_ms > STRAGGLER_RATIO * self._typical_ms.get(
             service, service_ms
         )
         if known_slow:
-            # Else a few stragglers would set the very delay after which they
-            # are hedged.
+            # Samples of stragglers would raise the delay after which calls to
+            # stragglers are hedged.
             return
         window = self._windows.get(service)
         if window is None:
@@ -189,8 +197,8 @@
             )
         window.append(service_ms)
         typical = self._typical_ms.get(service, service_ms)
-        # The median moves by sign, so that stragglers do not drag the typical
-        # figure with them.
+        # The estimate moves a fixed step up or down and so follows the median;
+        # outliers do not shift it further.
         step = 0.05 * max(typical, 0.1)
         self._typical_ms[service] = typical + (
             step if service_ms > typical else -step
--- a/hyssoptack/policy/merge.py
+++ b/hyssoptack/policy/merge.py
@@ -1,8 +1,8 @@
-"""Merges upstream answers of one version into one answer, with exact coverage.
+"""Merges upstream answers of one index version and counts exact coverage.
 
-A key range counts once however many upstreams answered it: later answers give
-only what is still missing, and only hits whose key lies in the part that was
-taken.
+A key range counts once, even if several upstreams answered for it: a later
+answer adds only the ranges that are still missing, and only the hits whose key
+lies in those ranges.
 """
 
 import bisect
@@ -14,7 +14,7 @@
 
 
 class AnswerMerger:
-    """The answers of one query at one index version."""
+    """Collects the upstream answers of one query at one index version."""
 
     def __init__(self, index_version: int, limit_count: int):
         self.index_version = index_version
@@ -24,35 +24,39 @@
         self._hits: list[query.Hit] = []
 
     def add(self, reply: message.UpstreamReply) -> bool:
-        """Takes an answer.
+        """Adds an answer's missing ranges and their hits.
 
         Returns:
-            False when it is of another version or names no range; nothing is
-            taken then.
+            False if the answer has another index version or no key range; it
+            is then ignored.
         """
         if reply.index_version != self.index_version or reply.key_range is None:
             return False
-        fresh = keyspace.subtract(reply.key_range, self._near(reply.key_range))
-        if not fresh:
+        added_ranges = keyspace.subtract(
+            reply.key_range, self._ranges_near(reply.key_range)
+        )
+        if not added_ranges:
             return True
-        for part in fresh:
+        for part in added_ranges:
             bisect.insort(self._ranges, part)
-        self._covered_count += keyspace.key_count(fresh)
-        if fresh == (reply.key_range,):
-            inside = reply.key_range
+        self._covered_count += keyspace.key_count(added_ranges)
+        if added_ranges == (reply.key_range,):
+            key_range = reply.key_range
             self._hits.extend(
-                hit for hit in reply.hits if inside.contains(hit.key)
+                hit for hit in reply.hits if key_range.contains(hit.key)
             )
         else:
             self._hits.extend(
                 hit
                 for hit in reply.hits
-                if any(part.contains(hit.key) for part in fresh)
+                if any(part.contains(hit.key) for part in added_ranges)
             )
         return True
 
-    def _near(self, wanted: keyspace.KeyRange) -> tuple[keyspace.KeyRange, ...]:
-        """Returns the ranges answered so far that may overlap a range."""
+    def _ranges_near(
+        self, wanted: keyspace.KeyRange
+    ) -> tuple[keyspace.KeyRange, ...]:
+        """Returns the answered ranges that may overlap a range."""
         first = bisect.bisect_left(self._ranges, wanted)
         if first and self._ranges[first - 1].high > wanted.low:
             first -= 1
@@ -66,7 +70,7 @@
         return tuple(self._ranges)
 
     def missing_ranges(self) -> tuple[keyspace.KeyRange, ...]:
-        """Returns the ranges of the key space that nothing has answered yet."""
+        """Returns the ranges of the key space that are not answered yet."""
         whole = keyspace.KeyRange(0, keyspace.KEYSPACE_SIZE_COUNT)
         return keyspace.subtract(whole, tuple(self._ranges))
 
@@ -75,7 +79,7 @@
         return self._covered_count / keyspace.KEYSPACE_SIZE_COUNT
 
     def best_hits(self) -> tuple[query.Hit, ...]:
-        """Returns the best hits in order of score, then key."""
+        """Returns the best hits by falling score, then by key and title."""
         return tuple(
             heapq.nsmallest(
                 self._limit_count,
--- a/hyssoptack/policy/ownership.py
+++ b/hyssoptack/policy/ownership.py
@@ -1,18 +1,18 @@
-"""Which instances may call which upstreams, and with what share.
+"""Assigns upstreams, and shares of their limits, to instances.
 
-Upstreams of one failure domain are grouped into columns; the owners of a column
-are the instances that rank highest for it by rendezvous hashing (Thaler and
-Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", section 4). Two
-rules keep an upstream's limit when views differ:
+Upstreams of one service and failure domain are grouped into columns. The owners
+of a column are the instances that rank highest for it by rendezvous hashing
+(Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates",
+section 4). Two rules keep an upstream within its limits while instances have
+different views of the membership:
 
-- an instance ranks itself among all instances seen within the list's lag, live
-  or gone;
+- an instance ranks itself among all instances seen within the membership lag,
+  including those that have gone;
 - a new instance uses no share until it has been visible for longer than that
   lag.
 
-Any two instances that use a share have then both been visible long enough for
-each to rank the other, so at most `owner_count` of them rank themselves as
-owners.
+Any two instances that use a share have therefore been visible long enough to
+rank each other, so at most `owner_count` instances rank themselves as owners.
 """
 
 import dataclasses
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Share:
-    """What one owner may use of an upstream."""
+    """Slots and connections of an upstream that one owner may use."""
 
     slot_count: int
     connection_count: int
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Column:
-    """Upstreams of one service and failure domain that are owned together."""
+    """Upstreams of one service and failure domain with the same owners."""
 
     column_id: str
     failure_domain: str
@@ -41,15 +41,15 @@
 def owners(
     column_id: str, instance_ids: tuple[str, ...], owner_count: int
 ) -> tuple[str, ...]:
-    """Returns the owners of a column in falling rank.
+    """Returns the owners of a column, highest rank first.
 
     Args:
-        column_id: The column.
-        instance_ids: The instances of the column's failure domain.
-        owner_count: How many owners a column has.
+        column_id: Id of the column.
+        instance_ids: Ids of the instances in the column's failure domain.
+        owner_count: Maximum number of owners of a column.
 
     Returns:
-        At most `owner_count` instances.
+        At most `owner_count` instance ids.
     """
     ranked = sorted(
         instance_ids,
@@ -85,7 +85,7 @@
 
 
 def owner_count_of(upstream: catalog.Upstream, owner_count: int) -> int:
-    """Returns an upstream's owners: never more than slots or connections."""
+    """Returns the number of owners, limited by slots and connections."""
     return max(
         1,
         min(owner_count, upstream.slot_count, upstream.connection_limit_count),
@@ -93,16 +93,16 @@
 
 
 def share_of(upstream: catalog.Upstream, owner_count: int) -> Share:
-    """Returns an owner's share; all shares stay within the limits."""
-    parts = owner_count_of(upstream, owner_count)
+    """Returns one owner's share; all shares together stay within limits."""
+    share_count = owner_count_of(upstream, owner_count)
     return Share(
-        slot_count=upstream.slot_count // parts,
-        connection_count=upstream.connection_limit_count // parts,
+        slot_count=upstream.slot_count // share_count,
+        connection_count=upstream.connection_limit_count // share_count,
     )
 
 
 def may_use_shares(
     first_seen_by_others_ms: float, lag_ms: float, now_ms: float
 ) -> bool:
-    """Tells whether an instance was visible long enough to use shares."""
+    """Returns whether an instance was visible long enough to use shares."""
     return now_ms - first_seen_by_others_ms > lag_ms
--- a/hyssoptack/policy/ownership_test.py
+++ b/hyssoptack/policy/ownership_test.py
@@ -1,4 +1,4 @@
-"""Ownership at the size of today and of the target, by pure logic."""
+"""Tests of ownership at the target size, without I/O."""
 
 import random
 import time
@@ -58,15 +58,17 @@
     return domains
 
 
-def test_shares_never_pass_a_limit_though_views_differ_by_the_lag():
-    # Every instance sees each change at a moment of its own, up to the lag
-    # late. It ranks itself among all seen within the lag, and uses a share
-    # only once it has been visible for longer than the lag.
+def test_at_most_owner_count_instances_use_shares_while_views_lag():
+    # Instances see a start or stop with different delays, up to the lag. With
+    # no wait for the lag, differing views would give a column too many owners
+    # and exceed an upstream's limit.
     rng = random.Random(4)
     names = [f"i{number}" for number in range(40)]
-    born = {name: rng.uniform(0, 60_000) for name in names}
-    dies = {name: born[name] + rng.uniform(3_000, 60_000) for name in names}
-    seen_late = {
+    started_ms = {name: rng.uniform(0, 60_000) for name in names}
+    stopped_ms = {
+        name: started_ms[name] + rng.uniform(3_000, 60_000) for name in names
+    }
+    view_delay_ms = {
         (viewer, name): rng.uniform(0, 0.999 * LAG_MS)
         for viewer in names
         for name in names
@@ -78,29 +80,29 @@
                 name
                 for name in names
                 if name == viewer
-                or born[name] + seen_late[(viewer, name)]
+                or started_ms[name] + view_delay_ms[(viewer, name)]
                 <= now_ms
-                < dies[name] + seen_late[(viewer, name)] + LAG_MS
+                < stopped_ms[name] + view_delay_ms[(viewer, name)] + LAG_MS
             )
         )
 
-    most = 0
+    max_user_count = 0
     for step in range(400):
         now_ms = step * 250.0
         for column in ("a", "b", "c"):
             users = [
                 name
                 for name in names
-                if born[name] <= now_ms < dies[name]
-                and ownership.may_use_shares(born[name], LAG_MS, now_ms)
+                if started_ms[name] <= now_ms < stopped_ms[name]
+                and ownership.may_use_shares(started_ms[name], LAG_MS, now_ms)
                 and name in ownership.owners(column, view(name, now_ms), 3)
             ]
-            most = max(most, len(users))
+            max_user_count = max(max_user_count, len(users))
             assert len(users) <= 3
-    assert most == 3
+    assert max_user_count == 3
 
 
-def test_the_target_assigns_every_upstream_within_its_limit_and_in_balance():
+def test_every_column_has_its_owners_and_load_is_balanced_at_target_size():
     domains = _instances()
     load: dict[str, int] = {}
     for column in _columns():
@@ -110,12 +112,13 @@
         for name in owning:
             load[name] = load.get(name, 0) + len(column.upstream_ids)
     mean = sum(load.values()) / INSTANCE_COUNT
-    print("upstreams owned, mean", mean, "most", max(load.values()))
-    # Measured 3.2 of the mean: docs/CAPACITY.md says what would lower it.
+    print("upstreams owned, mean", mean, "maximum", max(load.values()))
+    # The maximum is 3.2 times the mean; docs/CAPACITY.md says what would lower
+    # it.
     assert max(load.values()) <= 3.5 * mean
 
 
-def test_losing_150_instances_moves_few_upstreams():
+def test_loss_of_150_instances_moves_few_ownerships():
     domains = _instances()
     rng = random.Random(5)
     everyone = [name for names in domains.values() for name in names]
@@ -128,18 +131,21 @@
         new = set(ownership.owners(column.column_id, after, OWNER_COUNT))
         kept += len(old & new)
         moved += len(new - old)
-    print("ownerships moved when 150 go:", moved, "kept:", kept)
+    print(
+        "ownerships moved by the loss of 150 instances:", moved, "kept:", kept
+    )
     assert moved / (kept + moved) <= 2 * 150 / INSTANCE_COUNT
 
 
-def test_an_instance_ranks_its_own_domain_in_little_time():
+def test_rankings_for_the_columns_of_one_domain_are_bounded():
     domains = _instances()
-    mine = [each for each in _columns() if each.failure_domain == "d0"]
+    own_columns = [each for each in _columns() if each.failure_domain == "d0"]
     candidates = tuple(domains["d0"])
     started_s = time.process_time()
-    for column in mine:
+    for column in own_columns:
         ownership.owners(column.column_id, candidates, OWNER_COUNT)
     spent_ms = (time.process_time() - started_s) * 1000
-    print("columns", len(mine), "ranked in cpu ms", round(spent_ms, 1))
-    # A count, not a clock: what is ranked is one domain's columns only.
-    assert len(mine) * len(candidates) < 70_000
+    print("columns", len(own_columns), "ranked in cpu ms", round(spent_ms, 1))
+    # Bounds the number of rankings instead of CPU time, which depends on the
+    # machine. An instance ranks the columns of its own domain only.
+    assert len(own_columns) * len(candidates) < 70_000
--- a/hyssoptack/policy/querycommand.py
+++ b/hyssoptack/policy/querycommand.py
@@ -1,4 +1,4 @@
-"""What the plan of a query asks its coordinator for."""
+"""Commands that a query plan gives its coordinator."""
 
 import dataclasses
 
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Send:
-    """Call an upstream through a relay."""
+    """Calls an upstream through a relay."""
 
     call_id: int
     path: routing.RelayPath
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Cancel:
-    """Cancel a call whose answer is no longer wanted."""
+    """Cancels a call whose answer is no longer needed."""
 
     call_id: int
     instance_id: str
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Finish:
-    """The final answer to the caller."""
+    """Ends the query with its answer or refusal."""
 
     result: query.Answer | refusal.Refusal
 
--- a/hyssoptack/policy/queryplan.py
+++ b/hyssoptack/policy/queryplan.py
@@ -1,8 +1,8 @@
-"""The decisions of one query, as events in and commands out.
+"""Decides the upstream calls of one query: events in, commands out.
 
-The coordinator feeds replies and the time, and carries out the commands.
-Nothing here reads a clock or a socket, so a recorded trace replays to the same
-commands (`trace.py`).
+The coordinator passes in replies and the current time, and executes the
+returned commands. Nothing here reads a clock or a socket, so replaying a
+recorded trace gives the same commands (`bench/traces.py`).
 """
 
 import collections
@@ -24,24 +24,25 @@
 from hyssoptack.policy import versionchoice
 
 ANSWER_RESERVE_MS = 5.0
-"""Time kept back from the deadline to merge and write the answer."""
+"""Part of the deadline reserved for merging and writing the answer."""
 
 REROUTE_LIMIT_COUNT = 3
-REPIN_LIMIT_COUNT = 2
-HEDGE_KEEP_COUNT = 2.0
+VERSION_CHANGE_LIMIT_COUNT = 2
+HEDGE_RESERVE_COUNT = 2.0
 RETRY_AFTER_COVERAGE_MS = 500
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class QueryPlanContext:
-    """What a query's decisions draw on; shared by all queries of an instance.
+    """State that all query plans of an instance share.
 
     Attributes:
-        router: Lanes and their scores.
-        upstream_health: What calls have shown about upstreams.
-        retry_budgets: Tokens for extra calls.
-        hedge_policy: When to hedge.
-        current_service: Finds a service in the configuration in force now.
+        router: Chooses the relay path of each call.
+        upstream_health: Health and latency of upstreams, from earlier calls.
+        retry_budgets: Budgets for extra calls, one for each service.
+        hedge_policy: Policy that sets the delay and the budget of hedges.
+        current_service: Looks up a service by name in the current
+            configuration; returns None for an unknown name.
     """
 
     router: routing.Router
@@ -52,71 +53,76 @@
 
 
 class QueryPlan:
-    """One query's decisions."""
+    """Plans the calls, retries and hedges of one query."""
 
     def __init__(
         self,
-        asked: query.Query,
+        request: query.Query,
         profile: catalog.Profile,
         service: catalog.Service,
-        knowledge: QueryPlanContext,
+        context: QueryPlanContext,
         now_ms: float,
     ):
-        self.query = asked
+        self.query = request
         self.was_shed = False
         self._profile = profile
         self._service = service
-        self._know = knowledge
+        self._context = context
         self._started_ms = now_ms
-        self.end_ms = now_ms + max(1.0, asked.deadline_ms - ANSWER_RESERVE_MS)
+        self.end_ms = now_ms + max(1.0, request.deadline_ms - ANSWER_RESERVE_MS)
         self._states = [
             shardstate.ShardState(shard=shard) for shard in service.shards
         ]
-        self._state_of: dict[int, shardstate.ShardState] = {}
+        self._state_by_call_id: dict[int, shardstate.ShardState] = {}
         self._open_count = len(self._states)
         self._open_key_count = keyspace.KEYSPACE_SIZE_COUNT
-        # Calls in the order they were sent, which is that of their hedges.
+        # Ids of calls in the order sent, which is the order their hedges are
+        # due.
         self._unhedged: collections.deque[int] = collections.deque()
         self._next_call_id = 1
         self.upstream_call_count = 0
         self.extra_call_count = 0
-        self._repin_count = 0
+        self._version_change_count = 0
         self._replanned = False
         self._finished = False
-        self._merge = merge.AnswerMerger(self._pin(now_ms), asked.limit_count)
-        self._hedge_after_ms = self._hedge_delay()
+        self._merger = merge.AnswerMerger(
+            self._choose_version(now_ms), request.limit_count
+        )
+        self._hedge_after_ms = self._hedge_delay_ms()
 
     def start(self, now_ms: float) -> list[querycommand.Command]:
-        """Returns the first calls, one for each shard."""
+        """Returns commands for the first calls, one for each shard."""
         commands: list[querycommand.Command] = []
         for state in self._states:
-            commands.extend(self._ask(state, now_ms))
-        asked_count = sum(
+            commands.extend(self._call_shard(state, now_ms))
+        sent_count = sum(
             isinstance(each, querycommand.Send) for each in commands
         )
         ceiling = self._profile.extra_load_ceiling_ratio
-        self._know.retry_budgets.earn(self._service.name, ceiling, asked_count)
+        self._context.retry_budgets.earn(
+            self._service.name, ceiling, sent_count
+        )
         return commands + self._finish_if_done(now_ms)
 
     def next_deadline_ms(self) -> float:
-        """Returns when `on_time` should be called next."""
+        """Returns the time at which `on_timeout` must be called next."""
         call = self._next_unhedged()
         if call is None:
             return self.end_ms
         return min(self.end_ms, call.sent_ms + self._hedge_after_ms)
 
     def _next_unhedged(self) -> shardstate.Call | None:
-        """Returns the longest open call of a shard that has no hedge yet."""
+        """Returns the oldest call whose shard is open and not yet hedged."""
         while self._unhedged:
             call_id = self._unhedged[0]
-            state = self._state_of.get(call_id)
+            state = self._state_by_call_id.get(call_id)
             if state is not None and state.is_open() and not state.hedged:
                 return state.calls[call_id]
             self._unhedged.popleft()
         return None
 
     def on_timeout(self, now_ms: float) -> list[querycommand.Command]:
-        """Returns what time alone brings: hedges, or the final answer."""
+        """Returns the commands due by now: hedges, or the final answer."""
         if self._finished:
             return []
         if now_ms >= self.end_ms:
@@ -125,28 +131,28 @@
         while (call := self._next_unhedged()) is not None:
             if now_ms < call.sent_ms + self._hedge_after_ms:
                 break
-            state = self._state_of[self._unhedged.popleft()]
+            state = self._state_by_call_id[self._unhedged.popleft()]
             commands.extend(self._hedge(state, call, now_ms))
         return commands
 
     def on_reply(
         self, reply: message.UpstreamReply, now_ms: float
     ) -> list[querycommand.Command]:
-        """Takes what became of a call.
+        """Processes the result of a call.
 
-        Replies to calls that are no longer open change nothing.
+        Ignores replies to calls that have ended or were cancelled.
         """
-        state = self._state_of.pop(reply.call_id, None)
+        state = self._state_by_call_id.pop(reply.call_id, None)
         if self._finished or state is None:
             return []
         call = state.calls.pop(reply.call_id)
-        self._know.router.end_call(call.path)
+        self._context.router.end_call(call.path)
         if reply.reached_upstream:
             self.upstream_call_count += 1
-        commands = self._take(state, call, reply, now_ms)
+        commands = self._handle_reply(state, call, reply, now_ms)
         return commands + self._finish_if_done(now_ms)
 
-    def _take(
+    def _handle_reply(
         self,
         state: shardstate.ShardState,
         call: shardstate.Call,
@@ -158,100 +164,105 @@
             return []
         match reply.status:
             case message.CallStatus.ANSWERED:
-                return self._take_answer(state, call, reply, now_ms)
+                return self._handle_answer(state, call, reply, now_ms)
             case message.CallStatus.VERSION_MISSING:
                 state.failed_upstream_ids.add(reply.upstream_id)
-                return self._take_version_missing(state, now_ms)
+                return self._handle_version_missing(state, now_ms)
             case message.CallStatus.NOT_OWNER | message.CallStatus.DRAINING:
                 return self._reroute(state, now_ms)
             case message.CallStatus.SHED:
                 self.was_shed = True
-                return self._again(state, reply, now_ms)
+                return self._retry_or_reroute(state, reply, now_ms)
             case _:
-                # Whatever relay calls it, this upstream is no way out now.
+                # The upstream failed; calling it through another relay would
+                # not help.
                 state.failed_upstream_ids.add(reply.upstream_id)
-                return self._again(state, reply, now_ms)
+                return self._retry_or_reroute(state, reply, now_ms)
 
-    def _again(
+    def _retry_or_reroute(
         self,
         state: shardstate.ShardState,
         reply: message.UpstreamReply,
         now_ms: float,
     ) -> list[querycommand.Command]:
-        """Tries another lane; only a call that reached one is paid for."""
+        """Tries another path; spends budget if the call reached an upstream."""
         if reply.reached_upstream:
             return self._retry(state, now_ms)
         return self._reroute(state, now_ms)
 
-    def _take_answer(
+    def _handle_answer(
         self,
         state: shardstate.ShardState,
         call: shardstate.Call,
         reply: message.UpstreamReply,
         now_ms: float,
     ) -> list[querycommand.Command]:
-        if self._merge.index_version == query.ANY_VERSION:
-            self._merge.index_version = reply.index_version
-        if self._merge.add(reply):
+        if self._merger.index_version == query.ANY_VERSION:
+            self._merger.index_version = reply.index_version
+        if self._merger.add(reply):
             state.answered = True
             self._close(state)
-            return self._drop_calls(state)
-        if self._merge.index_version in reply.held_versions:
-            # This upstream answered at another version than the pinned one, but
-            # holds it as well.
+            return self._cancel_calls(state)
+        if self._merger.index_version in reply.held_versions:
+            # The upstream answered from another version than the query's, but
+            # holds the query's version as well.
             state.tried_paths.discard(
                 (call.path.upstream_id, call.path.instance_id)
             )
-            return self._paid_ask(state, now_ms)
-        return self._take_version_missing(state, now_ms)
+            return self._call_within_budget(state, now_ms)
+        return self._handle_version_missing(state, now_ms)
 
-    def _take_version_missing(
+    def _handle_version_missing(
         self, state: shardstate.ShardState, now_ms: float
     ) -> list[querycommand.Command]:
-        version = self._pin(now_ms)
-        changes = version not in (self._merge.index_version, query.ANY_VERSION)
-        if changes and self._repin_count < REPIN_LIMIT_COUNT:
-            return self._repin(version, now_ms)
+        version = self._choose_version(now_ms)
+        changes = version not in (self._merger.index_version, query.ANY_VERSION)
+        if changes and self._version_change_count < VERSION_CHANGE_LIMIT_COUNT:
+            return self._restart_at_version(version, now_ms)
         return self._retry(state, now_ms)
 
-    def _repin(self, version: int, now_ms: float) -> list[querycommand.Command]:
-        """Starts over at a version that covers more; keeps nothing."""
-        self._repin_count += 1
-        self._merge = merge.AnswerMerger(version, self.query.limit_count)
+    def _restart_at_version(
+        self, version: int, now_ms: float
+    ) -> list[querycommand.Command]:
+        """Restarts the query at another version; discards earlier answers."""
+        self._version_change_count += 1
+        self._merger = merge.AnswerMerger(version, self.query.limit_count)
         commands: list[querycommand.Command] = []
         for state in self._states:
-            commands.extend(self._drop_calls(state))
+            commands.extend(self._cancel_calls(state))
             self._reopen(state)
             state.tried_paths.clear()
             state.failed_upstream_ids.clear()
-            commands.extend(self._paid_ask(state, now_ms))
+            commands.extend(self._call_within_budget(state, now_ms))
         return commands
 
     def _reroute(
         self, state: shardstate.ShardState, now_ms: float
     ) -> list[querycommand.Command]:
-        """Tries another lane for nothing: the upstream saw no call."""
+        """Tries another path without budget: no upstream ran the call."""
         state.reroute_count += 1
         if state.calls:
             return []
         if state.reroute_count > REROUTE_LIMIT_COUNT:
-            return self._lose(state)
-        return self._ask(state, now_ms)
+            return self._abandon(state)
+        return self._call_shard(state, now_ms)
 
     def _retry(
         self, state: shardstate.ShardState, now_ms: float
     ) -> list[querycommand.Command]:
-        """Tries another lane, paid, unless a call is still in flight."""
+        """Retries within the budget unless a call is still in flight."""
         if state.calls:
             return []
-        return self._paid_ask(state, now_ms)
+        return self._call_within_budget(state, now_ms)
 
     def _close(self, state: shardstate.ShardState) -> None:
         self._open_count -= 1
         self._open_key_count -= state.key_count()
 
-    def _lose(self, state: shardstate.ShardState) -> list[querycommand.Command]:
-        """Gives a shard up."""
+    def _abandon(
+        self, state: shardstate.ShardState
+    ) -> list[querycommand.Command]:
+        """Stops calling upstreams for a shard."""
         state.abandoned = True
         self._close(state)
         return []
@@ -262,104 +273,108 @@
             self._open_key_count += state.key_count()
         state.answered = state.abandoned = state.hedged = False
 
-    def _paid_ask(
+    def _call_within_budget(
         self, state: shardstate.ShardState, now_ms: float
     ) -> list[querycommand.Command]:
-        if not self._know.retry_budgets.try_spend(self._service.name):
-            return self._lose(state)
+        if not self._context.retry_budgets.try_spend(self._service.name):
+            return self._abandon(state)
         self.extra_call_count += 1
-        return self._ask(state, now_ms)
+        return self._call_shard(state, now_ms)
 
     def _hedge(
         self, state: shardstate.ShardState, call: shardstate.Call, now_ms: float
     ) -> list[querycommand.Command]:
         state.hedged = True
-        lane = self._lane(
-            state, now_ms, other_upstream_than=call.path.upstream_id
+        path = self._choose_path(
+            state, now_ms, excluded_upstream_id=call.path.upstream_id
         )
-        if lane is None or not self._pays_hedge():
+        if path is None or not self._try_spend_for_hedge():
             return []
         self.extra_call_count += 1
-        return [self._send(state, lane, now_ms)]
+        return [self._send(state, path, now_ms)]
 
-    def _pays_hedge(self) -> bool:
-        match self._know.hedge_policy:
+    def _try_spend_for_hedge(self) -> bool:
+        match self._context.hedge_policy:
             case hedging.HedgeAfterQuantile():
-                return self._know.retry_budgets.try_spend(
-                    self._service.name, HEDGE_KEEP_COUNT
+                return self._context.retry_budgets.try_spend(
+                    self._service.name, HEDGE_RESERVE_COUNT
                 )
             case hedging.HedgeAfterDelay():
                 return True
             case hedging.NoHedge():
                 return False
 
-    def _hedge_delay(self) -> float:
-        quantile_ms = self._know.upstream_health.quantile_ms(
+    def _hedge_delay_ms(self) -> float:
+        quantile_ms = self._context.upstream_health.quantile_ms(
             self._service.name, self._profile.hedge_after_ratio
         )
-        return hedging.delay_ms(self._know.hedge_policy, quantile_ms)
+        return hedging.delay_ms(self._context.hedge_policy, quantile_ms)
 
-    def _ask(
+    def _call_shard(
         self, state: shardstate.ShardState, now_ms: float
     ) -> list[querycommand.Command]:
-        lane = self._lane(state, now_ms)
-        if lane is None:
-            return self._lose(state)
-        return [self._send(state, lane, now_ms)]
+        path = self._choose_path(state, now_ms)
+        if path is None:
+            return self._abandon(state)
+        return [self._send(state, path, now_ms)]
 
-    def _lane(
+    def _choose_path(
         self,
         state: shardstate.ShardState,
         now_ms: float,
-        other_upstream_than: str | None = None,
+        excluded_upstream_id: str | None = None,
     ) -> routing.RelayPath | None:
-        version = self._merge.index_version
-        left = tuple(
+        version = self._merger.index_version
+        candidates = tuple(
             upstream_id
             for upstream_id in state.shard.upstream_ids
             if upstream_id not in state.failed_upstream_ids
         )
         holders = tuple(
-            each for each in left if self._may_hold(each, version, now_ms)
+            each
+            for each in candidates
+            if self._may_hold_version(each, version, now_ms)
         )
-        # What an upstream holds is known from its answers only: if all that are
-        # left are thought to lack the version, asking is how to find out.
-        return self._know.router.best_path(
+        # Held versions are known from answers only. If every remaining upstream
+        # is believed to lack the version, calling one corrects a stale belief.
+        return self._context.router.best_path(
             self._service,
-            holders or left,
+            holders or candidates,
             frozenset(state.tried_paths),
             now_ms,
-            other_upstream_than,
+            excluded_upstream_id,
         )
 
-    def _may_hold(self, upstream_id: str, version: int, now_ms: float) -> bool:
-        held = self._know.upstream_health.held_versions(upstream_id, now_ms)
+    def _may_hold_version(
+        self, upstream_id: str, version: int, now_ms: float
+    ) -> bool:
+        held = self._context.upstream_health.held_versions(upstream_id, now_ms)
         return version == query.ANY_VERSION or held is None or version in held
 
     def _send(
         self,
         state: shardstate.ShardState,
-        lane: routing.RelayPath,
+        path: routing.RelayPath,
         now_ms: float,
     ) -> querycommand.Send:
         call_id = self._next_call_id
         self._next_call_id += 1
-        state.calls[call_id] = shardstate.Call(path=lane, sent_ms=now_ms)
-        state.tried_paths.add((lane.upstream_id, lane.instance_id))
-        self._know.router.begin_call(lane)
-        self._state_of[call_id] = state
+        state.calls[call_id] = shardstate.Call(path=path, sent_ms=now_ms)
+        state.tried_paths.add((path.upstream_id, path.instance_id))
+        self._context.router.begin_call(path)
+        self._state_by_call_id[call_id] = state
         self._unhedged.append(call_id)
         return querycommand.Send(
-            call_id=call_id, path=lane, index_version=self._merge.index_version
+            call_id=call_id, path=path, index_version=self._merger.index_version
         )
 
-    def _drop_calls(
+    def _cancel_calls(
         self, state: shardstate.ShardState
     ) -> list[querycommand.Command]:
         commands: list[querycommand.Command] = []
         for call_id, call in state.calls.items():
-            self._state_of.pop(call_id, None)
-            self._know.router.end_call(call.path)
+            self._state_by_call_id.pop(call_id, None)
+            self._context.router.end_call(call.path)
             self.upstream_call_count += 1
             commands.append(
                 querycommand.Cancel(
@@ -369,11 +384,11 @@
         state.calls.clear()
         return commands
 
-    def _pin(self, now_ms: float) -> int:
+    def _choose_version(self, now_ms: float) -> int:
         held = {}
         for shard in self._service.shards:
             for upstream_id in shard.upstream_ids:
-                versions = self._know.upstream_health.held_versions(
+                versions = self._context.upstream_health.held_versions(
                     upstream_id, now_ms
                 )
                 if versions is not None:
@@ -383,21 +398,21 @@
         ).index_version
 
     def _finish_if_done(self, now_ms: float) -> list[querycommand.Command]:
-        """Finishes once nothing is open, or once the floor is out of reach."""
+        """Finishes once no shard is open or the floor can't be reached."""
         if self._finished:
             return []
         if not self._open_count:
-            more = self._ask_repartitioned(now_ms)
-            return more or self._finish(now_ms)
+            commands = self._call_new_shards(now_ms)
+            return commands or self._finish(now_ms)
         open_ratio = self._open_key_count / keyspace.KEYSPACE_SIZE_COUNT
-        reachable = self._merge.coverage_ratio() + open_ratio
+        reachable = self._merger.coverage_ratio() + open_ratio
         if reachable < self._profile.coverage_floor_ratio:
             return self._finish(now_ms)
         return []
 
-    def _ask_repartitioned(self, now_ms: float) -> list[querycommand.Command]:
-        """Asks once for what a shard map come meanwhile still offers."""
-        current = self._know.current_service(self._service.name)
+    def _call_new_shards(self, now_ms: float) -> list[querycommand.Command]:
+        """Calls missing ranges from a changed shard map, at most once."""
+        current = self._context.current_service(self._service.name)
         if (
             self._replanned
             or current is None
@@ -406,7 +421,7 @@
             return []
         self._replanned = True
         self._service = current
-        missing = self._merge.missing_ranges()
+        missing = self._merger.missing_ranges()
         commands: list[querycommand.Command] = []
         for shard in current.shards:
             overlaps = any(
@@ -419,7 +434,7 @@
                 self._states.append(state)
                 self._open_count += 1
                 self._open_key_count += state.key_count()
-                commands.extend(self._paid_ask(state, now_ms))
+                commands.extend(self._call_within_budget(state, now_ms))
         return commands
 
     def _finish(self, now_ms: float) -> list[querycommand.Command]:
@@ -427,14 +442,14 @@
         missing = shardstate.missing_shards_text(self._states)
         commands: list[querycommand.Command] = []
         for state in self._states:
-            commands.extend(self._drop_calls(state))
-        coverage = self._merge.coverage_ratio()
+            commands.extend(self._cancel_calls(state))
+        coverage = self._merger.coverage_ratio()
         floor = self._profile.coverage_floor_ratio
-        if coverage < floor or not self._merge.covered_ranges():
+        if coverage < floor or not self._merger.covered_ranges():
             result: query.Answer | refusal.Refusal = refusal.Refusal(
                 reason=refusal.Reason.COVERAGE_BELOW_FLOOR,
                 ran=refusal.Ran.NO,
-                detail=f"reached coverage {coverage:.4f} of at least {floor}; "
+                detail=f"coverage {coverage:.4f}, required at least {floor}; "
                 + missing,
                 retry_after_ms=RETRY_AFTER_COVERAGE_MS,
                 coverage_ratio=coverage,
@@ -442,10 +457,10 @@
         else:
             result = query.Answer(
                 query_id=self.query.query_id,
-                hits=self._merge.best_hits(),
-                index_version=self._merge.index_version,
+                hits=self._merger.best_hits(),
+                index_version=self._merger.index_version,
                 coverage_ratio=coverage,
-                ranges=self._merge.covered_ranges(),
+                ranges=self._merger.covered_ranges(),
                 upstream_call_count=self.upstream_call_count,
                 extra_call_count=self.extra_call_count,
                 elapsed_ms=now_ms - self._started_ms,
--- a/hyssoptack/policy/rendezvous.py
+++ b/hyssoptack/policy/rendezvous.py
@@ -1,4 +1,4 @@
-"""Ranks of instances for a name by rendezvous hashing; the highest have it."""
+"""Ranks instances for a name by rendezvous hashing; the highest own it."""
 
 import xxhash
 
--- a/hyssoptack/policy/revision.py
+++ b/hyssoptack/policy/revision.py
@@ -1,4 +1,4 @@
-"""Decisions about the chain of configuration revisions."""
+"""Rules for the chain of configuration revisions."""
 
 import dataclasses
 
@@ -7,43 +7,43 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Applied:
-    """The change is in the chain, at this revision."""
+    """The change was applied as this revision."""
 
     revision: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Overtaken:
-    """Another change came first; ours is not in force and won't be."""
+    """Another change was applied first; this one never will be."""
 
     by: catalog.Manifest
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NotWritten:
-    """The head is unchanged, so the write did not happen."""
+    """The head is unchanged: the write was not applied."""
 
 
 WriteResult = Applied | Overtaken | NotWritten
 
 
 def is_newer(in_force: int, offered: int) -> bool:
-    """Tells whether a revision may replace the one in force: upwards only."""
+    """Returns whether a revision is later than the current one."""
     return offered > in_force
 
 
 def resolve_lost_write(
     head: catalog.Manifest | None, predecessor: int, change_id: str
 ) -> WriteResult:
-    """Finds out from a read what became of a write whose answer was lost.
+    """Determines from a read whether a write with a lost reply was applied.
 
     Args:
-        head: The head that the store holds now.
-        predecessor: The revision that the change was made on.
-        change_id: Names our change.
+        head: Head manifest read from the store; None if there is none.
+        predecessor: Revision that the change is based on.
+        change_id: Id of the change.
 
     Returns:
-        Whether it was applied, overtaken, or did not happen.
+        `Applied`, `Overtaken`, or `NotWritten`.
     """
     if head is None or head.revision <= predecessor:
         return NotWritten()
--- a/hyssoptack/policy/shardstate.py
+++ b/hyssoptack/policy/shardstate.py
@@ -1,4 +1,4 @@
-"""How far one shard of a query is: its calls, and the lanes it has used."""
+"""Progress of one shard of a query: its calls and the paths tried."""
 
 import dataclasses
 
@@ -6,7 +6,7 @@
 from hyssoptack.policy import routing
 
 MISSING_SHOWN_COUNT = 12
-"""Shards that a refusal names at the most: one line of text."""
+"""Most shards that a refusal lists, so that its text fits on one line."""
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -19,7 +19,19 @@
 
 @dataclasses.dataclass(kw_only=True)
 class ShardState:
-    """How far one shard of the query is."""
+    """Progress of one shard of a query.
+
+    Attributes:
+        shard: The shard.
+        calls: Calls in flight, by call id.
+        tried_paths: Paths already used, as (upstream id, instance id).
+        failed_upstream_ids: Upstreams that failed or lack the version.
+        reroute_count: Calls that were rerouted without reaching an upstream.
+        hedged: Whether a hedge was sent or considered.
+        answered: Whether an answer was merged.
+        abandoned: Whether the shard gets no further calls.
+        last_status: Status of the last reply; "unreachable" before any.
+    """
 
     shard: catalog.Shard
     calls: dict[int, Call] = dataclasses.field(default_factory=dict)
@@ -32,21 +44,23 @@
     last_status: str = "unreachable"
 
     def status_text(self) -> str:
-        """Says how its last call ended, for refusals."""
-        waited = ",".join(call.path.upstream_id for call in self.calls.values())
-        return f"waits-for-{waited}" if waited else self.last_status
+        """Returns the upstreams called now, or else the last call's status."""
+        upstream_ids = ",".join(
+            call.path.upstream_id for call in self.calls.values()
+        )
+        return f"waits-for-{upstream_ids}" if upstream_ids else self.last_status
 
     def is_open(self) -> bool:
-        """Tells whether the shard still waits for an answer."""
+        """Returns whether the shard is neither answered nor abandoned."""
         return not self.answered and not self.abandoned
 
     def key_count(self) -> int:
-        """Returns how many keys the shard has."""
+        """Returns the number of keys in the shard's range."""
         return self.shard.key_range.high - self.shard.key_range.low
 
 
 def missing_shards_text(states: list[ShardState]) -> str:
-    """Names some shards without an answer, and what their calls met."""
+    """Lists shards without an answer, each with its status."""
     missing = [
         f"{state.shard.shard_id} {state.status_text()}"
         for state in states
--- a/hyssoptack/policy/versionchoice.py
+++ b/hyssoptack/policy/versionchoice.py
@@ -1,4 +1,4 @@
-"""Chooses the one index version that a query is answered from."""
+"""Chooses the index version that a whole query is answered from."""
 
 import dataclasses
 
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class VersionChoice:
-    """A version, and how many keys may be answered at it."""
+    """An index version and the number of keys that it may cover."""
 
     index_version: int
     reachable_key_count: int
@@ -19,15 +19,16 @@
     held: dict[str, tuple[int, ...]],
     lost: frozenset[str] = frozenset(),
 ) -> VersionChoice:
-    """Chooses the version that covers most keys, the newest among equals.
+    """Returns the version that covers most keys; newer ones win ties.
 
     Args:
         shards: The shards that the query needs.
-        held: Versions by upstream, for the upstreams that have told.
-        lost: Upstreams that can't be asked.
+        held: Versions that upstreams reported to hold, by upstream id.
+        lost: Ids of upstreams that can't be called.
 
     Returns:
-        The choice; `query.ANY_VERSION` when no upstream has told anything yet.
+        The choice; its version is `query.ANY_VERSION` when no upstream that
+        can be called has reported a version.
     """
     versions = {
         version
@@ -58,7 +59,10 @@
     held: dict[str, tuple[int, ...]],
     lost: frozenset[str],
 ) -> bool:
-    """Tells whether an upstream of a shard holds a version or has not told."""
+    """Returns whether an upstream of a shard may hold a version.
+
+    An upstream that has not reported its versions may hold any.
+    """
     for upstream_id in shard.upstream_ids:
         if upstream_id in lost:
             continue
--- a/hyssoptack/policy/versionchoice_test.py
+++ b/hyssoptack/policy/versionchoice_test.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of a version."""
+"""Tests of the choice of an index version."""
 
 from hyssoptack.core import query
 from hyssoptack.policy import example
@@ -12,7 +12,7 @@
     }
 
 
-def test_nothing_known_asks_for_any():
+def test_any_version_is_requested_without_reported_versions():
     shards = example.service(2, 1).shards
     assert (
         versionchoice.choose_version(shards, {}).index_version
@@ -26,13 +26,13 @@
     assert versionchoice.choose_version(current.shards, held).index_version == 2
 
 
-def test_an_older_version_that_covers_more_goes_first():
+def test_an_older_version_that_covers_more_keys_is_preferred():
     current = example.service(2, 1)
     held = _held(current, (1, 2), (1,))
     assert versionchoice.choose_version(current.shards, held).index_version == 1
 
 
-def test_an_upstream_that_has_not_told_may_hold_it():
+def test_an_upstream_without_a_report_may_hold_any_version():
     current = example.service(2, 1)
     held = {current.shards[0].upstream_ids[0]: (3,)}
     choice = versionchoice.choose_version(current.shards, held)
@@ -40,7 +40,7 @@
     assert choice.reachable_key_count == 65_536
 
 
-def test_lost_upstreams_do_not_count():
+def test_versions_of_lost_upstreams_are_ignored():
     current = example.service(1, 2)
     first, second = current.shards[0].upstream_ids
     held = {first: (2,), second: (1,)}
