--- a/hyssoptack/charts/__init__.py
+++ b/hyssoptack/charts/__init__.py
@@ -1,1 +1,1 @@
-"""State charts as YAML files, and their interpreter."""
+"""State charts in YAML files, and their interpreter."""
--- a/hyssoptack/charts/chart.py
+++ b/hyssoptack/charts/chart.py
@@ -1,8 +1,8 @@
 """Loads state charts with sismic and interprets them as transition tables.
 
-sismic reads and validates the files. Its own interpreter costs too much for a
-step on the path of each call (`bench/slopes/charts.py`), and the charts here
-are flat, so the step is a table look-up.
+sismic reads and validates the files. Its interpreter is too slow to run for
+each upstream call (`bench/slopes/charts.py`). The charts here are flat, so a
+step is a table look-up.
 """
 
 import dataclasses
@@ -13,18 +13,18 @@
 
 
 class BrokenInvariant(Exception):
-    """A chart's state is broken: a fault of ours that stops the process."""
+    """An internal invariant is violated; the process must stop."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Chart:
-    """A flat state chart.
+    """A flat state chart as a transition table.
 
     Attributes:
-        name: Its file's name.
-        initial: The state that everything begins in.
-        states: Every state.
-        transitions: Target state by (state, event).
+        name: Name of the chart's file, without the extension.
+        initial: Initial state.
+        states: All states.
+        transitions: Target states by (state, event).
     """
 
     name: str
@@ -33,10 +33,10 @@
     transitions: dict[tuple[str, str], str]
 
     def step(self, state: str, event: str) -> str:
-        """Returns the next state; the same one for an event it does not take.
+        """Returns the next state; the same state for an event not accepted.
 
         Raises:
-            BrokenInvariant: The chart has no such state.
+            BrokenInvariant: The chart does not have the given state.
         """
         target = self.transitions.get((state, event))
         if target is not None:
@@ -46,23 +46,23 @@
         return state
 
     def accepts(self, state: str, event: str) -> bool:
-        """Tells whether a state takes an event."""
+        """Returns whether a state has a transition for an event."""
         return (state, event) in self.transitions
 
 
 @functools.cache
 def load(name: str) -> Chart:
-    """Loads a chart of this package by its file's name without the ending."""
-    text = (
+    """Loads a chart of this package by file name without the extension."""
+    yaml_text = (
         importlib.resources.files(__package__)
         .joinpath(f"{name}.yaml")
         .read_text("utf-8")
     )
-    source = sismic_io.import_from_yaml(text=text)
+    source = sismic_io.import_from_yaml(text=yaml_text)
     source.validate()
     root = source.state_for(source.root)
     children = source.children_for(source.root)
-    table = {
+    transitions = {
         (transition.source, transition.event): transition.target
         for transition in source.transitions
     }
@@ -70,12 +70,12 @@
         name=name,
         initial=root.initial,
         states=frozenset(children),
-        transitions=table,
+        transitions=transitions,
     )
 
 
 def mermaid(chart: Chart) -> str:
-    """Returns a chart as Mermaid text, for the docs."""
+    """Returns a chart as Mermaid source for the documentation."""
     lines = ["stateDiagram-v2", f"    [*] --> {chart.initial}"]
     for (state, event), target in sorted(chart.transitions.items()):
         lines.append(f"    {state} --> {target}: {event}")
--- a/hyssoptack/charts/chart_test.py
+++ b/hyssoptack/charts/chart_test.py
@@ -1,4 +1,4 @@
-"""Tests of the charts and of their drawings in the docs."""
+"""Tests of the charts and of their diagrams in the documentation."""
 
 import pathlib
 
@@ -11,21 +11,21 @@
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_the_docs_draw_the_chart(name):
+def test_the_documentation_shows_the_current_chart(name):
     text = (ROOT / "docs" / "CHARTS.md").read_text("utf-8")
     assert chart.mermaid(chart.load(name)) in text
 
 
-def test_an_unknown_event_changes_nothing():
+def test_an_unknown_event_keeps_the_state():
     assert chart.load("upstream").step("warm", "no such event") == "warm"
 
 
-def test_an_unknown_state_is_a_broken_invariant():
+def test_an_unknown_state_raises_broken_invariant():
     with pytest.raises(chart.BrokenInvariant):
         chart.load("upstream").step("no such state", "answered")
 
 
-def test_no_path_leads_an_action_to_send_twice():
+def test_an_action_can_be_sent_at_most_once():
     action = chart.load("action")
     reachable, frontier = set(), {"sending"}
     while frontier:
@@ -38,7 +38,7 @@
     assert "claimed" not in reachable
 
 
-def test_a_configuration_never_leaves_force():
+def test_an_instance_always_keeps_a_configuration_in_force():
     configuration = chart.load("configuration")
     for (source, event), target in configuration.transitions.items():
         if source in ("in_force", "updating"):
--- a/hyssoptack/core/__init__.py
+++ b/hyssoptack/core/__init__.py
@@ -1,1 +1,1 @@
-"""Immutable records that all other packages import."""
+"""Immutable records shared by all other packages."""
--- a/hyssoptack/core/action.py
+++ b/hyssoptack/core/action.py
@@ -8,16 +8,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Action:
-    """One caller's non-idempotent request, checked.
+    """A validated non-idempotent request of a caller.
 
     Attributes:
-        idempotency_key: The caller's key; at most one run for each service and
-            key.
-        service: The service that it acts on.
-        subject: What it acts on, such as a tail number; chooses the shard.
-        body_text: The request itself as JSON text; a repeat must carry the
-            same.
-        deadline_ms: Time from admission to the final answer.
+        idempotency_key: Key set by the caller; the action runs at most once for
+            each service and key.
+        service: Name of the service that runs the action.
+        subject: Object of the action, such as a tail number; determines the
+            shard.
+        body_text: Body of the request as JSON text; must be the same in every
+            retry.
+        deadline_ms: Time from admission to the final answer, in milliseconds.
     """
 
     idempotency_key: str
@@ -28,7 +29,7 @@
 
 
 class ClaimState(enum.Enum):
-    """Where a claim stands; only `held` permits a send, to its attempt."""
+    """State of a claim; only `held` permits its attempt to send."""
 
     HELD = "held"
     RELEASED = "released"
@@ -38,18 +39,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Claim:
-    """The arbiter of an action, kept in the platform's key-value service.
+    """The record in the platform's key-value service that permits a send.
 
     Attributes:
-        attempt_id: Names the one attempt that may send: incarnation and
-            counter.
-        state: Where the claim stands.
-        body_digest: Digest of the action's subject and body, to notice a reused
-            key.
-        upstream_id: The upstream that it is sent to; empty once released.
-        receipt: What the upstream returned, for a claim that is done.
-        note: One sentence for a person.
-        barred: Requests that were told "not run"; none of them may send.
+        attempt_id: Id of the only attempt that may send, made of incarnation
+            and counter. In a released claim, id of the request that released
+            it.
+        state: State of the claim.
+        body_digest: Digest of the action's service, subject and body; detects
+            a reused key.
+        upstream_id: Id of the upstream that gets the action; empty once
+            released.
+        receipt: Receipt from the upstream, for a claim that is done.
+        note: Explanation in one sentence for operators and callers.
+        barred: Ids of requests that were answered "not run"; none of them may
+            send.
     """
 
     attempt_id: str
@@ -63,13 +67,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Outcome:
-    """What became of an action.
+    """Outcome of an action.
 
     Attributes:
-        ran: Whether it ran.
-        receipt: What the upstream returned, when it ran.
-        refused: Why there is no receipt, when there is none.
-        replayed: True when this repeats a recorded outcome.
+        ran: Whether the action ran, if known.
+        receipt: Receipt from the upstream, if the action ran.
+        refused: Refusal that explains a missing receipt.
+        replayed: Whether the outcome was read from an earlier claim.
     """
 
     ran: refusal.Ran
--- a/hyssoptack/core/catalog.py
+++ b/hyssoptack/core/catalog.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: profiles, services, shards, upstreams."""
+"""Configuration set by operators: profiles, services, shards, upstreams."""
 
 import dataclasses
 
@@ -8,19 +8,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Profile:
-    """What a service may expect.
+    """Service level of the services that select this profile.
 
     Attributes:
-        name: What services pick it by.
-        deadline_ms: How late an answer may be.
-        coverage_floor_ratio: How much coverage is enough.
-        extra_load_ceiling_ratio: Extra upstream calls tolerated for each first
-            call.
-        hedge_after_ratio: The quantile of an upstream's latency after which a
-            hedge may go.
-        urgency: The class of searches that name none.
-        latency_goal_ratio: The share of requests that must be in time, for the
+        name: Name that services refer to.
+        deadline_ms: Deadline of an answer, in milliseconds.
+        coverage_floor_ratio: Minimum coverage of an answer.
+        extra_load_ceiling_ratio: Maximum number of extra upstream calls per
+            first call.
+        hedge_after_ratio: Quantile of a service's latency after which a hedge
+            may be sent.
+        latency_goal_ratio: Ratio of requests that must be in time, for the
             burn report.
+        urgency: Class of searches that do not state one.
     """
 
     name: str
@@ -34,15 +34,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Upstream:
-    """One back end.
+    """A back end server.
 
     Attributes:
-        upstream_id: Its name.
-        failure_domain: Where it runs; only relays of this domain reach it.
-        address: `IP:port`.
-        slot_count: Requests that it runs at the same time.
-        connection_limit_count: Connections that it accepts.
-        connect_cost_ms: What a new connection costs.
+        upstream_id: Id of the upstream.
+        failure_domain: Failure domain; only relays of this domain can reach
+            the upstream.
+        address: Address as `IP:port`.
+        slot_count: Number of requests that it runs at the same time.
+        connection_limit_count: Number of connections that it accepts.
+        connect_cost_ms: Cost of a new connection, in milliseconds.
     """
 
     upstream_id: str
@@ -55,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Shard:
-    """A key range of a service, and the upstreams that hold it."""
+    """A key range of a service and the ids of upstreams that hold it."""
 
     shard_id: str
     key_range: keyspace.KeyRange
@@ -64,16 +65,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Service:
-    """One service: its profile, kind and shards.
+    """A service with its profile, shards and upstreams.
 
     Attributes:
-        name: What callers name it by.
-        team: The customer that it belongs to.
-        profile: The name of the profile that it picks.
+        name: Name that callers use.
+        team: Customer that owns the service.
+        profile: Name of the service's profile.
         accepts_actions: Whether non-idempotent requests are allowed.
-        action_retention_ms: How long an idempotency key is remembered.
-        shards: Disjoint key ranges with their upstreams.
-        upstreams: All upstreams of the service by their identifier.
+        action_retention_ms: Retention of idempotency keys, in milliseconds.
+        shards: Shards with disjoint key ranges.
+        upstreams: All upstreams of the service by id.
     """
 
     name: str
@@ -87,10 +88,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Catalog:
-    """One revision of the operators' configuration.
+    """One revision of the configuration.
 
     Attributes:
-        revision: Its place in the chain; 0 is 'none yet'.
+        revision: Number in the chain of revisions; 0 before the first one.
         profiles: Profiles by name.
         services: Services by name.
     """
@@ -100,7 +101,7 @@
     services: dict[str, Service]
 
     def upstream(self, upstream_id: str) -> Upstream | None:
-        """Finds an upstream of any service, or None."""
+        """Returns an upstream of any service by id, or None."""
         for service in self.services.values():
             found = service.upstreams.get(upstream_id)
             if found is not None:
@@ -113,7 +114,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TrailEntry:
-    """One earlier revision, for the history."""
+    """An earlier revision in the history of a manifest."""
 
     revision: int
     change_id: str
@@ -124,16 +125,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Manifest:
-    """The head of the revision chain.
+    """Head of the chain of configuration revisions.
 
     Attributes:
-        revision: One more than the predecessor's.
-        change_id: Names the operator's change, so that a lost answer can be
-            settled by a read.
-        author: Who applied it.
-        applied_at_text: When, as an ISO 8601 text.
-        parts: Digest of each part by part name; a part is kept under its
+        revision: Number of the revision; one more than its predecessor's.
+        change_id: Id of the operator's change. If the reply to a write is lost,
+            a read finds out by this id whether the change was applied.
+        author: Name of the operator who applied the revision.
+        applied_at_text: Time at which it was applied, in ISO 8601.
+        parts: Digests of the parts by part name; each part is stored under its
             digest.
+        trail: Earlier revisions, for the history.
     """
 
     revision: int
--- a/hyssoptack/core/clock.py
+++ b/hyssoptack/core/clock.py
@@ -1,4 +1,4 @@
-"""The one clock that tasks read; decisions take `now_ms` instead."""
+"""Monotonic clock for tasks; `policy` takes `now_ms` as an argument instead."""
 
 import time
 
@@ -6,5 +6,5 @@
 
 
 def now_ms() -> float:
-    """Returns monotonic milliseconds, counted through stops too."""
+    """Returns monotonic milliseconds that include time in suspend."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) / NANOSECONDS_PER_MS
--- a/hyssoptack/core/fingerprint.py
+++ b/hyssoptack/core/fingerprint.py
@@ -1,28 +1,29 @@
-"""Names a request by its content, so that a repeat of it is recognised.
+"""Computes request fingerprints, which identify repeats of a request.
 
-Callers' ids name one attempt each. What an upstream makes of a request follows
-from its method, host, path, query and body; other headers differ from attempt
-to attempt.
+A caller's request id is different in each attempt, as are other headers. The
+effect of a request on an upstream depends on its method, host, path, query and
+body, so the fingerprint covers these.
 """
 
 import hashlib
 
 DIGEST_BYTES = 8
-"""Two of a million requests share a name in 1 of 37 million cases; the hash is
-a cryptographic one so that no caller makes up a request that shares another's
-name. Takes 2 us for a request without a body."""
+"""Size at which any two of a million requests have the same fingerprint with a
+probability of 1 in 37 million. The hash is cryptographic so that callers can't
+construct a request with the fingerprint of another. Hashing a request without
+a body takes 2 us."""
 
 LENGTH_BYTES = 4
 
 
 def compute(method: bytes, host: str, target: bytes, body: bytes) -> str:
-    """Returns a request's fingerprint, in hexadecimal digits.
+    """Returns a request's fingerprint in hexadecimal digits.
 
     Args:
-        method: Its method.
-        host: The host that it names.
-        target: Its path and query.
-        body: Its whole body.
+        method: HTTP method.
+        host: Host name, in any case.
+        target: Path and query.
+        body: Complete body.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for each in (method, host.lower().encode(), target, body):
--- a/hyssoptack/core/fingerprint_test.py
+++ b/hyssoptack/core/fingerprint_test.py
@@ -1,30 +1,30 @@
-"""The name of a request's content."""
+"""Tests of request fingerprints."""
 
 from hyssoptack.core import fingerprint
 
 
-def _of(**changes):
-    given = {
+def _fingerprint(**changes):
+    defaults = {
         "method": b"GET",
         "host": "shop.example",
         "target": b"/one/x?q=1",
         "body": b"",
     }
-    return fingerprint.compute(**{**given, **changes})
+    return fingerprint.compute(**{**defaults, **changes})
 
 
-def test_the_same_content_has_the_same_name():
-    assert _of() == _of(host="Shop.Example")
-    assert len(_of()) == 2 * fingerprint.DIGEST_BYTES
+def test_requests_with_equal_content_have_the_same_fingerprint():
+    assert _fingerprint() == _fingerprint(host="Shop.Example")
+    assert len(_fingerprint()) == 2 * fingerprint.DIGEST_BYTES
 
 
-def test_any_other_content_has_another_name():
+def test_requests_with_different_content_have_different_fingerprints():
     others = [
-        _of(method=b"PUT"),
-        _of(host="desk.example"),
-        _of(target=b"/one/x?q=2"),
-        _of(body=b"1"),
-        # What ends one field does not begin the next.
-        _of(target=b"/one/x?q=", body=b"1"),
+        _fingerprint(method=b"PUT"),
+        _fingerprint(host="desk.example"),
+        _fingerprint(target=b"/one/x?q=2"),
+        _fingerprint(body=b"1"),
+        # The boundary between fields is part of the fingerprint.
+        _fingerprint(target=b"/one/x?q=", body=b"1"),
     ]
-    assert len({_of(), *others}) == 6
+    assert len({_fingerprint(), *others}) == 6
--- a/hyssoptack/core/gatewaymessage.py
+++ b/hyssoptack/core/gatewaymessage.py
@@ -1,7 +1,7 @@
 """Messages between gateways.
 
-They stand apart from those of the query daemon: a gateway on a small machine
-pays 0.7 ms of its start for each record that it imports.
+They are separate from the messages of the query daemon (`core.message`): on a
+small machine, each imported record adds 0.7 ms to a gateway's start.
 """
 
 import dataclasses
@@ -13,13 +13,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ListChange:
-    """What turns one list of upstreams into another.
+    """Difference between two lists of upstreams.
 
     Attributes:
-        base_digest: Digest of the list that it applies to.
-        digest: Digest of the list that comes of it.
-        changed: Entries that are new or differ.
-        removed: Identifiers of the entries that are gone.
+        base_digest: Digest of the list that the change applies to.
+        digest: Digest of the resulting list.
+        changed: Entries that are new or different.
+        removed: Ids of removed entries.
     """
 
     base_digest: int
@@ -30,22 +30,26 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ViewNotice:
-    """What a reader of the platform's store tells its failure domain.
+    """Configuration and upstreams that a reader of the store publishes.
+
+    A reader sends it to the instances of its failure domain.
 
     Attributes:
-        sender_id: The instance that read.
-        sender_address: Where it takes messages.
-        version: The version of the configuration in force there.
-        configuration: That configuration as stored, compressed; empty where
-            the receiver should have it already.
-        revision: The store's revision that the list of upstreams is of.
-        change: What has changed in the list since the notice before.
-        grace_ms: How much longer the sender keeps upstreams that the store
-            has lost in an outage and that may enter themselves again.
-        list_age_ms: How long ago the list was read.
-        exact_age_ms: Age of the last reading that can't have been an old one.
-        evacuated: Failure domains whose upstreams must get nothing.
-        evacuated_at: Where in the store's history that held.
+        sender_id: Id of the reader.
+        sender_address: Address for messages to the reader.
+        version: Version of the configuration that the reader uses.
+        configuration: That configuration as stored, compressed; empty if the
+            receiver should already have it.
+        revision: Revision of the store at which the list of upstreams was read.
+        change: Change of the list since the previous notice.
+        grace_ms: Remaining time for which the sender keeps upstreams that an
+            outage removed from the store, so that they can register again.
+        list_age_ms: Age of the list, in milliseconds.
+        exact_age_ms: Age of the last read that can't have returned stale data,
+            in milliseconds.
+        evacuated: Failure domains whose upstreams must not be called.
+        evacuated_at: Position in the store's history at which `evacuated` was
+            read.
     """
 
     sender_id: str
@@ -63,11 +67,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ViewRequest:
-    """Asks a reader for all that it knows: its last notice did not suffice.
+    """Requests a full notice from a reader when a change can't be applied.
 
     Attributes:
-        address: Where the answer goes.
-        version: The version of the configuration that the asker has.
+        address: Address for the reply.
+        version: Version of the configuration that the sender has.
     """
 
     address: str
@@ -76,13 +80,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class InstancesNotice:
-    """The live instances, as a reader of the platform's store found them.
+    """Live instances that a reader found in the platform's store.
 
     Attributes:
-        sender_id: The instance that read.
-        neighbours: Those of the own failure domain.
-        total_count: All of them, in all failure domains.
-        far_gatherers: Those of other failure domains that make calls there.
+        sender_id: Id of the reader.
+        neighbours: Instances in the reader's failure domain.
+        total_count: Number of instances in all failure domains.
+        far_gatherers: Instances in other failure domains that relay calls to
+            upstreams there.
     """
 
     sender_id: str
@@ -93,10 +98,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PartitionNotice:
-    """The sender takes its failure domain as cut off from all others.
+    """Reports that the failure domain is partitioned from all others.
 
     Attributes:
-        sender_id: The instance that found so.
+        sender_id: Id of the instance that detected the partition.
     """
 
     sender_id: str
@@ -104,11 +109,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LatencySample:
-    """One call to an upstream as an instance has measured it.
+    """Latency of one call to an upstream.
 
     Attributes:
-        ratio: Its time over what calls of its route usually take.
-        age_ms: How long ago it ended, when the message was made.
+        ratio: Latency divided by the usual latency of calls of the route.
+        age_ms: Time from the end of the call to the creation of the message, in
+            milliseconds.
     """
 
     ratio: float
@@ -117,11 +123,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LatencyNotice:
-    """Calls to upstreams that are slow, or were lately.
+    """Latencies of upstreams that are slow or were slow recently.
 
     Attributes:
-        sender_id: The instance that measured.
-        seen_calls: The newest such call of each, by upstream.
+        sender_id: Id of the instance that made the calls.
+        seen_calls: Sample of the newest relevant call, by upstream id.
     """
 
     sender_id: str
@@ -130,22 +136,23 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DelegationRequest:
-    """Asks a neighbour to run a caller's query on the sender's behalf.
+    """Delegates a caller's query to a neighbour.
 
     Attributes:
-        sender_address: Where the answer goes.
-        ask_id: Names the ask among the sender's.
-        version: The configuration that the sender serves by; a neighbour that
-            has another one in force declines.
-        route_name: The request's route.
-        method: The request's method.
-        target: Its path and query.
-        headers: Its headers.
-        body: Its body.
-        elapsed_ms: Time since the request reached the sender.
-        away_ms: Time to the goal that the ways and earlier tries take.
-        fresh: Whether it may be begun; else the sender only wants to know
-            whether it still runs.
+        sender_address: Address for the answer.
+        ask_id: Id of the delegation, unique at the sender.
+        version: Version of the sender's configuration; a neighbour that uses
+            another version declines.
+        route_name: Name of the request's route.
+        method: Method of the request.
+        target: Path and query of the request.
+        headers: Headers of the request.
+        body: Body of the request.
+        elapsed_ms: Time since the request reached the sender, in milliseconds.
+        away_ms: Part of the time to the latency goal reserved for transit and
+            used by earlier attempts, in milliseconds.
+        fresh: Whether the neighbour may start the query; if not, the sender
+            only asks whether it is still running.
     """
 
     sender_address: str
@@ -163,12 +170,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DelegationStatus:
-    """Says that an asked query runs, or that it does not and never will.
+    """Reports whether a delegated query is running or will never run.
 
     Attributes:
-        sender_address: Who was asked.
-        ask_id: The ask.
-        begun: Whether it runs.
+        sender_address: Address of the neighbour that received the query.
+        ask_id: Id of the delegation.
+        begun: Whether the query is running; if not, it never will.
     """
 
     sender_address: str
@@ -178,15 +185,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DelegationAnswer:
-    """The answer to an asked query, as its caller gets it.
+    """Response to a delegated query, to be sent to the caller unchanged.
 
     Attributes:
-        sender_address: Who was asked.
-        ask_id: The ask.
-        reply_bytes: The usual size of an upstream's reply on its route.
-        status: The status code.
-        headers: All headers.
-        body: The body.
+        sender_address: Address of the neighbour that ran the query.
+        ask_id: Id of the delegation.
+        reply_bytes: Usual size of an upstream's reply on the query's route.
+        status: HTTP status code.
+        headers: All response headers.
+        body: Response body.
     """
 
     sender_address: str
@@ -199,11 +206,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DelegationCancel:
-    """Says that nobody waits for an asked query any more.
+    """Cancels a delegated query whose answer is no longer needed.
 
     Attributes:
-        sender_address: Who asked.
-        ask_id: The ask.
+        sender_address: Address of the instance that delegated the query.
+        ask_id: Id of the delegation.
     """
 
     sender_address: str
@@ -212,11 +219,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RelayedCall:
-    """A call to be made for another instance.
+    """An upstream call to make for another instance.
 
     Attributes:
-        call_id: Its number in the query.
-        upstream_id: Whom to call.
+        call_id: Number of the call in its query.
+        upstream_id: Id of the upstream to call.
     """
 
     call_id: int
@@ -225,20 +232,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RelayRequest:
-    """Asks an instance beside the upstreams to make calls of a query.
+    """Requests calls of a query from an instance in the upstreams' domain.
 
     Attributes:
-        sender_address: Where outcomes go.
-        ask_id: Names the ask among the sender's.
-        route_name: The query's route.
-        top_count: Records that its answer has at most.
-        request_id: The id that replies must carry.
-        head: The request's head, but for what differs from call to call.
-        body: Its body.
-        remaining_ms: How long its caller still waits.
-        to_goal_ms: Time until its answer loses most of its use.
-        calls: The calls.
-        fingerprint: Names the query's content.
+        sender_address: Address for the outcomes.
+        ask_id: Id of the relay request, unique at the sender.
+        route_name: Name of the query's route.
+        top_count: Maximum number of records in the query's answer.
+        request_id: Id that upstreams' replies must carry.
+        head: Head of the request without the parts that differ between calls.
+        body: Body of the request.
+        remaining_ms: Remaining time until the query's deadline, in
+            milliseconds.
+        to_goal_ms: Remaining time until the latency goal, in milliseconds.
+        calls: Calls to make.
+        fingerprint: Fingerprint of the query's content.
     """
 
     sender_address: str
@@ -256,16 +264,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RelayedOutcome:
-    """What became of a relayed call.
+    """Outcome of a relayed call.
 
     Attributes:
-        call_id: Its number in the query.
-        kind: What it says about the request, as in `policy.callcommand`.
-        reason: What was seen, for logs.
-        reached: Whether the upstream may have seen the request.
-        signature: The upstream's signature under its reply.
-        records: The greatest records of its reply, as many as the answer has.
-        ended: Whether the upstream has ended with the call in hand.
+        call_id: Number of the call in its query.
+        kind: Kind of the outcome, as in `policy.callcommand`.
+        reason: Observed cause, for logs.
+        reached: Whether the upstream may have received the request.
+        signature: Signature of the upstream's reply.
+        records: Highest-ranked records of the reply, at most as many as the
+            answer has.
+        ended: Whether the upstream crashed while it processed the call.
     """
 
     call_id: int
@@ -279,14 +288,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RelayBatch:
-    """Outcomes of relayed calls, as soon as they are worth a message.
+    """Batched outcomes of relayed calls.
 
     Attributes:
-        sender_address: Who made the calls.
-        ask_id: The ask.
-        outcomes: The outcomes since the message before.
-        dried_up: Whether answers came in until now and have paused: what is
-            missing waits for its upstream.
+        sender_address: Address of the instance that made the calls.
+        ask_id: Id of the relay request.
+        outcomes: Outcomes since the previous batch.
+        dried_up: Whether answers have stopped arriving, so that the missing
+            ones are delayed by their upstreams.
     """
 
     sender_address: str
@@ -297,11 +306,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RelayCancel:
-    """Says that relayed calls are not waited for any more.
+    """Cancels relayed calls whose outcomes are no longer needed.
 
     Attributes:
-        sender_address: Who asked.
-        ask_id: The ask.
+        sender_address: Address of the instance that requested the calls.
+        ask_id: Id of the relay request.
     """
 
     sender_address: str
@@ -310,12 +319,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SuspectCrash:
-    """An upstream that ended with a suspected request in hand.
+    """A crash of an upstream while it processed a suspected request.
 
     Attributes:
-        upstream_id: The upstream.
-        age_ms: How long ago, when the message was made.
-        proven: Whether it had been found alive after an earlier end.
+        upstream_id: Id of the upstream.
+        age_ms: Time from the crash to the creation of the message, in
+            milliseconds.
+        proven: Whether the upstream was known to be alive after an earlier
+            crash, so that this crash is a separate event.
     """
 
     upstream_id: str
@@ -325,17 +336,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Suspect:
-    """What is held against a request that may crash upstreams.
+    """State of a request that may crash upstreams.
 
     Attributes:
-        fingerprint: The request.
-        age_ms: How long ago an upstream last ended under it; where it is
-            cleared, how long ago one answered it.
-        cleared: Whether nothing is held against it any more.
-        blocked_count: How often in a row it was blocked; 0 while suspected.
-        blocked_for_ms: How much longer it is blocked.
-        kept_for_ms: How much longer that is known, for it to be tried.
-        endings: Upstreams that ended under it, as far as kept.
+        fingerprint: Fingerprint of the request.
+        age_ms: Time since an upstream last crashed on the request or, if
+            cleared, since an upstream answered it, in milliseconds.
+        cleared: Whether the request is no longer suspected.
+        blocked_count: Number of consecutive times that it was blocked; 0 while
+            only suspected.
+        blocked_for_ms: Remaining time for which it is blocked, in milliseconds.
+        kept_for_ms: Remaining time until a blocked request's record expires, in
+            milliseconds.
+        endings: Retained crashes of upstreams.
     """
 
     fingerprint: str
@@ -349,11 +362,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SuspectsNotice:
-    """Tells of requests that may crash upstreams.
+    """Reports requests that may crash upstreams.
 
     Attributes:
-        sender_id: Who tells.
-        suspects: The requests.
+        sender_id: Id of the sender.
+        suspects: State of each request.
     """
 
     sender_id: str
@@ -362,10 +375,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SuspectsRequest:
-    """Asks for all such requests: the asker has just started.
+    """Requests all suspects; an instance sends it after its start.
 
     Attributes:
-        address: Where the answer goes.
+        address: Address for the reply.
     """
 
     address: str
@@ -373,11 +386,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DelegationCommit:
-    """Says that an asked query will not be taken back.
+    """Promises that the sender will not take a delegated query back.
 
     Attributes:
-        sender_address: Who asked.
-        ask_id: The ask.
+        sender_address: Address of the instance that delegated the query.
+        ask_id: Id of the delegation.
     """
 
     sender_address: str
@@ -419,5 +432,5 @@
     25: SuspectsRequest,
     26: DelegationCommit,
 }
-"""Kinds by number, for `peers.codec`. Numbers are never used again for another
-kind: 10 and 11 were notices with whole lists."""
+"""Message classes by number for `peers.codec`. A number is never reused for
+another class; 10 and 11 belonged to removed notices with complete lists."""
--- a/hyssoptack/core/keyspace.py
+++ b/hyssoptack/core/keyspace.py
@@ -1,6 +1,6 @@
-"""The space of index keys, and arithmetic on ranges of it.
+"""The space of index keys and arithmetic on key ranges.
 
-Coverage is a measure of key ranges, so all of it is exact integer arithmetic.
+Coverage is computed from key ranges in exact integer arithmetic.
 """
 
 import dataclasses
@@ -23,15 +23,15 @@
     high: int
 
     def contains(self, key: int) -> bool:
-        """Tells whether a key lies in this range."""
+        """Returns whether a key lies in this range."""
         return self.low <= key < self.high
 
 
 def key_of(text: str) -> int:
-    """Maps any text to its index key.
+    """Returns the index key of a text.
 
     Args:
-        text: What identifies a record, such as a programme code.
+        text: Identifier of a record, such as a programme code.
 
     Returns:
         A key from 0 to KEYSPACE_SIZE_COUNT - 1.
@@ -40,40 +40,40 @@
 
 
 def key_count(ranges: tuple[KeyRange, ...]) -> int:
-    """Counts the keys in a tuple of disjoint ranges."""
+    """Returns the number of keys in disjoint ranges."""
     return sum(each.high - each.low for each in ranges)
 
 
 def subtract(
-    minuend: KeyRange, taken: tuple[KeyRange, ...]
+    minuend: KeyRange, excluded: tuple[KeyRange, ...]
 ) -> tuple[KeyRange, ...]:
-    """Returns what is left of a range once other ranges are taken out of it.
+    """Returns the parts of a range that other ranges do not cover.
 
     Args:
         minuend: The range to reduce.
-        taken: Ranges already spoken for; they may touch but not overlap each
-            other.
+        excluded: Ranges to subtract; they may be adjacent but must not overlap
+            each other.
 
     Returns:
-        The remaining disjoint ranges in order, empty ones left out.
+        The rest as disjoint, non-empty ranges in order.
     """
-    left = []
+    remaining = []
     low = minuend.low
-    for each in sorted(taken):
+    for each in sorted(excluded):
         if each.high <= low:
             continue
         if each.low >= minuend.high:
             break
         if each.low > low:
-            left.append(KeyRange(low, each.low))
+            remaining.append(KeyRange(low, each.low))
         low = max(low, each.high)
     if low < minuend.high:
-        left.append(KeyRange(low, minuend.high))
-    return tuple(left)
+        remaining.append(KeyRange(low, minuend.high))
+    return tuple(remaining)
 
 
 def merge_adjacent(ranges: tuple[KeyRange, ...]) -> tuple[KeyRange, ...]:
-    """Returns disjoint ranges in order, with those that touch made one."""
+    """Returns disjoint ranges in order, with adjacent ranges merged."""
     result: list[KeyRange] = []
     for each in sorted(ranges):
         if result and result[-1].high == each.low:
@@ -84,5 +84,5 @@
 
 
 def coverage_ratio(answered: tuple[KeyRange, ...]) -> float:
-    """Returns the share of the whole key space that disjoint ranges hold."""
+    """Returns the ratio of the key space that disjoint ranges cover."""
     return key_count(answered) / KEYSPACE_SIZE_COUNT
--- a/hyssoptack/core/keyspace_test.py
+++ b/hyssoptack/core/keyspace_test.py
@@ -15,16 +15,16 @@
 
 
 @given(_ranges(), strategies.lists(_ranges(), max_size=8))
-def test_subtract_leaves_exactly_the_keys_not_taken(minuend, raw):
-    taken = []
+def test_subtract_returns_exactly_the_keys_not_excluded(minuend, raw):
+    excluded = []
     for each in raw:
-        taken.extend(keyspace.subtract(each, tuple(taken)))
-    left = keyspace.subtract(minuend, tuple(taken))
+        excluded.extend(keyspace.subtract(each, tuple(excluded)))
+    remaining = keyspace.subtract(minuend, tuple(excluded))
     for key in range(301):
         expected = minuend.contains(key) and not any(
-            each.contains(key) for each in taken
+            each.contains(key) for each in excluded
         )
-        assert expected == any(each.contains(key) for each in left)
+        assert expected == any(each.contains(key) for each in remaining)
 
 
 def test_coverage_of_the_whole_space_is_one():
--- a/hyssoptack/core/mechanism.py
+++ b/hyssoptack/core/mechanism.py
@@ -1,7 +1,7 @@
-"""Which of an instance's mechanisms are at work: all, but in experiments.
+"""Feature switches of an instance; all are on except in experiments.
 
-Each can be switched off alone, to measure what it is worth under a load
-(`docs/DECISIONS.md`). No deployment does so.
+Each mechanism can be switched off alone, so that its benefit under load can be
+measured (`docs/DECISIONS.md`). Deployments leave all of them on.
 """
 
 import dataclasses
@@ -9,28 +9,34 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Mechanisms:
-    """Switches, one a mechanism.
+    """Switches, one for each mechanism.
 
     Attributes:
-        answer_at_goal: At the goal, a query is answered without the parts that
-            are missing, where its floor is met.
-        caller_time: Goals count from what callers have spent.
-        cold_starts: Upstreams that started lately are taken for slower.
-        comeback_by_cause: A refusal's cause says when to come back.
-        crossing_price: A call into another failure domain must gain something.
-        cut_belief: A failure domain that is cut off is noticed.
-        dry_hedges: Missing parts are hedged once answers dry up.
-        ejection: An upstream that takes no connection is left alone.
-        grace: Entries that lapsed in an outage of the store are kept a while.
-        handing_over: Queries go to neighbours with wider links.
-        hedges: Calls that take long are sent once more.
+        answer_at_goal: At its latency goal, a query whose coverage floor is met
+            is answered without the missing parts.
+        caller_time: Latency goals include the time that callers have already
+            spent.
+        cold_starts: Upstreams that started recently are expected to be slower.
+        comeback_by_cause: The retry delay of a refusal depends on its cause.
+        crossing_price: Load balancing adds a cost to calls into other failure
+            domains.
+        cut_belief: The instance detects that its failure domain is partitioned
+            from the others.
+        dry_hedges: Missing parts are hedged once no more answers arrive.
+        ejection: Upstreams that do not accept connections are ejected for a
+            time.
+        grace: Upstreams whose entries expired in an outage of the store are
+            kept for a time.
+        handing_over: Queries are delegated to neighbours with faster links.
+        hedges: Slow calls are hedged.
         relaying: Calls into other failure domains are made by instances there.
-        resends: An upstream that refused is asked again where there is none
-            else.
-        shed_quiet: An upstream that refused for want of room is left alone.
-        slowness: Upstreams are chosen by how slow they were.
+        resends: A call is sent again to an upstream that shed it if there is no
+            other upstream.
+        shed_quiet: Upstreams that shed a call are avoided for a time.
+        slowness: Load balancing uses the recent latency of upstreams.
         suspicion: Requests that crash upstreams are refused.
-        told_calls: Neighbours tell each other of slow upstreams.
+        told_calls: Instances of a failure domain report slow upstreams to each
+            other.
     """
 
     answer_at_goal: bool = True
--- a/hyssoptack/core/member.py
+++ b/hyssoptack/core/member.py
@@ -1,20 +1,19 @@
-"""Instances as other instances know them."""
+"""Records of instances as other instances see them."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Member:
-    """One entry instance.
+    """An instance of the query daemon.
 
     Attributes:
-        instance_id: Its name, from its settings.
-        incarnation: Unique to one run of the process.
-        failure_domain: Where it runs.
-        peer_address: `IP:port` on which it takes peer messages, as seen from
-            the reader.
-        operator_address: `IP:port` of its operator port.
-        leaving: True once it has said that it leaves.
+        instance_id: Id from the instance's settings.
+        incarnation: Id of one run of the process.
+        failure_domain: Failure domain that the instance runs in.
+        peer_address: `IP:port` for peer messages, as reachable from the reader.
+        operator_address: `IP:port` of the operator port.
+        leaving: Whether the instance has announced that it leaves.
     """
 
     instance_id: str
@@ -27,13 +26,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Peer:
-    """Another instance, as it entered itself.
+    """Another gateway instance, as registered in the platform's store.
 
     Attributes:
-        instance_id: Its name.
-        failure_domain: Where it runs.
-        address: Where it takes peers' messages.
-        link_mbps: What its network link carries; 0 where that is not known.
+        instance_id: Id of the instance.
+        failure_domain: Failure domain that the instance runs in.
+        address: Address for peer messages.
+        link_mbps: Bandwidth of its network link in Mbit/s; 0 if unknown.
     """
 
     instance_id: str
--- a/hyssoptack/core/message.py
+++ b/hyssoptack/core/message.py
@@ -10,7 +10,7 @@
 
 
 class CallStatus(enum.Enum):
-    """What became of one call to an upstream."""
+    """Result of one call to an upstream."""
 
     ANSWERED = "answered"
     VERSION_MISSING = "version_missing"
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class UpstreamAsk:
-    """One upstream to be asked within a sub-query."""
+    """An upstream call requested within a sub-query."""
 
     call_id: int
     upstream_id: str
@@ -33,19 +33,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class UpstreamReply:
-    """What became of one ask.
+    """Result of one requested upstream call.
 
     Attributes:
-        call_id: The ask that it belongs to.
-        upstream_id: The upstream that was asked.
-        status: What became of the call.
-        index_version: The version answered at.
-        held_versions: The versions that the upstream holds, when known.
-        key_range: The range that the upstream really answered for.
-        hits: Its hits.
-        service_ms: From the send to the upstream until its answer.
-        reached_upstream: True when any byte may have gone to the upstream.
-        draining: True when the upstream said with its answer that it leaves.
+        call_id: Id of the call.
+        upstream_id: Id of the upstream that was called.
+        status: Status of the call.
+        index_version: Index version of the answer.
+        held_versions: Index versions that the upstream holds; empty if unknown.
+        key_range: Key range that the answer covers; None without an answer.
+        hits: Hits in the answer.
+        service_ms: Time from the send to the upstream until its answer, in
+            milliseconds.
+        reached_upstream: Whether any byte may have been sent to the upstream.
+        draining: Whether the upstream reported with its answer that it drains.
     """
 
     call_id: int
@@ -62,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SubQuery:
-    """Asks a relay to call upstreams on behalf of one query."""
+    """Requests that a relay calls upstreams for one query."""
 
     origin: str
     query_id: str
@@ -76,7 +77,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SubAnswer:
-    """A batch of upstream replies, sent back to the origin of the query."""
+    """A batch of upstream replies for the origin of a query."""
 
     origin: str
     query_id: str
@@ -85,7 +86,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Cancel:
-    """Tells a relay that answers to some asks are no longer wanted."""
+    """Cancels calls of a query at a relay."""
 
     query_id: str
     call_ids: tuple[int, ...]
@@ -93,7 +94,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ActionAsk:
-    """Asks an executor to claim and run an action on one upstream."""
+    """Requests that an executor claims and runs an action on an upstream."""
 
     origin: str
     request_id: str
@@ -104,7 +105,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ActionReply:
-    """What the executor made of an action."""
+    """Outcome of an action, sent by its executor."""
 
     request_id: str
     outcome: action.Outcome
@@ -112,7 +113,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class UpstreamNote:
-    """What other owners of an upstream should know of it at once."""
+    """Reports to the other owners of an upstream that it is draining."""
 
     upstream_id: str
     draining: bool
@@ -121,7 +122,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Heartbeat:
-    """Periodic gossip: the sender, its revision, whom it has heard."""
+    """Periodic gossip: sender, its revision and members it heard from lately."""
 
     sender: member.Member
     revision: int
@@ -131,7 +132,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ConfigWanted:
-    """Asks a peer for its configuration head and the parts the asker lacks."""
+    """Requests a peer's configuration head and the parts the sender lacks."""
 
     sender: member.Member
     have_digests: tuple[str, ...]
@@ -139,7 +140,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ConfigOffer:
-    """A configuration head with part texts by digest."""
+    """A configuration head with the texts of its parts by digest."""
 
     manifest_text: str
     parts: dict[str, str]
@@ -168,4 +169,5 @@
     8: ConfigWanted,
     9: ConfigOffer,
 }
-"""Kinds by number, for `peers.codec`; `core.notice` has the others."""
+"""Message classes by number for `peers.codec`; `core.gatewaymessage` defines
+the other numbers."""
--- a/hyssoptack/core/position.py
+++ b/hyssoptack/core/position.py
@@ -1,15 +1,16 @@
-"""A point in the history of the platform's store."""
+"""Positions in the history of the platform's store."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, order=True)
 class Position:
-    """Orders what was read from the store.
+    """A position in the store's history, which orders reads from the store.
 
     Attributes:
-        era: Grows each time that the store returns from an older copy.
-        revision: Grows with each change within an era.
+        era: Number that increases each time the store is restored from an older
+            copy.
+        revision: Number that increases with each change within an era.
     """
 
     era: int = 0
--- a/hyssoptack/core/query.py
+++ b/hyssoptack/core/query.py
@@ -1,4 +1,4 @@
-"""Queries, the hits that upstreams return, and whole answers."""
+"""Queries, the hits that upstreams return, and merged answers."""
 
 import dataclasses
 import enum
@@ -6,11 +6,11 @@
 from hyssoptack.core import keyspace
 
 ANY_VERSION = 0
-"""Asks an upstream for its newest index version; real versions start at 1."""
+"""Selects an upstream's newest index version; real versions start at 1."""
 
 
 class Urgency(enum.Enum):
-    """The class of a query: urgent lookups go before browsing."""
+    """Class of a query; urgent lookups take precedence over browsing."""
 
     URGENT = "urgent"
     BROWSING = "browsing"
@@ -18,15 +18,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Query:
-    """One caller's query, checked.
+    """A validated query of a caller.
 
     Attributes:
-        query_id: Unique to this request; every call and answer carries it.
-        service: The service that is searched.
-        text: The words searched for.
-        limit_count: The most hits to return.
-        urgency: Its class for admission and queues.
-        deadline_ms: Time from admission to the final answer.
+        query_id: Unique id of the query; every call and answer carries it.
+        service: Name of the service to search.
+        text: Search text.
+        limit_count: Maximum number of hits to return.
+        urgency: Class of the query for admission and queues.
+        deadline_ms: Time from admission to the final answer, in milliseconds.
     """
 
     query_id: str
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Hit:
-    """One record found: its index key, score and title."""
+    """A matching record: its index key, score and title."""
 
     key: int
     score: float
@@ -48,19 +48,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Answer:
-    """A whole answer from one snapshot.
+    """Merged answer to a query, from one index version.
 
     Attributes:
-        query_id: The query that it answers.
-        hits: The best hits in order.
-        index_version: The one version that every hit comes from.
-        coverage_ratio: The share of the key space that was answered at that
+        query_id: Id of the query.
+        hits: Best hits in order.
+        index_version: Index version of all hits.
+        coverage_ratio: Ratio of the key space that was answered at that
             version.
-        ranges: The key ranges behind the coverage.
-        upstream_call_count: All calls made to upstreams.
-        extra_call_count: Calls beyond the first for each shard: hedges,
-            retries, re-asks.
-        elapsed_ms: From admission to this answer.
+        ranges: Key ranges that were answered.
+        upstream_call_count: Number of calls that reached an upstream or were
+            cancelled.
+        extra_call_count: Number of calls beyond the first for each shard:
+            hedges, retries and calls at another version.
+        elapsed_ms: Time from admission to this answer, in milliseconds.
     """
 
     query_id: str
--- a/hyssoptack/core/refusal.py
+++ b/hyssoptack/core/refusal.py
@@ -1,11 +1,11 @@
-"""Truthful refusals: a closed list of reasons, and whether the request ran."""
+"""Refusals: a closed list of reasons, and whether the request ran."""
 
 import dataclasses
 import enum
 
 
 class Ran(enum.Enum):
-    """Whether a request had its effect on an upstream."""
+    """States whether a request took effect on an upstream."""
 
     NO = "no"
     YES = "yes"
@@ -13,7 +13,7 @@
 
 
 class Reason(enum.Enum):
-    """Why a request was refused; docs/API.md names every entry."""
+    """Reason of a refusal; docs/API.md describes every value."""
 
     MALFORMED = "malformed"
     TOO_LARGE = "too_large"
@@ -35,15 +35,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Refusal:
-    """The final answer to a request that was given up.
+    """Final answer to a request that was refused or failed.
 
     Attributes:
-        reason: Why, from the closed list.
-        ran: Whether the request had its effect.
-        detail: One sentence for a person.
-        retry_after_ms: When to come back; None where coming back would not
-            help.
-        coverage_ratio: The coverage reached, for queries that reached some.
+        reason: Reason from the closed list.
+        ran: Whether the request took effect.
+        detail: Explanation in one sentence for the caller.
+        retry_after_ms: Delay before a retry, in milliseconds; None if a retry
+            would not help.
+        coverage_ratio: Coverage that a query reached; None for other
+            refusals.
     """
 
     reason: Reason
--- a/hyssoptack/core/traffic.py
+++ b/hyssoptack/core/traffic.py
@@ -1,7 +1,7 @@
-"""What operators want done with callers' requests: routes, services, limits.
+"""Traffic configuration of gateways: routes, services, limits and upstreams.
 
-The records say what each value is for, whatever the source calls it; the
-source's own names are read in `hyssoptack.platform` only.
+Fields are named by their meaning here. Names used by the configuration's source
+occur in `hyssoptack.platform` only.
 """
 
 import dataclasses
@@ -9,14 +9,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class OneService:
-    """Requests go to one upstream of a service."""
+    """Sends each request to one upstream of a service."""
 
     service: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Share:
-    """A service's part of a split, relative to the other parts."""
+    """Weight of a service in a split, relative to the other weights."""
 
     service: str
     weight: float
@@ -24,19 +24,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Split:
-    """Requests are distributed among services by weight."""
+    """Distributes requests among services by weight."""
 
     shares: tuple[Share, ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AllShards:
-    """Requests go to one upstream of each shard; the answer merges them.
+    """Sends each request to one upstream of each shard and merges the replies.
 
     Attributes:
-        shards: The services that hold the shards.
-        top_count: Records in the merged answer.
-        floor_ratio: The least share of the shards that makes an answer.
+        shards: Names of the services that hold the shards.
+        top_count: Maximum number of records in the merged answer.
+        floor_ratio: Minimum ratio of shards that an answer must cover.
     """
 
     shards: tuple[str, ...]
@@ -48,7 +48,7 @@
 
 
 def services_of(target: Target) -> tuple[str, ...]:
-    """Returns all services that requests for a target may go to."""
+    """Returns the names of all services of a target."""
     match target:
         case OneService(service=service):
             return (service,)
@@ -60,19 +60,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Route:
-    """How requests under one prefix of one host are served.
+    """Rules for requests to one path prefix of one host.
 
     Attributes:
-        name: The operator's name for it.
-        host: The host that callers name.
-        prefix: Start of the paths; begins and ends with a slash.
+        name: Name set by the operator.
+        host: Host name in the request.
+        prefix: Path prefix; begins and ends with a slash.
         idempotent: Whether a request may run more than once.
-        timeout_ms: Longest time that a caller is kept waiting.
-        latency_goal_ms: Time within which an answer is of full use.
-        priority: Urgency, 0 the most urgent.
-        max_attempts_count: Most upstreams (of each shard) that one request may
-            be sent to.
-        target: Where requests go.
+        timeout_ms: Maximum time until the response, in milliseconds.
+        latency_goal_ms: Time within which an answer has its full value, in
+            milliseconds.
+        priority: Priority; 0 is the most urgent.
+        max_attempts_count: Maximum number of upstreams (of each shard) that a
+            request may be sent to.
+        target: Services that requests are sent to.
     """
 
     name: str
@@ -87,20 +88,22 @@
 
     @property
     def is_rerunnable(self) -> bool:
-        """Whether two instances may each send a request to upstreams."""
+        """Whether more than one instance may send a request to upstreams."""
         return self.idempotent and self.max_attempts_count > 1
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Service:
-    """What is said of a service as a whole.
+    """Properties that all upstreams of a service share.
 
     Attributes:
-        name: Its name.
-        max_connections_count: Connections that each of its upstreams accepts,
-            from all callers together.
-        warmup_ms: How long its upstreams are cold after a start.
-        warmup_per_s: Requests a second that a cold one bears; 0 for any number.
+        name: Name of the service.
+        max_connections_count: Number of connections that each upstream accepts
+            from all clients together.
+        warmup_ms: Time for which an upstream is cold after its start, in
+            milliseconds.
+        warmup_per_s: Requests per second that a cold upstream can handle; 0 if
+            unlimited.
     """
 
     name: str
@@ -111,13 +114,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Limits:
-    """What a caller may send, and how long it may take.
+    """Limits on the size and duration of callers' requests.
 
     Attributes:
-        max_header_bytes: Most bytes of a request's head.
-        max_body_bytes: Most bytes of a request's body.
-        header_timeout_ms: Longest time to send a head.
-        idle_timeout_ms: Longest time without a request on a connection.
+        max_header_bytes: Maximum size of a request's head.
+        max_body_bytes: Maximum size of a request's body.
+        header_timeout_ms: Maximum time to receive a head, in milliseconds.
+        idle_timeout_ms: Maximum time without a request on a connection, in
+            milliseconds.
     """
 
     max_header_bytes: int = 16_384
@@ -128,10 +132,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Configuration:
-    """One version of the operators' wishes, whole.
+    """One complete version of the traffic configuration.
 
     Attributes:
-        version: Grows with each change, by uneven steps.
+        version: Version number; increases with each change, not always by one.
         routes: All routes.
         services: Services by name.
         limits: Limits for callers.
@@ -144,7 +148,7 @@
 
     @property
     def shard_services(self) -> frozenset[str]:
-        """The services that queries go to as shards of an index."""
+        """Names of the services that are shards of an index."""
         return frozenset(
             shard
             for route in self.routes
@@ -155,18 +159,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Upstream:
-    """One upstream as the platform lists it.
+    """An upstream in the platform's list.
 
     Attributes:
-        upstream_id: Names one start of the upstream; a restart has another.
-        listed_id: Its name in the platform's list, which a restart may keep;
-            empty where that is `upstream_id`.
-        service: The service that it belongs to.
-        address: Host and port.
-        failure_domain: Where it runs.
-        slot_count: Requests that it works on at a time.
-        draining: Whether it said that it leaves.
-        cold_ms: How much longer it stays slow after its start.
+        upstream_id: Id of one run of the upstream; changes with a restart.
+        service: Name of its service.
+        address: Address as `HOST:PORT`.
+        failure_domain: Failure domain that the upstream runs in.
+        slot_count: Number of requests that it processes at the same time.
+        draining: Whether it has announced that it drains.
+        cold_ms: Remaining warm-up time after its start, in milliseconds.
+        listed_id: Id in the platform's list, which may stay the same after a
+            restart; empty if it equals `upstream_id`.
     """
 
     upstream_id: str
@@ -180,7 +184,7 @@
 
     @property
     def expected_id(self) -> str:
-        """The name that the upstream checks in the calls that it gets."""
+        """The id that the upstream expects in calls."""
         return self.listed_id or self.upstream_id
 
 
@@ -188,7 +192,7 @@
 
 
 def split_address(address: str) -> tuple[str, int] | None:
-    """Splits HOST:PORT; returns None where it is not that."""
+    """Returns host and port of `HOST:PORT`; None if the text is malformed."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) <= PORT_MAX:
         return None
--- a/hyssoptack/policy/admission.py
+++ b/hyssoptack/policy/admission.py
@@ -189,7 +189,8 @@
         limiter: The limiter before.
         urgency: Class of the query.
         elapsed_ms: Duration of the query in milliseconds.
-        good: Whether the query was answered and no upstream shed a call.
+        good: Whether the query was answered in time and no upstream shed a
+            call.
         deadline_ms: Deadline of the query in milliseconds; the limit shrinks at
             most once in this time.
         now_ms: Current time in milliseconds.
