--- a/hyssoptack/charts/chart.py
+++ b/hyssoptack/charts/chart.py
@@ -53,12 +53,12 @@
 @functools.cache
 def load(name: str) -> Chart:
     """Loads a chart of this package by file name without the extension."""
-    yaml_text = (
+    text = (
         importlib.resources.files(__package__)
         .joinpath(f"{name}.yaml")
         .read_text("utf-8")
     )
-    source = sismic_io.import_from_yaml(text=yaml_text)
+    source = sismic_io.import_from_yaml(text=text)
     source.validate()
     root = source.state_for(source.root)
     children = source.children_for(source.root)
--- a/hyssoptack/core/gatewaymessage.py
+++ b/hyssoptack/core/gatewaymessage.py
@@ -274,7 +274,7 @@
         signature: Signature of the upstream's reply.
         records: Highest-ranked records of the reply, at most as many as the
             answer has.
-        ended: Whether the upstream crashed while it processed the call.
+        ended: Whether the upstream exited while it processed the call.
     """
 
     call_id: int
--- a/hyssoptack/core/message.py
+++ b/hyssoptack/core/message.py
@@ -122,7 +122,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Heartbeat:
-    """Periodic gossip: sender, its revision and members it heard from lately."""
+    """Periodic gossip: sender, its revision and members heard from lately."""
 
     sender: member.Member
     revision: int
