--- a/hyssoptack/policy/routing_test.py
+++ b/hyssoptack/policy/routing_test.py
@@ -23,7 +23,7 @@
 
 
 def _best_path(context, current, upstream_ids, now_ms=0.0):
-    return context.router.best(current, upstream_ids, frozenset(), now_ms)
+    return context.router.best_path(current, upstream_ids, frozenset(), now_ms)
 
 
 def test_equal_paths_prefer_the_local_failure_domain():
