--- a/hyssoptack/policy/partitiondetector.py
+++ b/hyssoptack/policy/partitiondetector.py
@@ -1,45 +1,46 @@
-"""Whether the own failure domain seems cut off from all others.
+"""Detects that the locally failure domain is cut off from all others.
 
-A cut shows in calls: those into other domains bring no sign of life, be it that
-they stay unanswered or that every connection is refused or reset. Either raises
-a doubt, and so does a neighbour's word. A doubt costs nothing but a look: some
-upstreams of other domains, chosen at random, are tried, and only when none of
-them gives a sign of life twice in a row is the domain taken to be cut off. A
+A partition shows in calls: those into other domains bring no sign of life, as
+they stay unanswered or every connection is refused or reset. Either raises a
+suspicion, and so does a neighbour's notice. A suspicion only starts checks:
+each check tries some upstreams of other domains, picked at random, and the
+domain counts as partitioned once two checks in a row found no sign of life. A
 refused connection is no sign of life, as a firewall between domains refuses
-too; that all upstreams of a look are lost while others live is rare enough.
-
-While cut off, calls go to the own domain only, and a query that needs more
-shards than are there is refused at once: it could only wait for its deadline.
-The instance then asks the balancer for no callers, who are better served
-elsewhere, unless
-
-- the own domain has an upstream for every service: it serves its callers
-  nearly as well, while elsewhere they would add to the load of upstreams that
-  already lack this domain's (one shard's last upstream took 270 to 380 ms
-  instead of 28, and a window of all callers fell from 0.69 to 0.41);
-- the platform's store still answers: then it is the others that are lost, and
-  there is no elsewhere.
+too. It is rare is_confirmed that all upstreams of a check are down while others live.
+
+While partitioned, calls go to the locally domain only. A query that needs more
+shards than the domain has is refused at once, as it could only wait for its
+deadline. The instance also asks the balancer to send its callers elsewhere,
+where they are better served, unless
+
+- the locally domain has an upstream for every service: it serves its callers nearly
+  as well, while elsewhere they would add to the load of upstreams that already
+  lack this domain's (a shard's last upstream took 270 to 380 ms instead of 28,
+  and a window of all callers fell from 0.69 to 0.41);
+- the platform's store still answers: then the other domains are lost, and
+  callers cannot be served elsewhere.
 """
 
 import dataclasses
 import enum
 
 SILENT_CALL_MIN_COUNT = 4
-"""Calls into other domains without a sign of life that raise a doubt: a crashed
-shard of three upstreams alone raises none."""
+"""Calls into other domains without a sign of life that raise a suspicion. A
+crashed shard of three upstreams alone stays below it."""
 
 WAIT_MIN_MS = 30.0
-"""A query that waited for less has not waited for anybody: quick calls take 10
-ms, calls with a new connection 17."""
+"""Shortest wait of a query that counts as silence: quick calls take 10 ms,
+calls over a new connection 17."""
 
 FAILED_CHECK_COUNT = 2
-"""Looks without a sign of life that show a cut. With 17 upstreams in 100 down,
-the most on the users' days, one look of six finds only such ones 2 times in
-100,000; the second guards against a stall of this process during the first."""
+"""Checks in a row without a sign of life that show a partition. With 17
+upstreams in 100 down, the most on the users' days, a check of six finds only
+such ones 2 times in 100,000. The second check guards against a stall of this
+process during the first."""
 
 
 class PartitionState(enum.Enum):
-    """What is believed of the way to other failure domains."""
+    """State of the connection to other failure domains."""
 
     CONNECTED = "well"
     SUSPECTED = "doubted"
@@ -48,12 +49,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CheckResult:
-    """What a look found.
+    """Result of a check.
 
     Attributes:
-        others_alive: Whether anything in another failure domain lives.
+        others_alive: Whether anything in another failure domain gave a sign of
+            life.
         store_alive: Whether the platform's store answers.
-        covers_all_services: Whether the own domain has an upstream for every service.
+        covers_all_services: Whether the locally domain has an upstream for every
+            service.
     """
 
     others_alive: bool
@@ -63,27 +66,41 @@
 
 @dataclasses.dataclass(kw_only=True)
 class RemoteCallTally:
-    """One query's calls into other failure domains."""
+    """Counts of one query's calls into other failure domains.
+
+    Attributes:
+        sent_count: Calls sent.
+        answered_count: Calls that brought a sign of life.
+    """
 
     sent_count: int = 0
     answered_count: int = 0
 
 
 class PartitionDetector:
-    """One instance's belief; changes are for the caller to log."""
+    """Tracks whether one instance's failure domain is partitioned.
+
+    State changes are left to the caller to log.
+
+    Attributes:
+        state: The current state.
+        partitioned_since_ms: Start of the latest partition.
+    """
 
     def __init__(self) -> None:
         self.state = PartitionState.CONNECTED
         self.partitioned_since_ms = 0.0
-        self._own_doubt = False
-        self._lost_count = 0
-        self._dark_look_count = 0
-        self._stays = False
+        self._suspected_locally = False
+        self._connection_failure_count = 0
+        self._failed_check_count = 0
+        self._stays_in_rotation = False
 
     @property
     def detected_locally(self) -> bool:
-        """Whether own calls raised the doubt: neighbours are to be told."""
-        return self._own_doubt
+        """Whether locally calls raised the suspicion, so that neighbours are
+        notified.
+        """
+        return self._suspected_locally
 
     @property
     def is_partitioned(self) -> bool:
@@ -93,10 +110,10 @@
     @property
     def leaves_rotation(self) -> bool:
         """Whether callers are better served by other failure domains."""
-        return self.is_partitioned and not self._stays
+        return self.is_partitioned and not self._stays_in_rotation
 
     def record_outcome(self, tally: RemoteCallTally, alive: bool) -> None:
-        """Takes whether a call into another domain found life there."""
+        """Records whether a call into another domain brought a sign of life."""
         if alive:
             tally.answered_count += 1
             self.record_sign_of_life()
@@ -104,44 +121,46 @@
             self.record_connection_failure()
 
     def record_sign_of_life(self) -> None:
-        """Takes a sign of life from another domain."""
-        self._lost_count = 0
-        self._dark_look_count = 0
+        """Records a sign of life from another domain and ends any partition."""
+        self._connection_failure_count = 0
+        self._failed_check_count = 0
         self.state = PartitionState.CONNECTED
 
     def record_connection_failure(self) -> None:
-        """Takes a call into another domain that was refused or reset."""
-        self._lost_count += 1
-        if self._lost_count >= SILENT_CALL_MIN_COUNT:
-            self._doubt(own=True)
+        """Records a call into another domain that was refused or reset."""
+        self._connection_failure_count += 1
+        if self._connection_failure_count >= SILENT_CALL_MIN_COUNT:
+            self._suspect(locally=True)
 
     def record_wait(self, tally: RemoteCallTally, waited_ms: float) -> None:
-        """Takes how long a query has waited for its calls."""
+        """Records how long a query has waited for its calls so far."""
         silent = (
             not tally.answered_count
             and tally.sent_count >= SILENT_CALL_MIN_COUNT
         )
         if silent and waited_ms >= WAIT_MIN_MS:
-            self._doubt(own=True)
+            self._suspect(locally=True)
 
     def on_neighbour_suspicion(self) -> None:
-        """Takes a neighbour's word for a doubt, and for no more than that."""
-        self._doubt(own=False)
+        """Raises a suspicion after a neighbour's notice, and never a partition."""
+        self._suspect(locally=False)
 
-    def _doubt(self, own: bool) -> None:
+    def _suspect(self, locally: bool) -> None:
         if self.state is PartitionState.CONNECTED:
             self.state = PartitionState.SUSPECTED
-            self._own_doubt = own
-            self._dark_look_count = 0
+            self._suspected_locally = locally
+            self._failed_check_count = 0
 
-    def record_check(self, look: CheckResult, now_ms: float) -> None:
-        """Takes what a look found, while there is a doubt or a cut."""
-        self._stays = look.store_alive or look.covers_all_services
-        if look.others_alive:
+    def record_check(self, result: CheckResult, now_ms: float) -> None:
+        """Records a check's result, while partitioned or suspected to be."""
+        self._stays_in_rotation = (
+            result.store_alive or result.covers_all_services
+        )
+        if result.others_alive:
             self.record_sign_of_life()
             return
-        self._dark_look_count += 1
-        enough = self._dark_look_count >= FAILED_CHECK_COUNT
-        if self.state is PartitionState.SUSPECTED and enough:
+        self._failed_check_count += 1
+        is_confirmed = self._failed_check_count >= FAILED_CHECK_COUNT
+        if self.state is PartitionState.SUSPECTED and is_confirmed:
             self.state = PartitionState.PARTITIONED
             self.partitioned_since_ms = now_ms
--- a/hyssoptack/policy/probeguard.py
+++ b/hyssoptack/policy/probeguard.py
@@ -1,7 +1,8 @@
-"""How one request is sent while it may crash the upstreams that run it.
+"""Sends one request as a probe while it is suspected to crash upstreams.
 
-With care: one call at a time, over a connection opened for it, until one is
-answered (`policy.suspicion` says why). What else is due waits here meanwhile.
+A probe is one call at a time, over a connection opened for it, until one call
+is answered (`policy.quarantine` has the reasons). The request's other calls are
+queued here meanwhile.
 """
 
 import collections
@@ -16,17 +17,17 @@
 from hyssoptack.policy import suspectrecord
 
 HEDGE = "hedge"
-"""Why a call is sent beside another one of its part."""
+"""Reason of a call that is sent in parallel to another one of its part."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class QueuedCall:
-    """A call that waits.
+    """A call that waits for the current probe to end.
 
     Attributes:
-        part: What it is for.
-        upstream: Whom it was to go to.
-        extra: Why it is not the part's first.
+        part: Part of the request that it serves.
+        upstream: Upstream that it was to be sent to.
+        extra: Reason why it is not the first call of its part.
     """
 
     part: callpart.Part
@@ -35,52 +36,56 @@
 
 
 class ProbeGuard:
-    """The care that one request is sent with."""
+    """Decides when the calls of one request may be sent."""
 
-    def __init__(self, known: quarantine.SuspectRegistry, fingerprint: str):
-        """Makes a request that is sent without care.
+    def __init__(self, registry: quarantine.SuspectRegistry, fingerprint: str):
+        """Creates a guard that lets all calls pass until `admit` is called.
 
         Args:
-            known: What is held against requests.
-            fingerprint: Names the request's content.
+            registry: Registry of suspected requests.
+            fingerprint: Fingerprint of the request's content.
         """
-        self._known = known
+        self._registry = registry
         self._fingerprint = fingerprint
         self._answered = False
-        self._held: collections.deque[QueuedCall] = collections.deque()
+        self._queued: collections.deque[QueuedCall] = collections.deque()
         self._released: callpart.Part | None = None
         self.crash_count = 0
         self.is_probing = False
 
     def admit(self, now_ms: float) -> bool:
-        """Looks what is held against it; tells whether it may be sent."""
-        verdict = self._known.decide(self._fingerprint, now_ms)
+        """Looks the request up and returns whether it may be sent."""
+        verdict = self._registry.decide(self._fingerprint, now_ms)
         self.is_probing = verdict is quarantine.Verdict.PROBE
         return verdict is not quarantine.Verdict.REFUSE
 
-    def _place(self, now_ms: float, count: int) -> int:
-        """Returns where to begin among as many parts.
+    def _start_index(self, now_ms: float, count: int) -> int:
+        """Returns the index of the queued call to send first.
 
-        Requests that lost the same upstreams at once go different ways: one of
-        them may take along all that is beside it.
+        Requests that lost the same upstreams at once start with different
+        parts, since a request that crashes upstreams fails all calls beside it.
         """
         return (int(self._fingerprint or "0", 16) + int(now_ms)) % count
 
     def record_answer(self, now_ms: float) -> None:
-        """Takes that an upstream has answered: it crashes none."""
+        """Records that an upstream has answered the request."""
         if not self._answered:
             self._answered = True
             self.is_probing = False
             self.clear_suspicion(now_ms)
 
     def clear_suspicion(self, now_ms: float) -> None:
-        """Clears an answered request of what is held against it."""
-        self._known.record_answer(self._fingerprint, now_ms)
+        """Clears the request in the registry after an answer."""
+        self._registry.record_answer(self._fingerprint, now_ms)
 
     def record_outcome(
         self, call: callpart.Call, outcome: callcommand.Outcome, now_ms: float
     ) -> bool:
-        """Takes an outcome; tells whether its request crashes upstreams."""
+        """Records a call's outcome.
+
+        Returns:
+            Whether the request is now refused because it crashes upstreams.
+        """
         if outcome.reason == callresult.CRASHES_UPSTREAMS:
             return not self._answered
         if not outcome.upstream_exited:
@@ -88,52 +93,58 @@
         self.crash_count += 1
         if self._answered:
             return False
-        ending = suspectrecord.UpstreamCrash(
+        crash = suspectrecord.UpstreamCrash(
             upstream_id=call.upstream_id,
             at_ms=now_ms,
             proven=call.is_probe and outcome.was_only_call,
         )
-        self._known.record_crash(self._fingerprint, ending, now_ms)
-        self.is_probing = self._known.is_tracked(self._fingerprint)
-        return self._known.is_quarantined(self._fingerprint, now_ms)
+        self._registry.record_crash(self._fingerprint, crash, now_ms)
+        self.is_probing = self._registry.is_tracked(self._fingerprint)
+        return self._registry.is_quarantined(self._fingerprint, now_ms)
 
     def record_failure(self) -> None:
-        """Takes that it has ended: without an answer others should know."""
+        """Records that the request has ended without an answer.
+
+        Other instances are told of it if upstreams crashed under it.
+        """
         if self.crash_count and not self._answered:
-            self._known.share(self._fingerprint)
+            self._registry.share(self._fingerprint)
 
     def queue_if_probing(
         self,
-        asked: QueuedCall,
+        call: QueuedCall,
         calls: collections.abc.Iterable[callpart.Call],
     ) -> bool:
-        """Whether a call has to wait; if so, it is kept until it is released.
+        """Returns whether a call has to wait for a probe, and queues it if so.
 
-        A call that is late is hedged all the same, one part at a time.
+        A late call is hedged even while probing, one part at a time; a hedge
+        that would have to wait is not queued.
 
         Args:
-            asked: The call.
-            calls: All calls of the request that are out.
+            call: The call to be sent.
+            calls: All calls of the request that are in flight.
         """
         if not self.is_probing:
             return False
-        if asked.extra == HEDGE:
-            return any(e.is_probe and e.part is not asked.part for e in calls)
-        if asked.part is self._released:
+        if call.extra == HEDGE:
+            return any(e.is_probe and e.part is not call.part for e in calls)
+        if call.part is self._released:
             self._released = None
             return False
-        self._held.append(asked)
+        self._queued.append(call)
         return True
 
     def next_queued(
         self, calls: collections.abc.Sized, now_ms: float
     ) -> QueuedCall | None:
-        """Returns a call to be made now; None if there is none."""
-        while self._held and not (self.is_probing and calls):
+        """Returns the next call to be sent now; None if there is none."""
+        while self._queued and not (self.is_probing and calls):
             if self.is_probing:
-                self._held.rotate(-self._place(now_ms, len(self._held)))
-            held = self._held.popleft()
-            if held.part.is_open() and not held.part.calls:
-                self._released = held.part
-                return held
+                self._queued.rotate(
+                    -self._start_index(now_ms, len(self._queued))
+                )
+            queued = self._queued.popleft()
+            if queued.part.is_open() and not queued.part.calls:
+                self._released = queued.part
+                return queued
         return None
--- a/hyssoptack/policy/quarantine.py
+++ b/hyssoptack/policy/quarantine.py
@@ -1,24 +1,25 @@
-"""Which requests crash the upstreams that run them.
-
-An upstream that ends takes along all that it has in hand, so an end alone says
-little of a request. Two things tell those that crash upstreams from those that
-were beside them:
-
-- A request that is answered by any upstream crashes none: it is cleared.
-- A request under which an upstream has ended, and that none has answered, is
-  sent on with care: one call at a time, over a connection that is opened then.
-  An upstream that takes the connection lives; when it ends with the request in
-  hand, it is not the same event that it ended by.
-
-A request is blocked once upstreams have ended under it at three moments, and
-none has answered it. An innocent request is blocked only if upstreams that were
-found alive end by chance as often, each within the tens to hundreds of
-milliseconds for which it is there. Blocked requests are refused. After a
-while one is tried, with care, so that a request that has become harmless is
-served again at the price of one upstream where it has not.
-
-Entries are bounded in number and in time; instances tell each other of them
-(`gateway.suspecting`).
+"""Registry of requests that crash the upstreams that run them.
+
+A crashing upstream loses all calls in flight on it, so a crash alone does not
+show which request caused it. Two rules separate requests that crash upstreams
+from those that only ran beside them:
+
+- A request that any upstream has answered crashes none: it is cleared.
+- A request that was in flight at a crash and has no answer yet is sent as a
+  probe: one call at a time, each over a newly opened connection. An upstream
+  that accepts the connection is alive, so if it crashes while it runs the
+  probe, that crash is not part of the earlier event.
+
+A request is quarantined once upstreams have crashed under it in three separate
+events and none has answered it. A harmless request is quarantined only if
+upstreams known to be alive crash by chance that often, each during the tens to
+hundreds of milliseconds in which it runs the request. Quarantined requests are
+refused. When a quarantine ends, one request is sent as a probe: a request that
+has become harmless is served again, and one that still crashes upstreams costs
+one of them.
+
+Entries are limited in number and in age. Instances exchange them
+(`gateway.quarantinesync`).
 """
 
 import collections
@@ -32,16 +33,18 @@
 from hyssoptack.policy import suspectrecord
 
 PROBE_JITTER_RATIO = 0.5
-"""Instances try at different times, up to this part later, so that the first
-try's outcome is known to the others before theirs."""
+"""Random extra delay before an instance's probe, at most this part of the
+quarantine. Instances thus probe at different times, so that the others learn
+the outcome of the first probe before their own."""
 
-TRY_MS = 5_000.0
-"""After a try that brought neither an answer nor an end, the next one."""
+PROBE_RETRY_MS = 5_000.0
+"""Delay until the next probe after one that brought neither an answer nor a
+crash."""
 
 ENTRY_LIMIT_COUNT = 4_096
-"""Most suspected requests, and most blocked ones, of one instance: 2.5 and 5 MB
-(`suspicion_test`, 50,000 and 20,000 requests), a sixteenth of what it may use.
-Beyond it the oldest are forgotten."""
+"""Most suspected requests, and most quarantined ones, of one instance: 2.5 and
+5 MB (`quarantine_test`, 50,000 and 20,000 requests), a sixteenth of its memory
+limit. Beyond it the oldest entries are dropped."""
 
 
 class Verdict(enum.Enum):
@@ -53,7 +56,7 @@
 
 
 class ChangeKind(enum.Enum):
-    """What has changed in what is believed of a request."""
+    """What has changed in the state of a request."""
 
     SUSPECTED = "suspected"
     QUARANTINED = "blocked"
@@ -64,15 +67,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SuspicionChange:
-    """A change of belief, for the log and for who runs such requests.
+    """A state change of a request, as reported to `on_change`.
 
     Attributes:
         kind: What has changed.
-        fingerprint: The request.
-        upstream_ids: Upstreams that have ended under it, as far as kept.
-        quarantine_count: How often in a row it was blocked.
-        quarantine_ms: How long it stays blocked at least.
-        source: The instance that told so; empty where it was found here.
+        fingerprint: Fingerprint of the request.
+        upstream_ids: Upstreams that crashed under it, as far as recorded.
+        quarantine_count: Quarantines of the request in a row.
+        quarantine_ms: Length of the quarantine, without jitter.
+        source: Instance that reported the change; empty if found locally.
     """
 
     kind: ChangeKind
@@ -87,26 +90,26 @@
 
 
 class SuspectRegistry:
-    """One instance's beliefs about requests that crash upstreams."""
+    """Suspected and quarantined requests as one instance knows them."""
 
     def __init__(self, source: random.Random, enabled: bool = True):
-        """Makes an instance that suspects nothing.
+        """Creates an empty registry.
 
         Args:
-            source: Spreads tries over the instances.
-            enabled: Whether anything is suspected at all.
+            source: Source of the probe jitter and of random samples.
+            enabled: Whether requests are suspected at all.
         """
         self._random = source
         self._enabled = enabled
         self._suspected: collections.OrderedDict[
             str, suspectrecord.SuspectRecord
         ] = collections.OrderedDict()
-        self._blocked: collections.OrderedDict[
+        self._quarantined: collections.OrderedDict[
             str, suspectrecord.SuspectRecord
         ] = collections.OrderedDict()
         self._answered: dict[str, float] = {}
         self._trusted: frozenset[str] = frozenset()
-        self._news: dict[str, None] = {}
+        self._pending_notices: dict[str, None] = {}
         self.on_change: OnChange = lambda _: None
         self.on_pending_notices: collections.abc.Callable[[], None] = lambda: (
             None
@@ -114,26 +117,28 @@
 
     @property
     def suspected_count(self) -> int:
-        """Requests that are sent with care."""
+        """Number of requests that are sent as probes."""
         return len(self._suspected)
 
     @property
     def quarantined_count(self) -> int:
-        """Requests that are refused."""
-        return len(self._blocked)
+        """Number of requests that are quarantined."""
+        return len(self._quarantined)
 
     @property
     def has_entries(self) -> bool:
-        """Whether anything is held against any request."""
-        return bool(self._suspected or self._blocked)
+        """Whether any request is suspected or quarantined."""
+        return bool(self._suspected or self._quarantined)
 
     def is_tracked(self, fingerprint: str) -> bool:
-        """Whether anything is held against a request."""
-        return fingerprint in self._suspected or fingerprint in self._blocked
+        """Returns whether a request is suspected or quarantined."""
+        return (
+            fingerprint in self._suspected or fingerprint in self._quarantined
+        )
 
     def is_quarantined(self, fingerprint: str, now_ms: float) -> bool:
-        """Whether a request is refused, with no try due."""
-        entry = self._blocked.get(fingerprint)
+        """Returns whether a request is quarantined and no probe is due."""
+        entry = self._quarantined.get(fingerprint)
         return entry is not None and (
             now_ms < entry.quarantined_until_ms + entry.probe_jitter_ms
         )
@@ -141,16 +146,18 @@
     # Requests.
 
     def decide(self, fingerprint: str, now_ms: float) -> Verdict:
-        """Returns how a request that has come in is to be sent."""
-        entry = self._blocked.get(fingerprint)
+        """Returns how an incoming request is to be sent."""
+        entry = self._quarantined.get(fingerprint)
         if entry is not None:
             if self.is_quarantined(fingerprint, now_ms):
                 return Verdict.REFUSE
             entry.is_probing = True
-            entry.quarantined_until_ms = now_ms + TRY_MS
-            entry.expires_ms = max(entry.expires_ms, now_ms + 2 * TRY_MS)
+            entry.quarantined_until_ms = now_ms + PROBE_RETRY_MS
+            entry.expires_ms = max(
+                entry.expires_ms, now_ms + 2 * PROBE_RETRY_MS
+            )
             entry.probe_jitter_ms = 0.0
-            self._say(ChangeKind.PROBED, fingerprint, entry)
+            self._report_change(ChangeKind.PROBED, fingerprint, entry)
             return Verdict.PROBE
         entry = self._suspected.get(fingerprint)
         if (
@@ -161,12 +168,12 @@
         return Verdict.PROBE
 
     def record_answer(self, fingerprint: str, now_ms: float) -> None:
-        """Takes that an upstream has answered a request: it crashes none."""
-        self._keep_answered(fingerprint, now_ms)
+        """Clears a request, as an upstream has answered it."""
+        self._remember_answer(fingerprint, now_ms)
         if self.is_tracked(fingerprint):
             self._clear(fingerprint, "")
 
-    def _keep_answered(self, fingerprint: str, at_ms: float) -> None:
+    def _remember_answer(self, fingerprint: str, at_ms: float) -> None:
         self._answered.pop(fingerprint, None)
         self._answered[fingerprint] = at_ms
         if len(self._answered) > ENTRY_LIMIT_COUNT:
@@ -175,49 +182,47 @@
     def record_crash(
         self,
         fingerprint: str,
-        ending: suspectrecord.UpstreamCrash,
+        crash: suspectrecord.UpstreamCrash,
         now_ms: float,
     ) -> None:
-        """Takes that an upstream has ended with a request in hand.
+        """Records that an upstream crashed with a request in flight.
 
-        The request has no answer from any upstream, as far as its plan knows.
+        No upstream may have answered the request yet, as far as its plan knows.
         """
         if not self._enabled or fingerprint in self._trusted:
             return
-        entry = self._blocked.get(fingerprint)
+        entry = self._quarantined.get(fingerprint)
         if entry is not None:
-            # Calls that were out when it was blocked show nothing new.
+            # Crashes of calls sent before the quarantine prove nothing new.
             if entry.is_probing:
                 entry.last_crash_ms = now_ms
-                blocking = suspectrecord.quarantine_term(
-                    entry.quarantine_count + 1
-                )
-                self._block(fingerprint, entry, blocking, now_ms)
+                term = suspectrecord.quarantine_term(entry.quarantine_count + 1)
+                self._start_quarantine(fingerprint, entry, term, now_ms)
             return
-        self._add(fingerprint, (ending,), now_ms, "")
+        self._add_crashes(fingerprint, (crash,), now_ms, "")
 
     def share(self, fingerprint: str) -> None:
-        """Lets others know of a request that has ended without an answer."""
+        """Shares a suspected request that has ended without an answer."""
         entry = self._suspected.get(fingerprint)
         if entry is not None and not entry.is_shared:
             entry.is_shared = True
-            self._announce(fingerprint)
+            self._queue_notice(fingerprint)
 
     def set_trusted(
         self, fingerprints: collections.abc.Iterable[str], now_ms: float
     ) -> None:
-        """Takes which requests operators know to be harmless."""
+        """Replaces the requests that operators have declared harmless."""
         self._trusted = frozenset(fingerprints)
         for each in self._trusted:
             if self.is_tracked(each):
                 self.record_answer(each, now_ms)
 
-    # Beliefs.
+    # State changes.
 
-    def _add(
+    def _add_crashes(
         self,
         fingerprint: str,
-        endings: collections.abc.Iterable[suspectrecord.UpstreamCrash],
+        crashes: collections.abc.Iterable[suspectrecord.UpstreamCrash],
         now_ms: float,
         source: str,
     ) -> None:
@@ -225,26 +230,28 @@
         is_new = entry is None
         if entry is None:
             entry = self._suspected[fingerprint] = suspectrecord.SuspectRecord()
-            _limit(self._suspected)
+            _drop_oldest(self._suspected)
         known = {each.upstream_id for each in entry.crashes}
-        fresh = [each for each in endings if each.upstream_id not in known]
-        for each in fresh:
-            # Many ends of one moment tell no more than one.
-            same = (
+        new_crashes = [
+            each for each in crashes if each.upstream_id not in known
+        ]
+        for each in new_crashes:
+            # Many crashes in one event prove no more than one does.
+            same_event = (
                 each.at_ms - entry.last_crash_ms
                 < suspectrecord.CRASH_EVENT_WINDOW_MS
             )
-            if each.proven or not same or len(entry.crashes) < 2:
+            if each.proven or not same_event or len(entry.crashes) < 2:
                 entry.crashes.append(each)
             entry.last_crash_ms = max(entry.last_crash_ms, each.at_ms)
-        if source and fresh:
+        if source and new_crashes:
             entry.is_shared = True
-            self._announce(fingerprint)
+            self._queue_notice(fingerprint)
         if (
             suspectrecord.crash_event_count(entry.crashes)
             >= suspectrecord.QUARANTINE_EVENT_COUNT
         ):
-            self._block(
+            self._start_quarantine(
                 fingerprint,
                 entry,
                 suspectrecord.quarantine_term(1),
@@ -253,67 +260,71 @@
             )
         elif is_new:
             self.on_pending_notices()
-            self._say(ChangeKind.SUSPECTED, fingerprint, entry, source=source)
+            self._report_change(
+                ChangeKind.SUSPECTED, fingerprint, entry, source=source
+            )
 
-    def _block(
+    def _start_quarantine(
         self,
         fingerprint: str,
         entry: suspectrecord.SuspectRecord,
-        blocking: suspectrecord.QuarantineTerm,
+        term: suspectrecord.QuarantineTerm,
         now_ms: float,
         source: str = "",
     ) -> None:
         self._suspected.pop(fingerprint, None)
-        self._blocked[fingerprint] = entry
-        self._blocked.move_to_end(fingerprint)
-        _limit(self._blocked)
-        entry.quarantine_count = blocking.count
-        entry.quarantined_until_ms = now_ms + blocking.duration_ms
-        entry.expires_ms = now_ms + blocking.retention_ms
-        most_ms = PROBE_JITTER_RATIO * suspectrecord.quarantine_ms(
-            blocking.count
+        self._quarantined[fingerprint] = entry
+        self._quarantined.move_to_end(fingerprint)
+        _drop_oldest(self._quarantined)
+        entry.quarantine_count = term.count
+        entry.quarantined_until_ms = now_ms + term.duration_ms
+        entry.expires_ms = now_ms + term.retention_ms
+        max_jitter_ms = PROBE_JITTER_RATIO * suspectrecord.quarantine_ms(
+            term.count
         )
-        entry.probe_jitter_ms = self._random.uniform(0.0, most_ms)
+        entry.probe_jitter_ms = self._random.uniform(0.0, max_jitter_ms)
         entry.is_probing = False
         entry.is_shared = True
-        self._announce(fingerprint)
-        self._say(
+        self._queue_notice(fingerprint)
+        self._report_change(
             ChangeKind.QUARANTINED,
             fingerprint,
             entry,
-            blocking.duration_ms,
+            term.duration_ms,
             source,
         )
 
     def _clear(self, fingerprint: str, source: str) -> None:
         entry = self._suspected.pop(fingerprint, None)
-        entry = self._blocked.pop(fingerprint, entry)
+        entry = self._quarantined.pop(fingerprint, entry)
         if entry.is_shared:
-            self._announce(fingerprint)
-        self._say(ChangeKind.CLEARED, fingerprint, entry, source=source)
+            self._queue_notice(fingerprint)
+        self._report_change(
+            ChangeKind.CLEARED, fingerprint, entry, source=source
+        )
 
     def expire(self, now_ms: float) -> None:
-        """Forgets what is too old to mean anything."""
+        """Drops entries that have expired."""
         for fingerprint, entry in tuple(self._suspected.items()):
             if now_ms - entry.last_crash_ms > suspectrecord.SUSPICION_TTL_MS:
                 del self._suspected[fingerprint]
-                self._say(ChangeKind.EXPIRED, fingerprint, entry)
-        for fingerprint, entry in tuple(self._blocked.items()):
-            # Nobody has asked for it in all the time in which it may be tried.
+                self._report_change(ChangeKind.EXPIRED, fingerprint, entry)
+        for fingerprint, entry in tuple(self._quarantined.items()):
+            # No caller has sent it for as long as a probe was allowed.
             if now_ms > entry.expires_ms:
-                del self._blocked[fingerprint]
-                self._say(ChangeKind.EXPIRED, fingerprint, entry)
+                del self._quarantined[fingerprint]
+                self._report_change(ChangeKind.EXPIRED, fingerprint, entry)
 
-    def _say(
+    def _report_change(
         self,
-        what: ChangeKind,
+        kind: ChangeKind,
         fingerprint: str,
         entry: suspectrecord.SuspectRecord,
         for_ms: float = 0.0,
         source: str = "",
     ) -> None:
         change = SuspicionChange(
-            kind=what,
+            kind=kind,
             fingerprint=fingerprint,
             upstream_ids=tuple(each.upstream_id for each in entry.crashes),
             quarantine_count=entry.quarantine_count,
@@ -322,36 +333,40 @@
         )
         self.on_change(change)
 
-    # What instances tell each other.
+    # Notices between instances.
 
-    def _announce(self, fingerprint: str) -> None:
-        self._news.pop(fingerprint, None)
-        self._news[fingerprint] = None
-        if len(self._news) > ENTRY_LIMIT_COUNT:
-            del self._news[next(iter(self._news))]
+    def _queue_notice(self, fingerprint: str) -> None:
+        self._pending_notices.pop(fingerprint, None)
+        self._pending_notices[fingerprint] = None
+        if len(self._pending_notices) > ENTRY_LIMIT_COUNT:
+            del self._pending_notices[next(iter(self._pending_notices))]
         self.on_pending_notices()
 
     def pop_new_notices(
-        self, most_count: int, now_ms: float
+        self, limit_count: int, now_ms: float
     ) -> tuple[gatewaymessage.Suspect, ...]:
-        """Takes out what others should know at once: the newest, blocked first.
+        """Removes all pending notices and returns the most important ones.
 
-        What is over the count is told with all the rest later.
+        Quarantined requests come first, then the newest. Notices beyond the
+        limit are dropped; `sample_notices` covers them later.
         """
-        newest = reversed(self._news)
-        names = sorted(newest, key=lambda each: each not in self._blocked)
-        self._news.clear()
-        told = (self._told(each, now_ms) for each in names[:most_count])
+        newest = reversed(self._pending_notices)
+        names = sorted(newest, key=lambda each: each not in self._quarantined)
+        self._pending_notices.clear()
+        told = (self._notice_for(each, now_ms) for each in names[:limit_count])
         return tuple(each for each in told if each is not None)
 
     def sample_notices(
-        self, most_count: int, now_ms: float
+        self, limit_count: int, now_ms: float
     ) -> tuple[gatewaymessage.Suspect, ...]:
-        """Returns what others may have missed; what is blocked first."""
-        names = self._sample(self._blocked, most_count)
+        """Returns random notices for instances that may have missed them.
+
+        Quarantined requests come first.
+        """
+        names = self._sample(self._quarantined, limit_count)
         shared = [name for name, e in self._suspected.items() if e.is_shared]
-        names += self._sample(shared, most_count - len(names))
-        told = (self._told(each, now_ms) for each in names)
+        names += self._sample(shared, limit_count - len(names))
+        told = (self._notice_for(each, now_ms) for each in names)
         return tuple(
             each
             for each in told
@@ -359,14 +374,14 @@
         )
 
     def _sample(
-        self, names: collections.abc.Collection[str], most_count: int
+        self, names: collections.abc.Collection[str], limit_count: int
     ) -> list[str]:
-        return self._random.sample(tuple(names), min(len(names), most_count))
+        return self._random.sample(tuple(names), min(len(names), limit_count))
 
-    def _told(
+    def _notice_for(
         self, fingerprint: str, now_ms: float
     ) -> gatewaymessage.Suspect | None:
-        entry = self._blocked.get(fingerprint)
+        entry = self._quarantined.get(fingerprint)
         entry = entry or self._suspected.get(fingerprint)
         if entry is None:
             answered_ms = self._answered.get(fingerprint)
@@ -379,13 +394,15 @@
             )
         return suspectrecord.to_notice(fingerprint, entry, now_ms)
 
-    # What is kept elsewhere.
+    # Persistence and merging.
 
     def newest_quarantined(
-        self, most_count: int, now_ms: float
+        self, limit_count: int, now_ms: float
     ) -> list[tuple[str, suspectrecord.SuspectRecord]]:
-        """Returns the requests that were blocked last, with what is held."""
-        newest = itertools.islice(reversed(self._blocked.items()), most_count)
+        """Returns the latest quarantined requests, with their records."""
+        newest = itertools.islice(
+            reversed(self._quarantined.items()), limit_count
+        )
         return [
             each
             for each in newest
@@ -393,66 +410,66 @@
         ]
 
     def was_cleared(self, fingerprint: str) -> bool:
-        """Whether a request is known to have been answered, last."""
+        """Returns whether a request was answered and is no longer tracked."""
         return fingerprint in self._answered and not self.is_tracked(
             fingerprint
         )
 
     def merge_notice(
-        self, each: gatewaymessage.Suspect, source: str, now_ms: float
+        self, notice: gatewaymessage.Suspect, source: str, now_ms: float
     ) -> None:
-        """Takes another instance's word."""
-        if not self._enabled or not suspectrecord.is_worth_sharing(each):
+        """Merges another instance's notice into the registry."""
+        if not self._enabled or not suspectrecord.is_worth_sharing(notice):
             return
-        if each.fingerprint in self._trusted and not each.cleared:
-            self._keep_answered(each.fingerprint, now_ms)
-        at_ms = now_ms - each.age_ms
-        if each.cleared:
-            self._take_cleared(each.fingerprint, at_ms, source)
-        elif at_ms <= self._answered.get(each.fingerprint, float("-inf")):
-            # It has been answered since: who told does not know that yet.
-            self._announce(each.fingerprint)
-        elif each.blocked_count:
-            self._take_blocked(each, at_ms, source, now_ms)
-        elif each.fingerprint not in self._blocked:
-            endings = suspectrecord.crashes_from_notice(each, now_ms)
-            self._add(each.fingerprint, endings, now_ms, source)
-
-    def _take_cleared(
+        if notice.fingerprint in self._trusted and not notice.cleared:
+            self._remember_answer(notice.fingerprint, now_ms)
+        at_ms = now_ms - notice.age_ms
+        if notice.cleared:
+            self._merge_clearance(notice.fingerprint, at_ms, source)
+        elif at_ms <= self._answered.get(notice.fingerprint, float("-inf")):
+            # It has been answered since, which the sender does not know yet.
+            self._queue_notice(notice.fingerprint)
+        elif notice.blocked_count:
+            self._merge_quarantine(notice, at_ms, source, now_ms)
+        elif notice.fingerprint not in self._quarantined:
+            crashes = suspectrecord.crashes_from_notice(notice, now_ms)
+            self._add_crashes(notice.fingerprint, crashes, now_ms, source)
+
+    def _merge_clearance(
         self, fingerprint: str, at_ms: float, source: str
     ) -> None:
         if at_ms > self._answered.get(fingerprint, float("-inf")):
-            self._keep_answered(fingerprint, at_ms)
-        entry = self._blocked.get(fingerprint)
+            self._remember_answer(fingerprint, at_ms)
+        entry = self._quarantined.get(fingerprint)
         entry = entry or self._suspected.get(fingerprint)
         if entry is not None and entry.last_crash_ms <= at_ms:
             self._clear(fingerprint, source)
 
-    def _take_blocked(
+    def _merge_quarantine(
         self,
-        each: gatewaymessage.Suspect,
+        notice: gatewaymessage.Suspect,
         at_ms: float,
         source: str,
         now_ms: float,
     ) -> None:
-        entry = self._blocked.get(each.fingerprint)
-        if entry is not None and entry.quarantine_count >= each.blocked_count:
+        entry = self._quarantined.get(notice.fingerprint)
+        if entry is not None and entry.quarantine_count >= notice.blocked_count:
             return
-        entry = entry or self._suspected.get(each.fingerprint)
+        entry = entry or self._suspected.get(notice.fingerprint)
         entry = entry or suspectrecord.SuspectRecord()
         entry.last_crash_ms = max(entry.last_crash_ms, at_ms)
-        self._block(
-            each.fingerprint,
+        self._start_quarantine(
+            notice.fingerprint,
             entry,
             suspectrecord.QuarantineTerm(
-                count=each.blocked_count,
+                count=notice.blocked_count,
                 duration_ms=min(
-                    each.blocked_for_ms,
-                    suspectrecord.quarantine_ms(each.blocked_count),
+                    notice.blocked_for_ms,
+                    suspectrecord.quarantine_ms(notice.blocked_count),
                 ),
                 retention_ms=min(
-                    each.kept_for_ms,
-                    2 * suspectrecord.quarantine_ms(each.blocked_count),
+                    notice.kept_for_ms,
+                    2 * suspectrecord.quarantine_ms(notice.blocked_count),
                 ),
             ),
             now_ms,
@@ -460,9 +477,9 @@
         )
 
 
-def _limit(
+def _drop_oldest(
     entries: collections.OrderedDict[str, suspectrecord.SuspectRecord],
 ) -> None:
-    """Drops the oldest of too many."""
+    """Drops the oldest entries beyond the limit."""
     while len(entries) > ENTRY_LIMIT_COUNT:
         entries.popitem(last=False)
--- a/hyssoptack/policy/quarantine_test.py
+++ b/hyssoptack/policy/quarantine_test.py
@@ -125,7 +125,7 @@
     for seed in range(20):
         each = known(seed)
         block(each)
-        due_ms.add(round(each._blocked[BAD].probe_jitter_ms / 1_000.0))
+        due_ms.add(round(each._quarantined[BAD].probe_jitter_ms / 1_000.0))
     assert len(due_ms) > 10
 
 
@@ -200,11 +200,11 @@
     held_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     assert each.quarantined_count == quarantine.ENTRY_LIMIT_COUNT
-    # Under a tenth of what an instance may use (128 MB).
+    # Under a tenth of kind an instance may use (128 MB).
     assert held_bytes < 12_800_000
     # The newest is known, and the news are as many as are held at most.
     assert each.decide(f"{10**6 + 19_999:016x}", 40_000.0) is REFUSED
-    assert len(each._news) <= quarantine.ENTRY_LIMIT_COUNT
+    assert len(each._pending_notices) <= quarantine.ENTRY_LIMIT_COUNT
 
 
 def test_what_is_told_of_one_is_small():
@@ -225,7 +225,7 @@
 
 
 def _gossip(instances, now_ms):
-    """A round: each in its time tells all others what it holds, and news."""
+    """A round: each in its time tells all others kind it holds, and news."""
     for one in instances:
         now_ms += 250.0
         one.forget_old(now_ms)
@@ -255,7 +255,7 @@
 def test_a_try_at_the_last_moment_is_seen_to_its_end():
     each = known()
     block(each)
-    now_ms = each._blocked[BAD].expires_ms - 10.0
+    now_ms = each._quarantined[BAD].expires_ms - 10.0
     assert each.decide(BAD, now_ms) is CARE
     each.expire(now_ms + 50.0)
     end(each, now_ms + 60.0)
--- a/hyssoptack/policy/readerelection.py
+++ b/hyssoptack/policy/readerelection.py
@@ -1,11 +1,11 @@
-"""Which instances read the platform's store for their failure domain.
+"""Elects the instances that read the platform's store for their failure domain.
 
 The live instances of a domain are ranked by rendezvous hashing. The first one
-reads and tells the others. The others take over one after the other, by rank,
-when they have heard nothing for a while: an instance cut off from its readers,
-or from all peers, so ends up reading for itself. Views need not agree: an
-instance that reads needlessly costs some calls, and stops once it hears a
-higher one.
+reads and notifies the others. The others take over one after the other, by
+rank, when no notice has come for a while, so that an instance that is cut off
+from its readers or from all peers ends up reading for itself. Instances need
+not agree on the ranking: one that reads needlessly costs some calls, and stops
+once it receives a notice from one of higher rank.
 """
 
 import dataclasses
@@ -14,63 +14,70 @@
 from hyssoptack.policy import rendezvous
 
 LIST_PERIOD_RATIO = 1 / 3
-"""How often the list of upstreams is read, as a part of the time in which a
-change has to be heeded: one missed reading still keeps that."""
+"""Interval between two reads of the upstream list, as a part of the time within
+which a change must take effect: one read may fail and that is still kept."""
 
 READS_PER_EXACT_READ_COUNT = 2
-"""Of so many readings one is exact; the others may be some seconds old, and
-cost a tenth. An old one is told by its revision and changes nothing."""
+"""One read in this many is exact. The others may return a state some seconds
+old and cost a tenth as much. An old state is recognized by its revision and
+changes nothing."""
 
 JITTER_RATIO = 0.15
-"""Spread of all periods, so that readers do not keep step with each other."""
+"""Jitter of all periods, so that readers do not fall into step."""
 
 LIST_TIMEOUT_RATIO = 0.1
 LIST_TIMEOUT_MIN_MS = 300.0
-"""Longest wait for one answer of the list, as a part of that time: two periods
-with their spread take 0.77 of it, so one lost answer and the next try still
-fit. A slow store answers within 240 ms."""
+"""Timeout of one read of the list, as a part of the time within which a change
+must take effect, and its least value. Two periods with their jitter take 0.77
+of that time, so that one lost answer and a retry still fit. A slow store
+answers within 240 ms."""
 
 WATCH_SLACK_MS = 500.0
-"""Kept back from that time by a watch of the configuration: a silent connection
-is noticed when the watch is over, and another reading must still be in time."""
+"""Time by which a watch of the configuration ends before a change must take
+effect: a silent connection is noticed when the watch ends, and another read
+must still be in time."""
 
 SILENCE_RATIO = 1.4 * LIST_PERIOD_RATIO
-"""Silence after which the second instance reads. Readers speak once a period,
-which varies by 15 parts in 100."""
+"""Time without a notice after which the second instance reads. Readers send one
+a period, which varies by 15 parts in 100."""
 
 SILENCE_STEP_RATIO = 0.1
-"""Further silence for each rank: time for the one before to read and speak."""
+"""Additional time for each further rank, in which the instance before it reads
+and sends its notice."""
 
 EXACT_SILENCE_RATIO = 0.787
-"""Age of the last exact reading at which the second instance reads, whatever
-older ones it was told of since: a fiftieth of the time behind the first's next
-one (two periods with their spread)."""
+"""Age of the last exact read at which the second instance reads, even if it has
+received older states since. It is a fiftieth of the time later than the first
+instance's next exact read (two periods with their jitter)."""
 
 EXACT_STEP_RATIO = 0.025
-"""Further age for each rank, 75 to 150 ms: a reading takes some 30 ms."""
+"""Additional age for each further rank, 75 to 150 ms: a read takes some 30
+ms."""
 
 BOUND_MIN_MS = 1_000.0
 BOUND_MAX_MS = 6_000.0
-"""Bounds on that time itself: a slower pace would save hardly any calls, and
-what is believed would grow old."""
+"""Limits on the time within which a change must take effect, as used here:
+longer intervals would save hardly any calls, and the known state would get too
+old."""
 
 SILENCE_STEP_LIMIT_COUNT = 3
-"""Ranks beyond this wait no longer, as a change must be known in time."""
+"""Ranks beyond this one wait no longer than it does, as a change must be known
+in time."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReadTimings:
-    """How often the store is read and neighbours are told.
+    """Intervals at which the store is read and neighbours are notified.
 
     Attributes:
-        list_period_ms: Between two readings of the list of upstreams.
+        list_period_ms: Interval between two reads of the list of upstreams.
         watch_ms: Length of one watch of the configuration.
-        silence_ms: After it the second instance reads for itself.
-        silence_step_ms: Further silence for each rank behind it.
-        list_timeout_ms: Longest wait for one answer of the list.
-        exact_silence_ms: At this age of the last exact reading the second
-            instance reads for itself.
-        exact_step_ms: Further age for each rank behind it.
+        silence_ms: Time without a notice after which the second instance reads.
+        silence_step_ms: Additional time for each further rank.
+        list_timeout_ms: Timeout of one read of the list.
+        exact_silence_ms: Age of the last exact read at which the second
+            instance reads.
+        exact_step_ms: Additional age for each further rank.
     """
 
     list_period_ms: float
@@ -83,13 +90,14 @@
 
 
 def read_timings(bound_ms: float) -> ReadTimings:
-    """Returns the pace by which changes are heeded in time.
+    """Returns the intervals at which changes take effect in time.
 
     Args:
-        bound_ms: The time in which they have to be: 3 and 5 s at the users'.
+        bound_ms: Time within which a change must take effect: 3 and 5 s at the
+            users'.
 
     Returns:
-        The slowest pace that keeps it.
+        The longest intervals that keep it.
     """
     bound_ms = min(BOUND_MAX_MS, max(BOUND_MIN_MS, bound_ms))
     return ReadTimings(
@@ -104,24 +112,33 @@
 
 
 def rank(failure_domain: str, instance_id: str) -> int:
-    """Returns an instance's rank; the highest reads first."""
+    """Returns an instance's rank; the one with the highest reads first."""
     return rendezvous.rank(f"reader/{failure_domain}", instance_id)
 
 
 class ReaderElection:
-    """One instance's view of who reads."""
+    """Decides when one instance reads the store.
+
+    Attributes:
+        read_timings: The instance's intervals.
+        rank: Rank of the instance among its domain's.
+        instance_count: Number of live instances in all domains.
+        peak_instance_count: Highest `instance_count` so far.
+        peak_neighbour_mbps: Highest sum of the neighbours' link bandwidths so
+            far, in Mbit/s.
+    """
 
     def __init__(
-        self, instance_id: str, failure_domain: str, own_pace: ReadTimings
+        self, instance_id: str, failure_domain: str, timings: ReadTimings
     ):
-        self.read_timings = own_pace
+        self.read_timings = timings
         self._instance_id = instance_id
         self._failure_domain = failure_domain
         self.rank = rank(failure_domain, instance_id)
-        self._heard_ms = float("-inf")
-        # Nothing that was known before this instance began is too old yet.
-        self._exact_ms: float | None = None
-        self._failing = False
+        self._last_notice_ms = float("-inf")
+        # Until the first exact read its age counts as 0.
+        self._last_exact_read_ms: float | None = None
+        self._read_failing = False
         self._neighbours: tuple[member.Peer, ...] = ()
         self.instance_count = 0
         self.peak_instance_count = 0
@@ -133,15 +150,15 @@
         """Replaces the list of live instances.
 
         Args:
-            neighbours: Those of the own failure domain.
-            total_count: All of them; 0 would mean that none is known.
+            neighbours: Instances of the own failure domain.
+            total_count: Instances of all domains; 0 if none is known.
         """
         self._neighbours = tuple(
             each for each in neighbours if each.instance_id != self._instance_id
         )
         self.instance_count = total_count
-        # Entries may lapse while their instances live: shares of what all may
-        # spend together go by the most that were ever seen.
+        # Entries may expire while their instances live, so the shares of a
+        # limit common to all instances follow the highest count ever seen.
         self.peak_instance_count = max(self.peak_instance_count, total_count)
         links_mbps = [each.link_mbps for each in self._neighbours]
         if all(links_mbps):
@@ -156,51 +173,59 @@
     def record_other_reader(
         self, sender_id: str, now_ms: float, exact_age_ms: float
     ) -> None:
-        """Notes that another instance reads.
+        """Records that another instance reads.
 
-        One of lower rank counts only while the own reading fails: it stops once
-        it hears this instance.
+        An instance of lower rank counts only while the own reads fail, as it
+        stops once it receives this instance's notices.
 
         Args:
-            sender_id: The instance that told what it read.
-            now_ms: The time now.
-            exact_age_ms: Age of its last exact reading.
+            sender_id: The instance that sent the notice.
+            now_ms: The current time.
+            exact_age_ms: Age of its last exact read.
         """
         higher = rank(self._failure_domain, sender_id) > self.rank
-        if higher or self._failing:
-            self._heard_ms = now_ms
-            self._note_exact(now_ms - exact_age_ms)
+        if higher or self._read_failing:
+            self._last_notice_ms = now_ms
+            self._record_exact_read(now_ms - exact_age_ms)
 
     def record_read(self, now_ms: float, exact: bool) -> None:
-        """Notes that the list was read."""
-        self._failing = False
+        """Records a successful read of the list."""
+        self._read_failing = False
         if exact:
-            self._note_exact(now_ms)
+            self._record_exact_read(now_ms)
 
     def record_read_failure(self) -> None:
-        """Notes that the list could not be read."""
-        self._failing = True
-
-    def _note_exact(self, at_ms: float) -> None:
-        before_ms = at_ms if self._exact_ms is None else self._exact_ms
-        self._exact_ms = max(at_ms, before_ms)
+        """Records a failed read of the list."""
+        self._read_failing = True
+
+    def _record_exact_read(self, at_ms: float) -> None:
+        before_ms = (
+            at_ms
+            if self._last_exact_read_ms is None
+            else self._last_exact_read_ms
+        )
+        self._last_exact_read_ms = max(at_ms, before_ms)
 
     def exact_age_ms(self, now_ms: float) -> float:
-        """Returns how old the last exact reading is, by whomever."""
-        return 0.0 if self._exact_ms is None else now_ms - self._exact_ms
+        """Returns the age of the last exact read by any instance."""
+        return (
+            0.0
+            if self._last_exact_read_ms is None
+            else now_ms - self._last_exact_read_ms
+        )
 
     def read_delay_ms(self, now_ms: float) -> float:
         """Returns how long to wait before reading; 0 to read now."""
-        steps = self._steps()
-        pace_now = self.read_timings
-        silence_ms = pace_now.silence_ms + pace_now.silence_step_ms * steps
-        due_ms = self._heard_ms + silence_ms
-        if self._exact_ms is not None:
-            age_ms = pace_now.exact_silence_ms + pace_now.exact_step_ms * steps
-            due_ms = min(due_ms, self._exact_ms + age_ms)
+        steps = self._rank_step_count()
+        timings = self.read_timings
+        silence_ms = timings.silence_ms + timings.silence_step_ms * steps
+        due_ms = self._last_notice_ms + silence_ms
+        if self._last_exact_read_ms is not None:
+            age_ms = timings.exact_silence_ms + timings.exact_step_ms * steps
+            due_ms = min(due_ms, self._last_exact_read_ms + age_ms)
         return max(0.0, due_ms - now_ms)
 
-    def _steps(self) -> int:
+    def _rank_step_count(self) -> int:
         higher = sum(
             rank(self._failure_domain, each.instance_id) > self.rank
             for each in self._neighbours
--- a/hyssoptack/policy/suspectrecord.py
+++ b/hyssoptack/policy/suspectrecord.py
@@ -1,4 +1,4 @@
-"""What is held against one request: the upstreams that ended under it."""
+"""The record of one request: upstream crashes under it and its quarantine."""
 
 import collections.abc
 import dataclasses
@@ -6,46 +6,52 @@
 from hyssoptack.core import gatewaymessage
 
 QUARANTINE_EVENT_COUNT = 3
-"""Moments at which upstreams ended under a request that is blocked: as many as
-the users allow before they count what else is sent. One event, say a rack
-without power, takes all upstreams of a query at one moment. A request beside
-one that crashes upstreams is beside it once more about 1 time in 10 (four
-shards, three copies each), so twice more 1 time in 100."""
+"""Crash events without an answer after which a request is quarantined: as many
+as the users allow before they count what else is sent. A single event, such as
+a rack that loses power, takes all upstreams of a query at once. A harmless
+request that ran beside one that crashes upstreams runs beside it once more
+about 1 time in 10 (four shards, three copies each), and twice more 1 time in
+100."""
 
 CRASH_EVENT_WINDOW_MS = 1_000.0
-"""Ends further apart than this are no single event: what fails together shows
-within some 200 ms, the time in which a call gives up on a connection."""
+"""Crashes further apart than this belong to different events: what fails
+together shows within some 200 ms, the time after which a call gives up on a
+connection."""
 
-ENDINGS_COUNT = 2 * QUARANTINE_EVENT_COUNT
-"""Most ends that are kept of one request, and told of it."""
+CRASH_LIMIT_COUNT = 2 * QUARANTINE_EVENT_COUNT
+"""Most crashes that are recorded for one request and shared with others."""
 
 QUARANTINE_MIN_MS = 60_000.0
-"""From the last end until a blocked request is tried again; doubles each time.
-A try costs an upstream some seconds, one of three that a shard has."""
+"""Length of the first quarantine, from the last crash until the next probe;
+doubles each time. A probe that crashes an upstream costs it some seconds, and a
+shard has three."""
 
 QUARANTINE_MAX_MS = 900_000.0
-"""What crashes upstreams is mended within minutes to hours; its callers wait a
-quarter of an hour at most, which costs an upstream four times an hour."""
+"""Longest quarantine. Faults that crash upstreams are mended within minutes to
+hours; callers then wait a quarter of an hour at most, and a probe costs an
+upstream four times an hour."""
 
 SUSPICION_TTL_MS = 30_000.0
-"""A request under which upstreams have ended is sent with care for so long. A
-caller that repeats it comes back sooner; care costs others one call's time."""
+"""Time after the last crash during which a request is sent as a probe. A caller
+that repeats the request does so sooner; probing costs a harmless request the
+time of one call."""
 
 SHARING_CUTOFF_MS = 2_000.0
-"""What is forgotten this soon is not told any more, nor taken: instances forget
-at times that differ by how long they took to hear of it, and would else hand it
-round for ever. Twice the longest that one waits to tell of it again."""
+"""Entries that expire within this time are neither shared nor accepted.
+Instances drop an entry at times that differ by how long it took to reach them,
+and would otherwise pass it round for ever. Twice the longest interval at which
+an instance shares it again."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class UpstreamCrash:
-    """An upstream's end with a request in hand.
+    """A crash of an upstream with the request in flight.
 
     Attributes:
-        upstream_id: The upstream.
-        at_ms: When it was seen to have ended.
-        proven: Whether it had been found alive after an earlier end, and had
-            nothing else of the same instance in hand.
+        upstream_id: Identifier of the upstream.
+        at_ms: Time at which the crash was noticed.
+        proven: Whether the upstream was known to be alive after an earlier
+            crash, and ran no other call of the same instance.
     """
 
     upstream_id: str
@@ -55,17 +61,18 @@
 
 @dataclasses.dataclass(kw_only=True)
 class SuspectRecord:
-    """What is held against one request.
+    """State of one suspected or quarantined request.
 
     Attributes:
-        crashes: The upstreams that ended under it.
-        last_crash_ms: When the last of all of them did.
-        is_shared: Whether other instances are told of it.
-        quarantine_count: How often in a row it was blocked.
-        quarantined_until_ms: When it may be tried, but for the spread.
-        expires_ms: When a blocked one is forgotten that nobody asks for.
-        probe_jitter_ms: How much later this instance tries it.
-        is_probing: Whether it is being tried here.
+        crashes: Crashes of upstreams that ran it.
+        last_crash_ms: Time of the last crash.
+        is_shared: Whether the entry is shared with other instances.
+        quarantine_count: Quarantines in a row; 0 while only suspected.
+        quarantined_until_ms: Time of the next probe, without jitter.
+        expires_ms: Time at which a quarantined request is dropped if no caller
+            sends it.
+        probe_jitter_ms: Extra delay of this instance's probe.
+        is_probing: Whether this instance is probing it.
     """
 
     crashes: list[UpstreamCrash] = dataclasses.field(default_factory=list)
@@ -78,18 +85,18 @@
     is_probing: bool = False
 
 
-def crash_event_count(endings: collections.abc.Iterable[UpstreamCrash]) -> int:
-    """Returns at how many moments upstreams have ended."""
+def crash_event_count(crashes: collections.abc.Iterable[UpstreamCrash]) -> int:
+    """Returns in how many separate events upstreams crashed."""
     count = 0
     before_ms = float("-inf")
-    for each in sorted(endings, key=lambda each: each.at_ms):
+    for each in sorted(crashes, key=lambda each: each.at_ms):
         count += each.proven or each.at_ms - before_ms >= CRASH_EVENT_WINDOW_MS
         before_ms = each.at_ms
     return count
 
 
 def quarantine_ms(blocked_count: int) -> float:
-    """Returns how long a request stays blocked for the n-th time in a row."""
+    """Returns the length of a request's n-th quarantine in a row."""
     return min(
         QUARANTINE_MAX_MS, QUARANTINE_MIN_MS * 2.0 ** (blocked_count - 1)
     )
@@ -98,14 +105,14 @@
 def to_notice(
     fingerprint: str, entry: SuspectRecord, now_ms: float
 ) -> gatewaymessage.Suspect:
-    """Returns what others are told of a request."""
+    """Returns the notice that tells other instances of a request."""
     return gatewaymessage.Suspect(
         fingerprint=fingerprint,
         age_ms=now_ms - entry.last_crash_ms,
         blocked_count=entry.quarantine_count,
         blocked_for_ms=max(0.0, entry.quarantined_until_ms - now_ms),
         kept_for_ms=max(0.0, entry.expires_ms - now_ms),
-        endings=tuple(
+        crashes=tuple(
             gatewaymessage.SuspectCrash(
                 upstream_id=each.upstream_id,
                 age_ms=now_ms - each.at_ms,
@@ -119,25 +126,25 @@
 def crashes_from_notice(
     each: gatewaymessage.Suspect, now_ms: float
 ) -> tuple[UpstreamCrash, ...]:
-    """Returns the ends that another instance tells of."""
+    """Returns the crashes that a notice of another instance reports."""
     return tuple(
         UpstreamCrash(
             upstream_id=given.upstream_id,
             at_ms=now_ms - given.age_ms,
             proven=given.proven,
         )
-        for given in each.endings[:ENDINGS_COUNT]
+        for given in each.crashes[:CRASH_LIMIT_COUNT]
     )
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class QuarantineTerm:
-    """For how long a request is blocked.
+    """Length of a quarantine.
 
     Attributes:
-        count: How often in a row it was blocked.
-        duration_ms: Until it may be tried, but for the spread.
-        retention_ms: Until it is forgotten that nobody asks for.
+        count: Quarantines of the request in a row, this one included.
+        duration_ms: Time until the next probe, without jitter.
+        retention_ms: Time until the request is dropped if no caller sends it.
     """
 
     count: int
@@ -146,15 +153,15 @@
 
 
 def quarantine_term(count: int) -> QuarantineTerm:
-    """Returns what holds for a request that is blocked for the n-th time."""
-    for_ms = quarantine_ms(count)
+    """Returns the term of a request's n-th quarantine in a row."""
+    duration_ms = quarantine_ms(count)
     return QuarantineTerm(
-        count=count, duration_ms=for_ms, retention_ms=2 * for_ms
+        count=count, duration_ms=duration_ms, retention_ms=2 * duration_ms
     )
 
 
 def is_worth_sharing(each: gatewaymessage.Suspect) -> bool:
-    """Whether a word of another instance is worth taking, and telling."""
+    """Returns whether a notice is recent enough to be sent or accepted."""
     if each.cleared:
         return True
     if each.blocked_count:
