--- a/hyssoptack/policy/__init__.py
+++ b/hyssoptack/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions: no sockets, no clock, no threads."""
+"""Decision logic, free of sockets, clocks and threads."""
--- a/hyssoptack/policy/delegation.py
+++ b/hyssoptack/policy/delegation.py
@@ -1,15 +1,15 @@
-"""Whether an instance hands a query over to a neighbour with a wider link.
-
-A query's parts all come in over the link of the instance that gathers them: 36
-parts of 1,250 bytes take 47 ms of a link of 7.7 Mbit/s, a third of the time in
-which the answer is of use, while what goes to the caller is a fiftieth of that.
-Where a neighbour of the failure domain has a link that is wider by far, it
-gathers, and hands the merged answer back.
-
-A neighbour says at once that it has begun; one that stays silent, or declines,
-is left alone for a while, longer each time, and the query is run here. Nothing
-is learned from a site: widths are what instances say of themselves, sizes are
-those of the replies seen.
+"""Delegates queries to neighbours with a wider link.
+
+All parts of a query arrive over the link of the instance that gathers them: 36
+parts of 1,250 bytes occupy a link of 7.7 Mbit/s for 47 ms, a third of the time
+in which the answer is of use, while the answer to the caller is a fiftieth of
+that. If a neighbour in the failure domain has a far wider link, it gathers the
+parts and returns the merged answer.
+
+A neighbour confirms at once that it has begun. One that stays silent or
+declines is excluded for a while, longer each time, and the query is run
+locally. Nothing is tuned to a site: instances announce their own link
+bandwidths, and reply sizes come from the replies seen.
 """
 
 import dataclasses
@@ -20,62 +20,71 @@
 from hyssoptack.policy import ejectionstate
 
 WIDER_RATIO = 2.0
-"""A neighbour's link must be wider by this: else both are of one kind, and its
-own queries fill it as well."""
+"""Least ratio of a neighbour's link bandwidth to this instance's. Below it both
+links are of one kind, and the neighbour's own queries fill its link as well."""
 
 GAIN_RATIO = 0.05
-"""Part of the time to the goal that handing over must save: the detour costs 1
-to 3 ms, of goals of 73 to 151 ms."""
+"""Part of the time to the latency goal that delegation must save: the extra hop
+costs 1 to 3 ms, of goals of 73 to 151 ms."""
 
 IN_FLIGHT_LIMIT_COUNT = 32
-"""Queries that one instance leaves with one neighbour at a time. Each takes
-0.15 s at most, so that is far over what one instance gets; it bounds what a
-neighbour's loss costs."""
+"""Most queries in flight from one instance to one neighbour. Each takes 0.15 s
+at most, so the limit is far above the load of one instance; it bounds how many
+queries the loss of a neighbour affects."""
 
 ACCEPT_TIMEOUT_MS = 30.0
-"""A neighbour says within 2 ms that it has begun, within some 20 while one of
-the links is busy. Silence for longer is a stopped process or a broken link, and
-leaves time to run the query here."""
+"""Timeout of a neighbour's confirmation that it has begun. It comes within 2
+ms, or some 20 while one of the links is busy. Silence for longer means a
+stopped process or a broken link, and leaves time to run the query locally."""
 
 ANSWER_SLACK_MS = 25.0
-"""An answer comes at the goal at the latest where its floor was met; this long
-after it, the neighbour is asked whether it is still there."""
+"""Time after the latency goal at which a neighbour that has not answered is
+checked for liveness: its answer comes by the goal if the coverage floor is
+met."""
 
 HOP_MS = 2.0
-"""What handing over and back takes at least, kept back from the goal."""
+"""Least cost of delegating and returning the answer, subtracted from the time
+to the goal."""
 
 LIVENESS_CHECK_PERIOD_MS = 250.0
-"""How often it is asked from then on, while the caller waits."""
+"""Interval of further liveness checks, while the caller waits."""
 
 SIZE_DEFAULT_BYTES = 600.0
 """Assumed size of a reply before any was seen: between the users' smallest (350
 bytes with its head) and their largest (1,250)."""
 
 SIZE_SMOOTHING_RATIO = 0.05
-"""Weight of the newest reply in a route's size: replies vary by a fifth."""
+"""Weight of the newest reply in a route's average size: replies vary by a
+fifth."""
 
 BITS_PER_MBIT_MS = 1_000.0
 """Bits that a link of 1 Mbit/s carries in a millisecond."""
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Neighbour:
-    """What handing queries to one neighbour has shown."""
+class _NeighbourState:
+    """State of delegation to one neighbour.
 
-    flight_count: int = 0
-    left_alone: ejectionstate.EjectionState = dataclasses.field(
+    Attributes:
+        in_flight_count: Queries in flight there.
+        exclusion: Its exclusion after failures.
+    """
+
+    in_flight_count: int = 0
+    exclusion: ejectionstate.EjectionState = dataclasses.field(
         default_factory=ejectionstate.EjectionState
     )
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Query:
-    """A query that may be handed over.
+    """A query that may be delegated.
 
     Attributes:
-        route_name: Its route.
-        part_count: Shards that it goes to.
-        to_goal_ms: Time until its answer loses most of its use.
+        route_name: Name of its route.
+        part_count: Number of shards that it calls.
+        to_goal_ms: Time until its latency goal, after which the answer loses
+            most of its use.
     """
 
     route_name: str
@@ -84,13 +93,18 @@
 
 
 class DelegateSelector:
-    """One instance's view of what its neighbours can gather."""
+    """Selects the neighbour that gathers a query.
+
+    Attributes:
+        link_mbps: Bandwidth of this instance's link in Mbit/s; 0 if unknown.
+        hop_delays: Estimate of the time that delegation adds.
+    """
 
     def __init__(self, link_mbps: float, source: random.Random):
         self.link_mbps = link_mbps
         self._random = source
         self._peers: tuple[member.Peer, ...] = ()
-        self._known: dict[str, _Neighbour] = {}
+        self._states: dict[str, _NeighbourState] = {}
         self._reply_bytes: dict[str, float] = {}
         self.hop_delays = delayestimate.DelayEstimate(HOP_MS)
 
@@ -98,24 +112,24 @@
         """Replaces the list of neighbours."""
         self._peers = peers
         addresses = {each.address for each in peers}
-        self._known = {
+        self._states = {
             address: each
-            for address, each in self._known.items()
-            if address in addresses or each.flight_count
+            for address, each in self._states.items()
+            if address in addresses or each.in_flight_count
         }
 
     def reply_bytes(self, route_name: str) -> float:
-        """Returns the usual size of a reply to calls of a route."""
+        """Returns the average size of replies to calls of a route."""
         return self._reply_bytes.get(route_name, SIZE_DEFAULT_BYTES)
 
     def record_reply_size(self, route_name: str, size_bytes: float) -> None:
-        """Takes the size of an upstream's reply, seen here or elsewhere."""
+        """Records the size of an upstream's reply, seen here or elsewhere."""
         before = self._reply_bytes.get(route_name, size_bytes)
         step = SIZE_SMOOTHING_RATIO * (size_bytes - before)
         self._reply_bytes[route_name] = before + step
 
     def choose(self, query: Query, now_ms: float) -> member.Peer | None:
-        """Returns whom to hand a query to; None to run it here."""
+        """Returns the neighbour to delegate to; None to run it locally."""
         if not self.link_mbps:
             return None
         bits = 8.0 * self.reply_bytes(query.route_name) * query.part_count
@@ -124,7 +138,7 @@
             each
             for each in self._peers
             if each.link_mbps >= WIDER_RATIO * self.link_mbps
-            and self._is_well(each.address, now_ms)
+            and self._is_available(each.address, now_ms)
             and own_ms - bits / (each.link_mbps * BITS_PER_MBIT_MS)
             >= GAIN_RATIO * query.to_goal_ms
         ]
@@ -133,32 +147,32 @@
         self._random.shuffle(candidates)
         return min(candidates, key=lambda each: self._load(each))
 
-    def _is_well(self, address: str, now_ms: float) -> bool:
-        known = self._known.get(address, _Neighbour())
-        full = known.flight_count >= IN_FLIGHT_LIMIT_COUNT
-        return not full and not known.left_alone.is_ejected(now_ms)
+    def _is_available(self, address: str, now_ms: float) -> bool:
+        state = self._states.get(address, _NeighbourState())
+        is_full = state.in_flight_count >= IN_FLIGHT_LIMIT_COUNT
+        return not is_full and not state.exclusion.is_ejected(now_ms)
 
     def _load(self, peer: member.Peer) -> float:
-        known = self._known.get(peer.address, _Neighbour())
-        return (known.flight_count + 1) / peer.link_mbps
+        state = self._states.get(peer.address, _NeighbourState())
+        return (state.in_flight_count + 1) / peer.link_mbps
 
     def begin_delegation(self, address: str) -> None:
-        """Notes a query that goes to a neighbour."""
-        known = self._known.setdefault(address, _Neighbour())
-        known.flight_count += 1
+        """Records that a query is delegated to a neighbour."""
+        state = self._states.setdefault(address, _NeighbourState())
+        state.in_flight_count += 1
 
     def end_delegation(self, address: str) -> None:
-        """Notes that a handed query is over here, however it went."""
-        known = self._known.get(address)
-        if known is not None and known.flight_count:
-            known.flight_count -= 1
+        """Records that a delegated query has ended here, successful or not."""
+        state = self._states.get(address)
+        if state is not None and state.in_flight_count:
+            state.in_flight_count -= 1
 
     def record_answer(self, address: str) -> None:
-        """Takes that a neighbour answered."""
-        known = self._known.setdefault(address, _Neighbour())
-        known.left_alone.record_answer()
+        """Records that a neighbour answered."""
+        state = self._states.setdefault(address, _NeighbourState())
+        state.exclusion.record_answer()
 
     def record_failure(self, address: str, now_ms: float) -> None:
-        """Takes that a neighbour did not begin, or did not answer."""
-        known = self._known.setdefault(address, _Neighbour())
-        known.left_alone.record_failure(now_ms)
+        """Records that a neighbour did not begin or answer a query."""
+        state = self._states.setdefault(address, _NeighbourState())
+        state.exclusion.record_failure(now_ms)
--- a/hyssoptack/policy/delegation_test.py
+++ b/hyssoptack/policy/delegation_test.py
@@ -82,5 +82,5 @@
     known = made(peer("a"), peer("b", 2 * WIDE_MBPS))
     for _ in range(12):
         known.begin_delegation(known.choose(QUERY, 0.0).address)
-    assert known._known["a:1"].flight_count == 4
-    assert known._known["b:1"].flight_count == 8
+    assert known._states["a:1"].in_flight_count == 4
+    assert known._states["b:1"].in_flight_count == 8
--- a/hyssoptack/policy/gatherers.py
+++ b/hyssoptack/policy/gatherers.py
@@ -1,15 +1,16 @@
-"""Who makes calls in another failure domain for the queries of this one.
-
-A query of 42 shards, each with upstreams in 3 of 7 domains, calls 24 of them
-across domains: 700 bytes each, on connections that one of 195 instances uses
-every ten seconds, so that most are opened anew (6 ms of handshake beside two
-round trips). A few instances of the upstreams' own domain make such calls for
-all others: their connections stay in use, and one message there and one back
-carry what a query wants of that domain, some 50 bytes a shard.
-
-The instance that serves the query goes on to decide each call: which upstream,
-whether again, when to give up. A gatherer that is lost so takes nothing along
-but the calls that it had, and what was begun is known.
+"""Selects instances that make calls in other failure domains for this one.
+
+A query of 42 shards, each with upstreams in 3 of 7 domains, makes 24 of its
+calls across domains: 700 bytes each, on connections that one of 195 instances
+uses every ten seconds, so that most are newly opened (6 ms of handshake and two
+round trips). A few instances of the upstreams' own domain, the gatherers, make
+such calls for all others. Their connections stay in use, and one message in
+each direction carries all that a query needs from that domain, some 50 bytes a
+shard.
+
+The instance that serves the query still makes each decision: which upstream to
+call, whether to retry, when to give up. If a gatherer is lost, only its calls
+in flight are lost, and it is known which calls were begun.
 """
 
 import collections.abc
@@ -22,37 +23,41 @@
 from hyssoptack.policy import rendezvous
 
 GATHERERS_PER_DOMAIN_COUNT = 3
-"""Gatherers of one failure domain that another one uses: one may be lost and
-one be busy. The fewer, the warmer their connections."""
+"""Gatherers of one failure domain that another domain uses: one may be lost and
+one busy. With fewer gatherers their connections are in use more often."""
 
-CROWD_COUNT = 64
-"""One more for each so many instances of the domain that uses them: each makes
-about as many calls for others then as it would for itself."""
+INSTANCES_PER_GATHERER_COUNT = 64
+"""Instances of the using domain for each additional gatherer: a gatherer then
+makes about as many calls for others as it would make for itself."""
 
 ALIKE_RATIO = 0.5
-"""Links of at least this part of the widest count as about as wide; where there
-are narrower ones, the wide ones gather alone."""
+"""Links of at least this part of the widest one count as equally wide. Where
+some links are narrower, only instances with wide ones gather."""
 
 REPORT_RATIO = 0.4
-"""A gatherer tells what it has at this part of the time to the goal, be it
-nothing: before the query hedges calls that are late alone (half of it)."""
+"""Part of the time to the latency goal at which a gatherer reports what it has,
+even if that is nothing: before the query hedges single late calls (at half of
+it)."""
 
 FIRST_REPORT_TIMEOUT_RATIO = 0.6
-"""One that has told nothing by then is taken for lost, if that is longer than
-nearly all take: there is still time for calls elsewhere."""
+"""Part of the time to the latency goal after which a gatherer without a report
+counts as lost, unless first reports usually take longer: there is still time
+for calls elsewhere."""
 
 OVERDUE_QUANTILE_RATIO = 0.97
-"""Where instances are starved their first words come late as a rule (60 to 90
-ms of a goal of 94 on 0.12 of a core): calls made once more would only lengthen
-everybody's queue."""
+"""Quantile of first report times that the timeout covers at least. Where
+instances lack CPU time, first reports are usually late (60 to 90 ms of a goal
+of 94 on 0.12 of a core), and repeating their calls would only lengthen all
+queues."""
 
 
 def select_gatherers(
     peers: collections.abc.Iterable[member.Peer], own_domain: str
 ) -> tuple[member.Peer, ...]:
-    """Returns who gathers for a failure domain in each of the others.
+    """Returns the gatherers in each other domain for a failure domain.
 
-    Those with the widest links; among equals, each domain prefers others.
+    Instances with the widest links are preferred; among equals, each domain
+    prefers different ones.
 
     Args:
         peers: All live instances.
@@ -61,23 +66,27 @@
     domains: dict[str, list[member.Peer]] = {}
     for each in peers:
         domains.setdefault(each.failure_domain, []).append(each)
-    crowd_count = len(domains.pop(own_domain, ()))
-    most_count = GATHERERS_PER_DOMAIN_COUNT + crowd_count // CROWD_COUNT
+    user_count = len(domains.pop(own_domain, ()))
+    most_count = (
+        GATHERERS_PER_DOMAIN_COUNT + user_count // INSTANCES_PER_GATHERER_COUNT
+    )
     name = f"gatherer/{own_domain}"
 
     def order(peer: member.Peer) -> tuple[float, int]:
         return -peer.link_mbps, rendezvous.rank(name, peer.instance_id)
 
-    found: list[member.Peer] = []
+    selected: list[member.Peer] = []
     for members in domains.values():
-        found.extend(sorted(widest_link_peers(members), key=order)[:most_count])
-    return tuple(found)
+        selected.extend(
+            sorted(widest_link_peers(members), key=order)[:most_count]
+        )
+    return tuple(selected)
 
 
 def widest_link_peers(
     peers: collections.abc.Sequence[member.Peer],
 ) -> list[member.Peer]:
-    """Returns those of some instances whose links are about the widest."""
+    """Returns the instances whose links are about as wide as the widest."""
     widest_mbps = max(each.link_mbps for each in peers)
     return [
         each for each in peers if each.link_mbps >= ALIKE_RATIO * widest_mbps
@@ -85,34 +94,39 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Standing:
-    """What relaying over one gatherer has shown."""
+class _GathererState:
+    """State of calls through one gatherer.
+
+    Attributes:
+        open_count: Queries in flight there.
+        exclusion: Its exclusion after failures.
+    """
 
     open_count: int = 0
-    left_alone: ejectionstate.EjectionState = dataclasses.field(
+    exclusion: ejectionstate.EjectionState = dataclasses.field(
         default_factory=ejectionstate.EjectionState
     )
 
 
 class GathererSelector:
-    """One instance's view of the gatherers in other failure domains."""
+    """Selects the gatherer of a query's calls in each other failure domain."""
 
     def __init__(self, source: random.Random):
         self._random = source
         self._by_domain: dict[str, list[member.Peer]] = {}
-        self._standings: dict[str, _Standing] = {}
-        self._domains: dict[str, ejectionstate.EjectionState] = {}
-        self._first_words = latencyestimate.LatencyEstimate()
+        self._states: dict[str, _GathererState] = {}
+        self._domain_exclusions: dict[str, ejectionstate.EjectionState] = {}
+        self._first_report_times = latencyestimate.LatencyEstimate()
 
     def install(self, peers: tuple[member.Peer, ...]) -> None:
-        """Replaces the list."""
+        """Replaces the list of gatherers."""
         self._by_domain = {}
         for each in peers:
             self._by_domain.setdefault(each.failure_domain, []).append(each)
         addresses = {each.address for each in peers}
-        self._standings = {
+        self._states = {
             address: each
-            for address, each in self._standings.items()
+            for address, each in self._states.items()
             if address in addresses or each.open_count
         }
 
@@ -121,68 +135,68 @@
         return [each for some in self._by_domain.values() for each in some]
 
     def choose(self, failure_domain: str, now_ms: float) -> member.Peer | None:
-        """Returns who makes calls in a domain; None to make them from here."""
-        domain = self._domains.get(failure_domain)
+        """Returns the gatherer for calls in a domain; None to call directly."""
+        domain = self._domain_exclusions.get(failure_domain)
         if domain is not None and domain.is_ejected(now_ms):
             return None
-        well = [
+        available = [
             each
             for each in self._by_domain.get(failure_domain, ())
-            if not self._standing(each.address).left_alone.is_ejected(now_ms)
+            if not self._state(each.address).exclusion.is_ejected(now_ms)
         ]
-        if not well:
+        if not available:
             return None
-        self._random.shuffle(well)
+        self._random.shuffle(available)
         return min(
-            well, key=lambda each: self._standing(each.address).open_count
+            available, key=lambda each: self._state(each.address).open_count
         )
 
-    def _standing(self, address: str) -> _Standing:
-        return self._standings.setdefault(address, _Standing())
+    def _state(self, address: str) -> _GathererState:
+        return self._states.setdefault(address, _GathererState())
 
     def begin_query(self, peer: member.Peer) -> None:
-        """Notes that calls go to a gatherer."""
-        self._standing(peer.address).open_count += 1
+        """Records that calls of a query are sent to a gatherer."""
+        self._state(peer.address).open_count += 1
 
     def end_query(self, peer: member.Peer) -> None:
-        """Notes that it has none of a query any more."""
-        self._standing(peer.address).open_count -= 1
+        """Records that a gatherer has no more calls of a query."""
+        self._state(peer.address).open_count -= 1
 
     def first_report_timeout_ms(self, to_goal_ms: float) -> float:
-        """Returns how long a gatherer's first word is waited for."""
-        usual_ms = self._first_words.quantile_ms(OVERDUE_QUANTILE_RATIO)
+        """Returns the timeout of a gatherer's first report."""
+        usual_ms = self._first_report_times.quantile_ms(OVERDUE_QUANTILE_RATIO)
         return max(FIRST_REPORT_TIMEOUT_RATIO * to_goal_ms, usual_ms or 0.0)
 
     def record_first_report(self, took_ms: float) -> None:
-        """Takes how long a gatherer took to say anything of its calls."""
-        self._first_words.record(took_ms)
+        """Records how long a gatherer took to send its first report."""
+        self._first_report_times.record(took_ms)
 
     def record_report(self, peer: member.Peer) -> None:
-        """Takes a gatherer's word."""
-        self._standing(peer.address).left_alone.end_ejection()
-        domain = self._domains.get(peer.failure_domain)
+        """Records a report, which ends the exclusion of gatherer and domain."""
+        self._state(peer.address).exclusion.end_ejection()
+        domain = self._domain_exclusions.get(peer.failure_domain)
         if domain is not None:
             domain.end_ejection()
 
     def record_decline(self, peer: member.Peer, now_ms: float) -> None:
-        """Takes that a gatherer makes no calls now."""
-        self._standing(peer.address).left_alone.record_failure(now_ms)
+        """Records that a gatherer declined to make calls."""
+        self._state(peer.address).exclusion.record_failure(now_ms)
 
     def record_loss(self, peer: member.Peer, now_ms: float) -> None:
-        """Takes that a gatherer is gone or silent.
+        """Records that a gatherer is gone or silent.
 
-        When a second one of its domain is lost while the first is left alone,
-        all of it is: a cut takes a whole domain.
+        If a second gatherer of a domain is lost while the first is excluded,
+        the whole domain is excluded: a partition affects all of it.
         """
         domain = self._by_domain.get(peer.failure_domain, ())
         others_lost = any(
-            self._standing(each.address).left_alone.is_ejected(now_ms)
+            self._state(each.address).exclusion.is_ejected(now_ms)
             for each in domain
             if each.address != peer.address
         )
-        self._standing(peer.address).left_alone.record_failure(now_ms)
+        self._state(peer.address).exclusion.record_failure(now_ms)
         if others_lost:
-            left = self._domains.setdefault(
+            domain_exclusion = self._domain_exclusions.setdefault(
                 peer.failure_domain, ejectionstate.EjectionState()
             )
-            left.record_failure(now_ms)
+            domain_exclusion.record_failure(now_ms)
--- a/hyssoptack/policy/listdelta.py
+++ b/hyssoptack/policy/listdelta.py
@@ -1,9 +1,10 @@
-"""Lists of upstreams as changes: what a reader tells, and what others take.
+"""Differences between lists of upstreams, as readers send them.
 
-A reader tells its whole failure domain each second. A whole list of 280
-upstreams to 25 neighbours is over a megabyte: more than the link of a small
-machine carries in a second, so that its callers wait behind it. Only changes
-are told, against the list told before; who lacks that one asks for all.
+A reader sends the list to its whole failure domain each second. A full list of
+280 upstreams to 25 neighbours is over a megabyte: more than the link of a small
+machine carries in a second, so that its callers wait behind it. Readers
+therefore send only the changes since the list that they sent before. An
+instance that lacks that list asks for the full one.
 """
 
 import collections
@@ -15,8 +16,8 @@
 from hyssoptack.core import traffic
 
 HISTORY_COUNT = 6
-"""Lists kept to tell changes against: neighbours were told one of the last
-few, or lost touch."""
+"""Lists kept as bases for changes. Neighbours hold one of the last few, unless
+they lost contact."""
 
 Upstreams = dict[str, traffic.Upstream]
 
@@ -24,7 +25,7 @@
 
 
 def digest_of(upstreams: Upstreams) -> int:
-    """Returns a digest of a list, whatever its order."""
+    """Returns a digest of a list that does not depend on its order."""
     ordered = [upstreams[name] for name in sorted(upstreams)]
     return xxhash.xxh64_intdigest(_ENCODER.encode(ordered))
 
@@ -35,9 +36,9 @@
 def apply_change(
     change: gatewaymessage.ListChange, own: Upstreams, own_digest: int
 ) -> Upstreams | None:
-    """Returns the list after a change; None where it is against another list.
+    """Returns the list after a change; None if it is based on another list.
 
-    A change against the empty list holds the whole list, and suits anyone.
+    A change based on the empty list holds the full list and always applies.
     """
     if change.digest == own_digest:
         return own
@@ -45,14 +46,18 @@
         return {each.upstream_id: each for each in change.changed}
     if change.base_digest != own_digest:
         return None
-    left = {
+    kept = {
         name: each for name, each in own.items() if name not in change.removed
     }
-    return left | {each.upstream_id: each for each in change.changed}
+    return kept | {each.upstream_id: each for each in change.changed}
 
 
 class ListHistory:
-    """The lists that an instance had in force of late, by digest."""
+    """The lists that were recently in force at an instance, by digest.
+
+    Attributes:
+        digest: Digest of the list in force.
+    """
 
     def __init__(self) -> None:
         self._lists: collections.OrderedDict[int, Upstreams] = (
@@ -62,7 +67,7 @@
         self.digest = EMPTY_DIGEST
 
     def add(self, upstreams: Upstreams) -> None:
-        """Takes the list in force; lists are replaced, never altered."""
+        """Records the list in force; lists are replaced, never altered."""
         if upstreams is self._current:
             return
         self._current = upstreams
@@ -73,16 +78,17 @@
             self._lists.popitem(last=False)
 
     def full_change(self) -> gatewaymessage.ListChange:
-        """Returns the list in force, for one who has no part of it."""
+        """Returns the full list in force, as a change to the empty list."""
         return self._change(EMPTY_DIGEST, {})
 
     def change_since(self, digest: int | None) -> gatewaymessage.ListChange:
-        """Returns what has changed since a list.
+        """Returns the changes since an earlier list.
 
         Args:
-            digest: Digest of that list; None where it is not known. Then, and
-                where it is too old, the change is empty and only tells the
-                digest: who has another list will ask.
+            digest: Digest of that list; None if it is not known. If it is not
+                known or no longer kept, the change is empty and carries only
+                the current digest, so that instances with another list ask for
+                the full one.
         """
         before = self._lists.get(digest) if digest is not None else None
         if before is None:
--- a/hyssoptack/policy/membership.py
+++ b/hyssoptack/policy/membership.py
@@ -1,10 +1,14 @@
-"""Which instances exist, by the lagging list and by heartbeats.
+"""Known instances, from the lagging platform list and from peer messages.
 
-Three questions have three answers. Who may share an upstream: everyone
-seen within the list's lag, whether or not it is gone (`assumed`). Who gets new
-sub-queries: those that are not leaving and owe no answer for long (`usable`).
-Since when an instance has been known: its share starts only after the lag has
-passed, so that every other instance has counted it by then.
+The roster answers three questions:
+
+- Which instances may share an upstream: all that were seen within the list's
+  lag, whether or not they are gone (`recently_seen`).
+- Which instances get new sub-queries: those that are not leaving and have no
+  overdue answer (`usable`).
+- Since when an instance has been known (`Sighting.first_seen_ms`): its share
+  starts only after the lag has passed, so that all other instances have counted
+  it by then.
 """
 
 import dataclasses
@@ -15,13 +19,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Sighting:
-    """What is known of one incarnation of an instance.
+    """Record of one incarnation of an instance.
 
     Attributes:
-        member: Its last known record.
-        first_seen_ms: When this incarnation was first seen.
-        listed_ms: When the platform's list last had it; 0 if never.
-        last_message_ms: When a peer message from it last came; 0 if never.
+        member: Its last known membership record.
+        first_seen_ms: Time at which this incarnation was first seen.
+        listed_ms: Time at which the platform's list last had it; 0 if never.
+        last_message_ms: Time of its last peer message; 0 if never.
     """
 
     member: member.Member
@@ -30,13 +34,17 @@
     last_message_ms: float = 0.0
 
     def last_seen_ms(self) -> float:
-        """Returns when anything last showed this incarnation."""
+        """Returns when the list or a message last showed this incarnation."""
         return max(self.listed_ms, self.last_message_ms)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Roster:
-    """All sightings by incarnation."""
+    """Sightings of all known instances.
+
+    Attributes:
+        sightings: Sightings by incarnation.
+    """
 
     sightings: dict[str, Sighting] = dataclasses.field(default_factory=dict)
 
@@ -44,7 +52,7 @@
 def merge_listed(
     roster: Roster, members: tuple[member.Member, ...], now_ms: float
 ) -> Roster:
-    """Returns the roster after the platform's list was read."""
+    """Returns the roster updated from a read of the platform's list."""
     sightings = dict(roster.sightings)
     for each in members:
         old = sightings.get(each.incarnation)
@@ -67,8 +75,8 @@
 ) -> Roster:
     """Updates the roster after a message from an instance, and returns it.
 
-    The address of an instance already listed stays as the list has it: it is
-    the address that this reader can reach.
+    An instance that is already known keeps its address: the list has the one
+    that this reader can reach.
     """
     old = roster.sightings.get(sender.incarnation)
     if old is None:
@@ -80,13 +88,13 @@
             old.member, leaving=old.member.leaving or sender.leaving
         )
         new = dataclasses.replace(old, member=known, heard_ms=now_ms)
-    # In place: a copy for each message would grow with the fleet.
+    # Updated in place, as the cost of a copy grows with the fleet.
     roster.sightings[sender.incarnation] = new
     return roster
 
 
 def pruned(roster: Roster, keep_ms: float, now_ms: float) -> Roster:
-    """Returns the roster without what was unseen for `keep_ms`."""
+    """Returns the roster without incarnations unseen for `keep_ms`."""
     kept = {
         name: each
         for name, each in roster.sightings.items()
@@ -98,7 +106,7 @@
 def recently_seen(
     roster: Roster, failure_domain: str, lag_ms: float, now_ms: float
 ) -> tuple[str, ...]:
-    """Returns a domain's instances seen within the lag; sorted."""
+    """Returns a domain's instances seen within the lag, sorted."""
     names = {
         each.member.instance_id
         for each in roster.sightings.values()
@@ -109,27 +117,27 @@
 
 
 class PendingAnswers:
-    """Since when each instance owes an answer."""
+    """Tracks since when each instance owes an answer."""
 
     def __init__(self) -> None:
         self._since_ms: dict[str, float] = {}
 
     def record_request(self, instance_id: str, now_ms: float) -> None:
-        """Notes that work was sent whose answer is awaited."""
+        """Records that a request was sent that the instance has to answer."""
         self._since_ms.setdefault(instance_id, now_ms)
 
     def record_unreachable(self, instance_id: str) -> None:
-        """Notes that the instance can't be reached at all."""
+        """Records that the instance cannot be reached; it counts as overdue."""
         self._since_ms[instance_id] = -math.inf
 
     def record_response(self, instance_id: str) -> None:
-        """Notes that the instance sent anything at all."""
+        """Records that the instance sent a message of any kind."""
         self._since_ms.pop(instance_id, None)
 
     def is_overdue(
         self, instance_id: str, suspect_after_ms: float, now_ms: float
     ) -> bool:
-        """Tells whether an answer is outstanding for too long."""
+        """Returns whether an answer has been pending for too long."""
         since_ms = self._since_ms.get(instance_id)
         return since_ms is not None and now_ms - since_ms > suspect_after_ms
 
@@ -143,20 +151,20 @@
 ) -> dict[str, member.Member]:
     """Returns the instances that may get new work, by identifier.
 
-    An instance is left out once it said that it leaves, once an answer from it
-    is outstanding for long, or once neither list nor peers show it while the
-    list can be read. Silence alone is no suspicion: with thousands of
-    instances most pairs never talk.
+    An instance is excluded once it has announced that it leaves, once an answer
+    from it is overdue, or once neither list nor peers show it while the list
+    can be read. Silence alone excludes no instance: with thousands of instances
+    most pairs never exchange a message.
 
     Args:
         roster: All sightings.
-        awaited: Who owes an answer.
-        suspect_after_ms: How long an answer may be outstanding.
-        gone_after_ms: How long an instance may go unseen.
-        now_ms: The time now.
+        awaited: Pending answers.
+        suspect_after_ms: Time after which a pending answer is overdue.
+        gone_after_ms: Time after which an unseen instance counts as gone.
+        now_ms: The current time.
 
     Returns:
-        The latest record of each usable instance.
+        The latest membership record of each usable instance.
     """
     newest = _newest(roster)
     list_ms = max((each.listed_ms for each in newest.values()), default=0.0)
@@ -171,17 +179,17 @@
 
 
 def addresses(roster: Roster) -> dict[str, str]:
-    """Returns the peer address of every known instance, leaving ones too."""
+    """Returns the peer addresses of all known instances, leaving ones too."""
     return {
         name: each.member.peer_address for name, each in _newest(roster).items()
     }
 
 
 def _newest(roster: Roster) -> dict[str, Sighting]:
-    """Returns the latest incarnation's sighting of each instance."""
-    best: dict[str, Sighting] = {}
+    """Returns the sighting of each instance's latest incarnation."""
+    newest: dict[str, Sighting] = {}
     for each in roster.sightings.values():
-        known = best.get(each.member.instance_id)
+        known = newest.get(each.member.instance_id)
         if known is None or each.first_seen_ms > known.first_seen_ms:
-            best[each.member.instance_id] = each
-    return best
+            newest[each.member.instance_id] = each
+    return newest
--- a/hyssoptack/policy/partitiondetector.py
+++ b/hyssoptack/policy/partitiondetector.py
@@ -1,20 +1,20 @@
-"""Detects that the locally failure domain is cut off from all others.
+"""Detects that this instance's failure domain is cut off from all others.
 
 A partition shows in calls: those into other domains bring no sign of life, as
 they stay unanswered or every connection is refused or reset. Either raises a
-suspicion, and so does a neighbour's notice. A suspicion only starts checks:
-each check tries some upstreams of other domains, picked at random, and the
-domain counts as partitioned once two checks in a row found no sign of life. A
-refused connection is no sign of life, as a firewall between domains refuses
-too. It is rare is_confirmed that all upstreams of a check are down while others live.
-
-While partitioned, calls go to the locally domain only. A query that needs more
-shards than the domain has is refused at once, as it could only wait for its
-deadline. The instance also asks the balancer to send its callers elsewhere,
-where they are better served, unless
-
-- the locally domain has an upstream for every service: it serves its callers nearly
-  as well, while elsewhere they would add to the load of upstreams that already
+suspicion, and so does a neighbour's notice. A suspicion only starts checks.
+Each check tries some upstreams of other domains, picked at random; the domain
+counts as partitioned once two checks in a row found no sign of life. A refused
+connection is no sign of life, as a firewall between domains refuses too. It is
+rare enough that all upstreams of a check are down while others live.
+
+While partitioned, calls go to the instance's own domain only. A query that
+needs more shards than the domain has is refused at once, as it could only wait
+for its deadline. The instance also asks the balancer to send its callers
+elsewhere, where they are better served, unless
+
+- its domain has an upstream for every service: it serves its callers nearly as
+  well, while elsewhere they would add to the load of upstreams that already
   lack this domain's (a shard's last upstream took 270 to 380 ms instead of 28,
   and a window of all callers fell from 0.69 to 0.41);
 - the platform's store still answers: then the other domains are lost, and
@@ -52,11 +52,10 @@
     """Result of a check.
 
     Attributes:
-        others_alive: Whether anything in another failure domain gave a sign of
-            life.
+        others_alive: Whether another failure domain gave a sign of life.
         store_alive: Whether the platform's store answers.
-        covers_all_services: Whether the locally domain has an upstream for every
-            service.
+        covers_all_services: Whether the instance's own failure domain has an
+            upstream for every service.
     """
 
     others_alive: bool
@@ -97,8 +96,9 @@
 
     @property
     def detected_locally(self) -> bool:
-        """Whether locally calls raised the suspicion, so that neighbours are
-        notified.
+        """Whether calls of this instance, not a notice, raised the suspicion.
+
+        Neighbours are notified of such a suspicion.
         """
         return self._suspected_locally
 
@@ -121,7 +121,7 @@
             self.record_connection_failure()
 
     def record_sign_of_life(self) -> None:
-        """Records a sign of life from another domain and ends any partition."""
+        """Records a sign of life from another domain and resets the state."""
         self._connection_failure_count = 0
         self._failed_check_count = 0
         self.state = PartitionState.CONNECTED
@@ -142,7 +142,7 @@
             self._suspect(locally=True)
 
     def on_neighbour_suspicion(self) -> None:
-        """Raises a suspicion after a neighbour's notice, and never a partition."""
+        """Raises a suspicion, but no more, after a neighbour's notice."""
         self._suspect(locally=False)
 
     def _suspect(self, locally: bool) -> None:
--- a/hyssoptack/policy/quarantine.py
+++ b/hyssoptack/policy/quarantine.py
@@ -12,7 +12,7 @@
 
 A request is quarantined once upstreams have crashed under it in three separate
 events and none has answered it. A harmless request is quarantined only if
-upstreams known to be alive crash by chance that often, each during the tens to
+upstreams known_ids to be alive crash by chance that often, each during the tens to
 hundreds of milliseconds in which it runs the request. Quarantined requests are
 refused. When a quarantine ends, one request is sent as a probe: a request that
 has become harmless is served again, and one that still crashes upstreams costs
@@ -146,7 +146,10 @@
     # Requests.
 
     def decide(self, fingerprint: str, now_ms: float) -> Verdict:
-        """Returns how an incoming request is to be sent."""
+        """Returns how an incoming request is to be sent.
+
+        Where a quarantined request's probe is due, this call starts it.
+        """
         entry = self._quarantined.get(fingerprint)
         if entry is not None:
             if self.is_quarantined(fingerprint, now_ms):
@@ -231,9 +234,9 @@
         if entry is None:
             entry = self._suspected[fingerprint] = suspectrecord.SuspectRecord()
             _drop_oldest(self._suspected)
-        known = {each.upstream_id for each in entry.crashes}
+        known_ids = {each.upstream_id for each in entry.crashes}
         new_crashes = [
-            each for each in crashes if each.upstream_id not in known
+            each for each in crashes if each.upstream_id not in known_ids
         ]
         for each in new_crashes:
             # Many crashes in one event prove no more than one does.
@@ -353,8 +356,8 @@
         newest = reversed(self._pending_notices)
         names = sorted(newest, key=lambda each: each not in self._quarantined)
         self._pending_notices.clear()
-        told = (self._notice_for(each, now_ms) for each in names[:limit_count])
-        return tuple(each for each in told if each is not None)
+        notices = (self._notice_for(each, now_ms) for each in names[:limit_count])
+        return tuple(each for each in notices if each is not None)
 
     def sample_notices(
         self, limit_count: int, now_ms: float
@@ -366,10 +369,10 @@
         names = self._sample(self._quarantined, limit_count)
         shared = [name for name, e in self._suspected.items() if e.is_shared]
         names += self._sample(shared, limit_count - len(names))
-        told = (self._notice_for(each, now_ms) for each in names)
+        notices = (self._notice_for(each, now_ms) for each in names)
         return tuple(
             each
-            for each in told
+            for each in notices
             if each and suspectrecord.is_worth_sharing(each)
         )
 
@@ -399,7 +402,7 @@
     def newest_quarantined(
         self, limit_count: int, now_ms: float
     ) -> list[tuple[str, suspectrecord.SuspectRecord]]:
-        """Returns the latest quarantined requests, with their records."""
+        """Returns the most recently quarantined requests and their records."""
         newest = itertools.islice(
             reversed(self._quarantined.items()), limit_count
         )
--- a/hyssoptack/policy/readerelection.py
+++ b/hyssoptack/policy/readerelection.py
@@ -136,7 +136,8 @@
         self._failure_domain = failure_domain
         self.rank = rank(failure_domain, instance_id)
         self._last_notice_ms = float("-inf")
-        # Until the first exact read its age counts as 0.
+        # None until an exact read is known. Its age counts as 0 until then, so
+        # that a new instance does not take its state for outdated.
         self._last_exact_read_ms: float | None = None
         self._read_failing = False
         self._neighbours: tuple[member.Peer, ...] = ()
@@ -150,7 +151,7 @@
         """Replaces the list of live instances.
 
         Args:
-            neighbours: Instances of the own failure domain.
+            neighbours: Instances of this failure domain.
             total_count: Instances of all domains; 0 if none is known.
         """
         self._neighbours = tuple(
--- a/hyssoptack/policy/routetable.py
+++ b/hyssoptack/policy/routetable.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request, and the services that it goes to."""
+"""Finds the route of a request and the services that it is sent to."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class RouteMiss(enum.Enum):
-    """Why there is no route."""
+    """Reason why no route was found."""
 
     NOT_CONFIGURED = "no_configuration_yet"
     NO_ROUTE = "no_route"
@@ -15,7 +15,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RouteMatch:
-    """A route, and the services that this request goes to."""
+    """A route, and the services that this request is sent to.
+
+    Attributes:
+        route: The route.
+        services: Names of the services, one for each part of the request.
+    """
 
     route: traffic.Route
     services: tuple[str, ...]
@@ -24,8 +29,8 @@
 class RouteTable:
     """The routes of one configuration, by host, longest prefix first.
 
-    A split hands out its services in the smoothest order that keeps the
-    weights, so that every short span of requests has them too.
+    A traffic split uses smooth weighted round robin, so that every short
+    sequence of requests keeps the weights too.
     """
 
     def __init__(self, configuration: traffic.Configuration | None):
@@ -37,14 +42,15 @@
             self._by_host.setdefault(route.host, []).append(route)
 
     def find(self, host: str, path: str) -> RouteMatch | RouteMiss:
-        """Returns where a request goes.
+        """Returns the route of a request and its services.
 
         Args:
             host: The host that the caller named.
             path: The path without its query.
 
         Returns:
-            The route with the longest prefix that begins the path.
+            The route with the longest prefix that matches the path, or the
+            reason why there is none.
         """
         if self.configuration is None:
             return RouteMiss.NOT_CONFIGURED
