--- a/hyssoptack/policy/quarantine.py
+++ b/hyssoptack/policy/quarantine.py
@@ -104,7 +104,7 @@
         self._suspected: collections.OrderedDict[
             str, suspectrecord.SuspectRecord
         ] = collections.OrderedDict()
-        self._quarantined: collections.OrderedDict[
+        self._blocked: collections.OrderedDict[
             str, suspectrecord.SuspectRecord
         ] = collections.OrderedDict()
         self._answered: dict[str, float] = {}
@@ -123,22 +123,20 @@
     @property
     def quarantined_count(self) -> int:
         """Number of requests that are quarantined."""
-        return len(self._quarantined)
+        return len(self._blocked)
 
     @property
     def has_entries(self) -> bool:
         """Whether any request is suspected or quarantined."""
-        return bool(self._suspected or self._quarantined)
+        return bool(self._suspected or self._blocked)
 
     def is_tracked(self, fingerprint: str) -> bool:
         """Returns whether a request is suspected or quarantined."""
-        return (
-            fingerprint in self._suspected or fingerprint in self._quarantined
-        )
+        return fingerprint in self._suspected or fingerprint in self._blocked
 
     def is_quarantined(self, fingerprint: str, now_ms: float) -> bool:
         """Returns whether a request is quarantined and no probe is due."""
-        entry = self._quarantined.get(fingerprint)
+        entry = self._blocked.get(fingerprint)
         return entry is not None and (
             now_ms < entry.quarantined_until_ms + entry.probe_jitter_ms
         )
@@ -150,7 +148,7 @@
 
         Where a quarantined request's probe is due, this call starts it.
         """
-        entry = self._quarantined.get(fingerprint)
+        entry = self._blocked.get(fingerprint)
         if entry is not None:
             if self.is_quarantined(fingerprint, now_ms):
                 return Verdict.REFUSE
@@ -194,7 +192,7 @@
         """
         if not self._enabled or fingerprint in self._trusted:
             return
-        entry = self._quarantined.get(fingerprint)
+        entry = self._blocked.get(fingerprint)
         if entry is not None:
             # Crashes of calls sent before the quarantine prove nothing new.
             if entry.is_probing:
@@ -276,9 +274,9 @@
         source: str = "",
     ) -> None:
         self._suspected.pop(fingerprint, None)
-        self._quarantined[fingerprint] = entry
-        self._quarantined.move_to_end(fingerprint)
-        _drop_oldest(self._quarantined)
+        self._blocked[fingerprint] = entry
+        self._blocked.move_to_end(fingerprint)
+        _drop_oldest(self._blocked)
         entry.quarantine_count = term.count
         entry.quarantined_until_ms = now_ms + term.duration_ms
         entry.expires_ms = now_ms + term.retention_ms
@@ -299,7 +297,7 @@
 
     def _clear(self, fingerprint: str, source: str) -> None:
         entry = self._suspected.pop(fingerprint, None)
-        entry = self._quarantined.pop(fingerprint, entry)
+        entry = self._blocked.pop(fingerprint, entry)
         if entry.is_shared:
             self._queue_notice(fingerprint)
         self._report_change(
@@ -312,10 +310,10 @@
             if now_ms - entry.last_crash_ms > suspectrecord.SUSPICION_TTL_MS:
                 del self._suspected[fingerprint]
                 self._report_change(ChangeKind.EXPIRED, fingerprint, entry)
-        for fingerprint, entry in tuple(self._quarantined.items()):
+        for fingerprint, entry in tuple(self._blocked.items()):
             # No caller has sent it for as long as a probe was allowed.
             if now_ms > entry.expires_ms:
-                del self._quarantined[fingerprint]
+                del self._blocked[fingerprint]
                 self._report_change(ChangeKind.EXPIRED, fingerprint, entry)
 
     def _report_change(
@@ -354,7 +352,7 @@
         limit are dropped; `sample_notices` covers them later.
         """
         newest = reversed(self._pending_notices)
-        names = sorted(newest, key=lambda each: each not in self._quarantined)
+        names = sorted(newest, key=lambda each: each not in self._blocked)
         self._pending_notices.clear()
         notices = (
             self._notice_for(each, now_ms) for each in names[:limit_count]
@@ -368,7 +366,7 @@
 
         Quarantined requests come first.
         """
-        names = self._sample(self._quarantined, limit_count)
+        names = self._sample(self._blocked, limit_count)
         shared = [name for name, e in self._suspected.items() if e.is_shared]
         names += self._sample(shared, limit_count - len(names))
         notices = (self._notice_for(each, now_ms) for each in names)
@@ -386,7 +384,7 @@
     def _notice_for(
         self, fingerprint: str, now_ms: float
     ) -> gatewaymessage.Suspect | None:
-        entry = self._quarantined.get(fingerprint)
+        entry = self._blocked.get(fingerprint)
         entry = entry or self._suspected.get(fingerprint)
         if entry is None:
             answered_ms = self._answered.get(fingerprint)
@@ -405,9 +403,7 @@
         self, limit_count: int, now_ms: float
     ) -> list[tuple[str, suspectrecord.SuspectRecord]]:
         """Returns the most recently quarantined requests and their records."""
-        newest = itertools.islice(
-            reversed(self._quarantined.items()), limit_count
-        )
+        newest = itertools.islice(reversed(self._blocked.items()), limit_count)
         return [
             each
             for each in newest
@@ -436,7 +432,7 @@
             self._queue_notice(notice.fingerprint)
         elif notice.blocked_count:
             self._merge_quarantine(notice, at_ms, source, now_ms)
-        elif notice.fingerprint not in self._quarantined:
+        elif notice.fingerprint not in self._blocked:
             crashes = suspectrecord.crashes_from_notice(notice, now_ms)
             self._add_crashes(notice.fingerprint, crashes, now_ms, source)
 
@@ -445,7 +441,7 @@
     ) -> None:
         if at_ms > self._answered.get(fingerprint, float("-inf")):
             self._remember_answer(fingerprint, at_ms)
-        entry = self._quarantined.get(fingerprint)
+        entry = self._blocked.get(fingerprint)
         entry = entry or self._suspected.get(fingerprint)
         if entry is not None and entry.last_crash_ms <= at_ms:
             self._clear(fingerprint, source)
@@ -457,7 +453,7 @@
         source: str,
         now_ms: float,
     ) -> None:
-        entry = self._quarantined.get(notice.fingerprint)
+        entry = self._blocked.get(notice.fingerprint)
         if entry is not None and entry.quarantine_count >= notice.blocked_count:
             return
         entry = entry or self._suspected.get(notice.fingerprint)
--- a/hyssoptack/policy/quarantine_test.py
+++ b/hyssoptack/policy/quarantine_test.py
@@ -125,7 +125,7 @@
     for seed in range(20):
         each = make_registry(seed)
         quarantine_request(each)
-        due_ms.add(round(each._quarantined[BAD].probe_jitter_ms / 1_000.0))
+        due_ms.add(round(each._blocked[BAD].probe_jitter_ms / 1_000.0))
     assert len(due_ms) > 10
 
 
@@ -255,7 +255,7 @@
 def test_a_probe_just_before_expiry_keeps_the_entry():
     each = make_registry()
     quarantine_request(each)
-    now_ms = each._quarantined[BAD].expires_ms - 10.0
+    now_ms = each._blocked[BAD].expires_ms - 10.0
     assert each.decide(BAD, now_ms) is PROBE
     each.expire(now_ms + 50.0)
     crash(each, now_ms + 60.0)
--- a/hyssoptack/policy/suspectrecord.py
+++ b/hyssoptack/policy/suspectrecord.py
@@ -112,7 +112,7 @@
         blocked_count=entry.quarantine_count,
         blocked_for_ms=max(0.0, entry.quarantined_until_ms - now_ms),
         kept_for_ms=max(0.0, entry.expires_ms - now_ms),
-        crashes=tuple(
+        endings=tuple(
             gatewaymessage.SuspectCrash(
                 upstream_id=each.upstream_id,
                 age_ms=now_ms - each.at_ms,
@@ -133,7 +133,7 @@
             at_ms=now_ms - given.age_ms,
             proven=given.proven,
         )
-        for given in each.crashes[:CRASH_LIMIT_COUNT]
+        for given in each.endings[:CRASH_LIMIT_COUNT]
     )
 
 
