--- a/hyssoptack/policy/probeguard.py
+++ b/hyssoptack/policy/probeguard.py
@@ -36,7 +36,13 @@
 
 
 class ProbeGuard:
-    """Decides when the calls of one request may be sent."""
+    """Decides when the calls of one request may be sent.
+
+    Attributes:
+        crash_count: Upstreams that crashed with a call of the request in
+            flight.
+        is_probing: Whether the request is sent as a probe.
+    """
 
     def __init__(self, registry: quarantine.SuspectRegistry, fingerprint: str):
         """Creates a guard that lets all calls pass until `admit` is called.
--- a/hyssoptack/policy/quarantine.py
+++ b/hyssoptack/policy/quarantine.py
@@ -90,7 +90,12 @@
 
 
 class SuspectRegistry:
-    """Suspected and quarantined requests as one instance knows them."""
+    """Suspected and quarantined requests as one instance knows them.
+
+    Attributes:
+        on_change: Called with each state change of a request.
+        on_pending_notices: Called when there are notices to send.
+    """
 
     def __init__(self, source: random.Random, enabled: bool = True):
         """Creates an empty registry.
--- a/hyssoptack/policy/routetable.py
+++ b/hyssoptack/policy/routetable.py
@@ -31,6 +31,9 @@
 
     A traffic split uses smooth weighted round robin, so that every short
     sequence of requests keeps the weights too.
+
+    Attributes:
+        configuration: The configuration; None if there is none yet.
     """
 
     def __init__(self, configuration: traffic.Configuration | None):
