--- a/hyssoptack/policy/quarantine.py
+++ b/hyssoptack/policy/quarantine.py
@@ -94,7 +94,8 @@
 
     Attributes:
         on_change: Called with each state change of a request.
-        on_pending_notices: Called when there are notices to send.
+        on_pending_notices: Called when a notice is queued or a request becomes
+            suspected.
     """
 
     def __init__(self, source: random.Random, enabled: bool = True):
