--- a/hyssoptack/policy/callresult.py
+++ b/hyssoptack/policy/callresult.py
@@ -17,7 +17,7 @@
 
 CRASHES_UPSTREAMS = "crashes_upstreams"
 """Why a request is refused, here or by the instance that was to call for it:
-upstreams ended each time that it ran (`policy.suspicion`)."""
+upstreams ended each time that it ran (`policy.quarantine`)."""
 
 NOT_LISTED_AT_GATHERER = "not_listed_there"
 """Why a call was not made: the instance that was to make it knows no such
@@ -45,7 +45,7 @@
         )
         return callcommand.Answer(replies=replies, part_count=len(parts.all))
     unanswered = [part for part in parts.all if part.reply is None]
-    lost = [part for part in unanswered if part.lost]
+    lost = [part for part in unanswered if part.abandoned]
     worst = (lost or unanswered)[0]
     reason = "deadline" if timed_out else worst.last_reason
     if may_have_run:
--- a/hyssoptack/policy/membership.py
+++ b/hyssoptack/policy/membership.py
@@ -87,7 +87,7 @@
         known = dataclasses.replace(
             old.member, leaving=old.member.leaving or sender.leaving
         )
-        new = dataclasses.replace(old, member=known, heard_ms=now_ms)
+        new = dataclasses.replace(old, member=known, last_message_ms=now_ms)
     # Updated in place, as the cost of a copy grows with the fleet.
     roster.sightings[sender.incarnation] = new
     return roster
--- a/hyssoptack/policy/quarantine_test.py
+++ b/hyssoptack/policy/quarantine_test.py
@@ -24,7 +24,7 @@
     record = suspectrecord.UpstreamCrash(
         upstream_id=name or f"u-{now_ms}", at_ms=now_ms, proven=proven
     )
-    each.note_ending(fingerprint, record, now_ms)
+    each.record_crash(fingerprint, record, now_ms)
 
 
 def quarantine_request(each, now_ms=0.0, fingerprint=BAD):
@@ -33,8 +33,8 @@
 
 
 def send_notices(one, other, now_ms, name="g-1"):
-    for notice in one.take_news(99, now_ms):
-        other.take_told(notice, name, now_ms)
+    for notice in one.pop_new_notices(99, now_ms):
+        other.merge_notice(notice, name, now_ms)
 
 
 def test_many_crashes_in_one_event_do_not_quarantine():
@@ -228,11 +228,14 @@
     """Lets each instance in turn send its notices to all others."""
     for one in instances:
         now_ms += 250.0
-        one.forget_old(now_ms)
-        for notice in (*one.some(99, now_ms), *one.take_news(99, now_ms)):
+        one.expire(now_ms)
+        for notice in (
+            *one.sample_notices(99, now_ms),
+            *one.pop_new_notices(99, now_ms),
+        ):
             for other in instances:
                 if other is not one:
-                    other.take_told(notice, "g", now_ms + 900.0)
+                    other.merge_notice(notice, "g", now_ms + 900.0)
 
 
 def test_shared_entries_expire_at_all_instances():
--- a/hyssoptack/policy/readerelection_test.py
+++ b/hyssoptack/policy/readerelection_test.py
@@ -32,14 +32,16 @@
 
 
 def test_an_instance_without_notices_reads_at_once():
-    assert all(each.wait_ms(0.0) == 0.0 for _, each in elections_by_rank())
+    assert all(
+        each.read_delay_ms(0.0) == 0.0 for _, each in elections_by_rank()
+    )
 
 
 def test_instances_that_receive_notices_take_over_by_rank():
     (first, _), *others = elections_by_rank()
     for _, each in others:
-        each.heard(first, 1_000.0, 0.0)
-    delays_ms = [each.wait_ms(1_000.0) for _, each in others]
+        each.record_other_reader(first, 1_000.0, 0.0)
+    delays_ms = [each.read_delay_ms(1_000.0) for _, each in others]
     assert delays_ms == sorted(delays_ms)
     assert delays_ms[0] == pytest.approx(TIMINGS.silence_ms)
     assert delays_ms[-1] < 3_000.0
@@ -47,21 +49,21 @@
 
 def test_notices_of_lower_ranks_do_not_delay_the_first_reader():
     (_, first), (second, _), *_ = elections_by_rank()
-    first.heard(second, 1_000.0, 0.0)
-    assert first.wait_ms(1_000.0) == 0.0
+    first.record_other_reader(second, 1_000.0, 0.0)
+    assert first.read_delay_ms(1_000.0) == 0.0
 
 
 def test_an_instance_whose_reads_fail_accepts_notices_of_any_rank():
     (_, first), (second, _), *_ = elections_by_rank()
-    first.read_failed()
-    first.heard(second, 1_000.0, 0.0)
-    assert first.wait_ms(1_000.0) > 0.0
+    first.record_read_failure()
+    first.record_other_reader(second, 1_000.0, 0.0)
+    assert first.read_delay_ms(1_000.0) > 0.0
 
 
 def test_the_peak_instance_count_survives_an_empty_list():
     (_, each), *_ = elections_by_rank()
     each.install((), 0)
-    assert each.most_count == len(NAMES)
+    assert each.peak_instance_count == len(NAMES)
 
 
 def test_notices_of_old_reads_do_not_delay_an_exact_read_for_long():
@@ -69,9 +71,9 @@
     # its reader was lost, kept the others from reading until a change was
     # 5.4 s old, beyond the bound of 5.0 s.
     (first, _), (_, second), *_ = elections_by_rank()
-    second.heard(first, 1_000.0, 0.0)
-    second.heard(first, 2_000.0, 1_000.0)
-    waited_ms = 1_000.0 + second.wait_ms(2_000.0)
+    second.record_other_reader(first, 1_000.0, 0.0)
+    second.record_other_reader(first, 2_000.0, 1_000.0)
+    waited_ms = 1_000.0 + second.read_delay_ms(2_000.0)
     assert waited_ms + TIMINGS.list_timeout_ms < 3_000.0
 
 
