--- a/hyssoptack/gateway/callrelay.py
+++ b/hyssoptack/gateway/callrelay.py
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        known: gatherers.GathererSelector,
+        selector: gatherers.GathererSelector,
         own_address: str,
         send: Send,
         enabled: bool,
@@ -72,7 +72,7 @@
             send: Sends a message to an address.
             enabled: Whether others make calls at all.
         """
-        self.selector = known
+        self.selector = selector
         self.own_address = own_address
         self.send = send
         self._enabled = enabled
@@ -93,21 +93,21 @@
     ) -> "PendingRelay":
         """Lets an instance make calls of a query."""
         ask_id = next(self._ask_ids)
-        relayed = PendingRelay(self, peer, query, ask_id)
-        self.pending[ask_id] = relayed
-        relayed.start(calls)
-        return relayed
+        pending = PendingRelay(self, peer, query, ask_id)
+        self.pending[ask_id] = pending
+        pending.start(calls)
+        return pending
 
     def on_batch(self, batch: gatewaymessage.RelayBatch) -> None:
         """Takes outcomes; those of a query that has ended change nothing."""
-        found = self.pending.get(batch.ask_id)
-        if found is not None and found.peer.address == batch.sender_address:
-            found.on_batch(batch)
+        pending = self.pending.get(batch.ask_id)
+        if pending is not None and pending.peer.address == batch.sender_address:
+            pending.on_batch(batch)
 
     def on_undelivered(self, ask: gatewaymessage.RelayRequest) -> None:
         """Takes that an ask was not sent."""
-        if (found := self.pending.get(ask.ask_id)) is not None:
-            found.on_lost(sent=False)
+        if (pending := self.pending.get(ask.ask_id)) is not None:
+            pending.on_lost(sent=False)
 
     def on_link_lost(self, address: str) -> None:
         """Takes that the connection to an instance has ended."""
@@ -120,29 +120,29 @@
     """Calls of one query that one instance was asked to make."""
 
     def __init__(
-        self, owner: CallRelay, peer: member.Peer, query: Query, ask_id: int
+        self, relay: CallRelay, peer: member.Peer, query: Query, ask_id: int
     ):
         self.peer = peer
-        self._owner = owner
+        self._relay = relay
         self._query = query
         self._ask_id = ask_id
-        self._open: set[int] = set()
-        self._heard = False
-        self._asked_ms = 0.0
+        self._open_ids: set[int] = set()
+        self._has_reported = False
+        self._sent_ms = 0.0
         self.overdue_at_ms = math.inf
 
     def start(self, calls: collections.abc.Sequence[callcommand.Send]) -> None:
         """Sends the ask."""
-        self._open = {each.call_id for each in calls}
-        self._owner.selector.begin_query(self.peer)
+        self._open_ids = {each.call_id for each in calls}
+        self._relay.selector.begin_query(self.peer)
         now_ms = clock.now_ms()
         to_goal_ms = max(0.0, self._query.goal_at_ms - now_ms)
-        self._asked_ms = now_ms
+        self._sent_ms = now_ms
         self.overdue_at_ms = (
-            now_ms + self._owner.selector.first_report_timeout_ms(to_goal_ms)
+            now_ms + self._relay.selector.first_report_timeout_ms(to_goal_ms)
         )
         ask = gatewaymessage.RelayRequest(
-            sender_address=self._owner.own_address,
+            sender_address=self._relay.own_address,
             ask_id=self._ask_id,
             route_name=self._query.route_name,
             top_count=self._query.top_count,
@@ -159,37 +159,37 @@
                 for each in calls
             ),
         )
-        self._owner.send(self.peer.address, ask)
+        self._relay.send(self.peer.address, ask)
 
     def on_batch(self, batch: gatewaymessage.RelayBatch) -> None:
         """Takes what became of some calls."""
-        if not self._heard:
-            self._heard = True
-            took_ms = clock.now_ms() - self._asked_ms
-            self._owner.selector.record_first_report(took_ms)
+        if not self._has_reported:
+            self._has_reported = True
+            took_ms = clock.now_ms() - self._sent_ms
+            self._relay.selector.record_first_report(took_ms)
         outcomes = {
             each.call_id: _outcome(each)
             for each in batch.outcomes
-            if each.call_id in self._open
+            if each.call_id in self._open_ids
         }
-        self._open.difference_update(outcomes)
+        self._open_ids.difference_update(outcomes)
         if any(
             each.reason == callresult.GATHERER_DECLINED
             for each in outcomes.values()
         ):
-            self._owner.selector.record_decline(self.peer, clock.now_ms())
+            self._relay.selector.record_decline(self.peer, clock.now_ms())
         else:
-            self._owner.selector.record_report(self.peer)
-        waiting = tuple(self._open) if batch.dried_up else ()
-        if not self._open:
+            self._relay.selector.record_report(self.peer)
+        waiting = tuple(self._open_ids) if batch.dried_up else ()
+        if not self._open_ids:
             self._end()
         self._query.on_outcomes(outcomes, waiting)
 
     def check_overdue(self, now_ms: float) -> None:
         """Takes the time: an instance whose word is overdue may be gone."""
-        if now_ms >= self.overdue_at_ms and not self._heard:
+        if now_ms >= self.overdue_at_ms and not self._has_reported:
             self.overdue_at_ms = math.inf
-            self._owner.selector.record_loss(self.peer, clock.now_ms())
+            self._relay.selector.record_loss(self.peer, clock.now_ms())
             self._log("silent")
 
     def on_lost(self, sent: bool) -> None:
@@ -198,7 +198,7 @@
         Args:
             sent: Whether it may have made the calls.
         """
-        self._owner.selector.record_loss(self.peer, clock.now_ms())
+        self._relay.selector.record_loss(self.peer, clock.now_ms())
         self._log("link_lost" if sent else "unreachable")
         self._end()
         outcome = callcommand.Outcome(
@@ -208,21 +208,21 @@
             reason=callresult.GATHERER_LOST,
             reached=sent,
         )
-        self._query.on_outcomes(dict.fromkeys(self._open, outcome), ())
+        self._query.on_outcomes(dict.fromkeys(self._open_ids, outcome), ())
 
     def cancel(self) -> None:
         """Ends the calls that are still out: nobody waits for them."""
-        if self._ask_id not in self._owner.pending:
+        if self._ask_id not in self._relay.pending:
             return
         self._end()
-        left = gatewaymessage.RelayCancel(
-            sender_address=self._owner.own_address, ask_id=self._ask_id
+        cancel = gatewaymessage.RelayCancel(
+            sender_address=self._relay.own_address, ask_id=self._ask_id
         )
-        self._owner.send(self.peer.address, left)
+        self._relay.send(self.peer.address, cancel)
 
     def _end(self) -> None:
-        if self._owner.pending.pop(self._ask_id, None) is not None:
-            self._owner.selector.end_query(self.peer)
+        if self._relay.pending.pop(self._ask_id, None) is not None:
+            self._relay.selector.end_query(self.peer)
 
     def _log(self, reason: str) -> None:
         log.write(
@@ -231,19 +231,19 @@
             instance=self.peer.instance_id,
             failure_domain=self.peer.failure_domain,
             reason=reason,
-            open_count=len(self._open),
+            open_count=len(self._open_ids),
         )
 
 
-def _outcome(told: gatewaymessage.RelayedOutcome) -> callcommand.Outcome:
-    kind = KINDS_BY_NAME.get(told.kind, callcommand.OutcomeKind.FAILED)
+def _outcome(relayed: gatewaymessage.RelayedOutcome) -> callcommand.Outcome:
+    kind = KINDS_BY_NAME.get(relayed.kind, callcommand.OutcomeKind.FAILED)
     reply = None
     if kind is callcommand.OutcomeKind.ANSWERED:
-        reply = headers.relayed_part(told.signature, told.records)
+        reply = headers.relayed_part(relayed.signature, relayed.records)
     return callcommand.Outcome(
         kind=kind,
         reply=reply,
-        reason=told.reason,
-        reached=told.reached,
-        upstream_exited=told.ended,
+        reason=relayed.reason,
+        reached=relayed.reached,
+        upstream_exited=relayed.ended,
     )
--- a/hyssoptack/gateway/callrelay_test.py
+++ b/hyssoptack/gateway/callrelay_test.py
@@ -10,7 +10,7 @@
 SHARD_COUNT = 4
 
 
-async def _across(site, both=False):
+async def _start_north_and_south(site, with_west=False):
     """An instance in the north; the shards' upstreams are in the south.
 
     Args:
@@ -20,7 +20,7 @@
     for index in range(SHARD_COUNT):
         body = bytes([index]) * 16 + bytes([200 - index]) * 16
         await site.add_upstream(f"i-{index}", f"s{index}", body, "south")
-        if both:
+        if with_west:
             await site.add_upstream(f"w-{index}", f"s{index}", body, "west")
     site.configure(gateway_test.SHARDS)
     north = await site.start("north")
@@ -38,13 +38,15 @@
 def test_an_instance_beside_the_upstreams_makes_the_calls():
     async def test():
         async with harness.Site() as site:
-            north = await _across(site)
+            north = await _start_north_and_south(site)
             opened = north._pools.opened_count
-            got = await site.get("/all/x", "r1", name="north")
-            assert got.status == 200
-            assert got.headers["x-missing-parts"] == "0"
-            assert len(got.headers["x-part-stamps"].split(",")) == SHARD_COUNT
-            assert got.body[:16] == bytes([200]) * 16
+            response = await site.get("/all/x", "r1", name="north")
+            assert response.status == 200
+            assert response.headers["x-missing-parts"] == "0"
+            assert (
+                len(response.headers["x-part-stamps"].split(",")) == SHARD_COUNT
+            )
+            assert response.body[:16] == bytes([200]) * 16
             assert _runs(site, b"r1") == [1] * SHARD_COUNT
             assert north._pools.opened_count == opened
             assert not north._relaying.pending
@@ -56,12 +58,12 @@
 def test_an_instance_that_is_gone_costs_no_answer():
     async def test():
         async with harness.Site() as site:
-            await _across(site)
+            await _start_north_and_south(site)
             site.kill("south")
             for number in range(5):
-                got = await site.get("/all/x", f"r{number}", name="north")
-                assert got.status == 200
-                assert got.headers["x-missing-parts"] == "0"
+                response = await site.get("/all/x", f"r{number}", name="north")
+                assert response.status == 200
+                assert response.headers["x-missing-parts"] == "0"
 
     asyncio.run(test())
 
@@ -71,10 +73,10 @@
     # for counts as sent, so that no shard runs on a third upstream.
     async def test():
         async with harness.Site() as site:
-            north = await _across(site, both=True)
+            north = await _start_north_and_south(site, with_west=True)
             site.gateways["south"]._peering.on_message = lambda _: None
-            got = await site.get("/all/x", "r1", name="north")
-            assert got.status == 200
+            response = await site.get("/all/x", "r1", name="north")
+            assert response.status == 200
             shard_runs = [
                 site.services[f"i-{index}"].run_counts[b"r1"]
                 + site.services[f"w-{index}"].run_counts[b"r1"]
@@ -89,10 +91,10 @@
 def test_a_stopping_instance_declines_and_the_calls_go_from_here():
     async def test():
         async with harness.Site() as site:
-            north = await _across(site)
+            north = await _start_north_and_south(site)
             site.gateways["south"].stop()
-            got = await site.get("/all/x", "r1", name="north")
-            assert got.status == 200
+            response = await site.get("/all/x", "r1", name="north")
+            assert response.status == 200
             assert _runs(site, b"r1") == [1] * SHARD_COUNT
             assert north._relaying.selector.choose("south", 0.0) is None
 
@@ -102,11 +104,11 @@
 def test_an_instance_that_stood_still_makes_no_calls_that_may_be_old():
     async def test():
         async with harness.Site() as site:
-            await _across(site)
+            await _start_north_and_south(site)
             south = site.gateways["south"]
-            south._delegating._ticked_ms -= 1_000.0
-            got = await site.get("/all/x", "r1", name="north")
-            assert got.status == 200
+            south._delegating._last_tick_ms -= 1_000.0
+            response = await site.get("/all/x", "r1", name="north")
+            assert response.status == 200
             assert _runs(site, b"r1") == [1] * SHARD_COUNT
 
     asyncio.run(test())
@@ -115,15 +117,13 @@
 def test_an_upstream_that_leaves_by_what_is_known_there_is_not_called():
     async def test():
         async with harness.Site() as site:
-            await _across(site, both=True)
+            await _start_north_and_south(site, with_west=True)
             south = site.gateways["south"]
             for index in range(SHARD_COUNT):
-                standing = south.view.load_balancer.upstream_states[
-                    f"i-{index}"
-                ]
-                object.__setattr__(standing.upstream, "draining", True)
-            got = await site.get("/all/x", "r1", name="north")
-            assert got.status == 200
+                state = south.view.load_balancer.upstream_states[f"i-{index}"]
+                object.__setattr__(state.upstream, "draining", True)
+            response = await site.get("/all/x", "r1", name="north")
+            assert response.status == 200
             runs = [
                 site.services[f"i-{index}"].run_counts[b"r1"]
                 for index in range(SHARD_COUNT)
@@ -136,7 +136,7 @@
 def test_a_caller_that_leaves_ends_the_calls_there():
     async def test():
         async with harness.Site() as site:
-            await _across(site)
+            await _start_north_and_south(site)
             for each in site.services.values():
                 each.behaviour.never = True
             address = site.settings["north"].callers_address
@@ -159,15 +159,17 @@
 def test_a_lost_instance_takes_nothing_along_but_its_calls():
     async def test():
         async with harness.Site() as site:
-            await _across(site, both=True)
+            await _start_north_and_south(site, with_west=True)
             for index in range(SHARD_COUNT):
                 site.services[f"i-{index}"].behaviour.delay_ms = 700.0
-            begun = asyncio.create_task(site.get("/all/x", "r1", name="north"))
+            pending = asyncio.create_task(
+                site.get("/all/x", "r1", name="north")
+            )
             await asyncio.sleep(0.05)
             site.kill("south")
             async with asyncio.timeout(1.5):
-                got = await begun
-            assert got.status == 200
+                response = await pending
+            assert response.status == 200
 
     asyncio.run(test())
 
@@ -175,22 +177,24 @@
 def test_foreign_and_repeated_batches_change_nothing():
     async def test():
         async with harness.Site() as site:
-            north = await _across(site)
-            told = gatewaymessage.RelayedOutcome(
+            north = await _start_north_and_south(site)
+            outcome = gatewaymessage.RelayedOutcome(
                 call_id=1, kind="answered", signature=b"forged", records=b"z"
             )
             batch = gatewaymessage.RelayBatch(
-                sender_address="127.0.0.1:1", ask_id=1, outcomes=(told,)
+                sender_address="127.0.0.1:1", ask_id=1, outcomes=(outcome,)
             )
             for each in site.services.values():
                 each.behaviour.delay_ms = 150.0
-            begun = asyncio.create_task(site.get("/all/x", "r1", name="north"))
+            pending = asyncio.create_task(
+                site.get("/all/x", "r1", name="north")
+            )
             await asyncio.sleep(0.05)
             north._relaying.on_batch(batch)
             north._relaying.on_batch(batch)
-            got = await begun
-            assert got.status == 200
-            assert b"forged" not in got.headers["x-part-stamps"].encode()
+            response = await pending
+            assert response.status == 200
+            assert b"forged" not in response.headers["x-part-stamps"].encode()
 
     asyncio.run(test())
 
@@ -199,14 +203,14 @@
     # A gatherer would wait for bodies that never come.
     async def test():
         async with harness.Site() as site:
-            north = await _across(site)
-            asked = asyncio.create_task(
+            north = await _start_north_and_south(site)
+            pending = asyncio.create_task(
                 site.get("/all/x", "r1", name="north", method="HEAD")
             )
             async with asyncio.timeout(WAIT_S):
                 while sum(_runs(site, b"r1")) < SHARD_COUNT:
                     await asyncio.sleep(0.02)
-            asked.cancel()
+            pending.cancel()
             assert not north._relaying.pending
             assert not site.gateways["south"]._gathering.active_gathers
 
--- a/hyssoptack/gateway/calltrace.py
+++ b/hyssoptack/gateway/calltrace.py
@@ -24,8 +24,8 @@
     def describe(self, started_ms: float) -> str:
         """Returns the call as `upstream[@gatherer] why +start took outcome`."""
         after_ms = self.sent_ms - started_ms
-        why = self.extra or "first"
-        by = f"@{self.gatherer_id}" if self.gatherer_id else ""
+        reason = self.extra or "first"
+        gatherer = f"@{self.gatherer_id}" if self.gatherer_id else ""
         return (
             f"{self.upstream_id}{by} {why} +{after_ms:.0f} "
             f"{self.took_ms:.0f} {self.outcome}"
--- a/hyssoptack/gateway/delegation_attempts_test.py
+++ b/hyssoptack/gateway/delegation_attempts_test.py
@@ -7,12 +7,12 @@
 from hyssoptack.policy import delegation
 
 SHARD_COUNT = 4
-COPY_COUNT = 4
+UPSTREAM_COUNT = 4
 ATTEMPTS_COUNT = 2
-BUSY_COUNT = 6
-LATE_S = 0.1
-LOST_S = 60.0
-PATIENT_MS = 5_000.0
+OPEN_CALL_COUNT = 6
+DELAY_S = 0.1
+LOST_DELAY_S = 60.0
+LONG_ACCEPT_TIMEOUT_MS = 5_000.0
 SHARDS = {
     "prefix": "/all/",
     "fanout_services": [f"s{index}" for index in range(SHARD_COUNT)],
@@ -23,11 +23,11 @@
 }
 
 
-async def _pair(site, **changes):
+async def _start_pair(site, **changes):
     """A narrow instance and a wide one, over shards of four upstreams each."""
     for shard in range(SHARD_COUNT):
         body = bytes([shard]) * 16
-        for copy in range(COPY_COUNT):
+        for number in range(UPSTREAM_COUNT):
             await site.add_upstream(f"i-{shard}-{copy}", f"s{shard}", body)
     site.configure({**SHARDS, **changes})
     return await site.start_delegating_pair()
@@ -35,34 +35,34 @@
 
 def _delay(gateway, kinds, delay_s):
     """Makes a gateway late in reading some messages; their order stays."""
-    take, loop = gateway._peering.on_message, asyncio.get_running_loop()
+    deliver, loop = gateway._peering.on_message, asyncio.get_running_loop()
 
-    def later(each):
+    def deliver_late(each):
         if isinstance(each, kinds):
-            loop.call_later(delay_s, take, each)
+            loop.call_later(delay_s, deliver, each)
         else:
-            take(each)
+            deliver(each)
 
-    gateway._peering.on_message = later
+    gateway._peering.on_message = deliver_late
 
 
-def _widest_count(site, request_id):
+def _max_upstream_count(site, request_id):
     """Returns the most upstreams of one shard that ran a request."""
     return max(
         sum(
             site.services[f"i-{shard}-{copy}"].run_counts[request_id] > 0
-            for copy in range(COPY_COUNT)
+            for number in range(UPSTREAM_COUNT)
         )
         for shard in range(SHARD_COUNT)
     )
 
 
-def _disagree(site, narrow):
+def _make_choices_differ(site, narrow):
     """Lets two instances prefer different upstreams of a silent shard."""
-    for copy in range(COPY_COUNT):
+    for number in range(UPSTREAM_COUNT):
         site.services[f"i-0-{copy}"].behaviour.never = True
-    for copy in range(ATTEMPTS_COUNT):
-        for _ in range(BUSY_COUNT):
+    for number in range(ATTEMPTS_COUNT):
+        for _ in range(OPEN_CALL_COUNT):
             narrow._placing.begin_call(f"i-0-{copy}", 0.0)
 
 
@@ -70,14 +70,14 @@
     # The neighbour made a first call and a hedge, its sender a third call.
     async def test():
         async with harness.Site() as site:
-            narrow, wide = await _pair(site)
-            _disagree(site, narrow)
-            _delay(narrow, gatewaymessage.DelegationStatus, LATE_S)
-            _delay(wide, gatewaymessage.DelegationCancel, LATE_S)
-            got = await site.get("/all/x", "r1", name="narrow")
-            await asyncio.sleep(LATE_S)
-            assert got.status == 200
-            assert _widest_count(site, b"r1") <= ATTEMPTS_COUNT
+            narrow, wide = await _start_pair(site)
+            _make_choices_differ(site, narrow)
+            _delay(narrow, gatewaymessage.DelegationStatus, DELAY_S)
+            _delay(wide, gatewaymessage.DelegationCancel, DELAY_S)
+            response = await site.get("/all/x", "r1", name="narrow")
+            await asyncio.sleep(DELAY_S)
+            assert response.status == 200
+            assert _max_upstream_count(site, b"r1") <= ATTEMPTS_COUNT
 
     asyncio.run(test())
 
@@ -86,17 +86,17 @@
     # The neighbour's word and the sender's are both lost with the link.
     async def test():
         async with harness.Site() as site:
-            narrow, wide = await _pair(site)
-            _disagree(site, narrow)
-            _delay(narrow, gatewaymessage.DelegationStatus, LOST_S)
-            _delay(wide, gatewaymessage.DelegationCancel, LOST_S)
+            narrow, wide = await _start_pair(site)
+            _make_choices_differ(site, narrow)
+            _delay(narrow, gatewaymessage.DelegationStatus, LOST_DELAY_S)
+            _delay(wide, gatewaymessage.DelegationCancel, LOST_DELAY_S)
             begun = asyncio.create_task(site.get("/all/x", "r1", name="narrow"))
             await asyncio.sleep(0.01)
             narrow._delegating.on_link_lost(wide._settings.peer_address)
-            got = await begun
-            await asyncio.sleep(LATE_S)
-            assert got.status == 200
-            assert _widest_count(site, b"r1") <= ATTEMPTS_COUNT
+            response = await begun
+            await asyncio.sleep(DELAY_S)
+            assert response.status == 200
+            assert _max_upstream_count(site, b"r1") <= ATTEMPTS_COUNT
 
     asyncio.run(test())
 
@@ -105,11 +105,11 @@
     # One that is taken back may have run.
     async def test():
         async with harness.Site() as site:
-            narrow, wide = await _pair(site, route_type="unsafe")
+            narrow, wide = await _start_pair(site, route_type="unsafe")
             for each in site.services.values():
                 each.behaviour.delay_ms = 60.0
-            _delay(narrow, gatewaymessage.DelegationStatus, LATE_S)
-            _delay(wide, gatewaymessage.DelegationCancel, LATE_S)
+            _delay(narrow, gatewaymessage.DelegationStatus, DELAY_S)
+            _delay(wide, gatewaymessage.DelegationCancel, DELAY_S)
             await site.get("/all/x", "r1", name="narrow", method="POST")
             await asyncio.sleep(0.2)
             runs = [each.run_counts[b"r1"] for each in site.services.values()]
@@ -121,15 +121,15 @@
 def test_a_neighbour_hedges_once_its_sender_has_heard_of_the_beginning(
     monkeypatch,
 ):
-    monkeypatch.setattr(delegation, "ACCEPT_TIMEOUT_MS", PATIENT_MS)
+    monkeypatch.setattr(delegation, "ACCEPT_TIMEOUT_MS", LONG_ACCEPT_TIMEOUT_MS)
 
     async def test():
         async with harness.Site() as site:
-            narrow, _ = await _pair(site)
-            _disagree(site, narrow)
-            got = await site.get("/all/x", "r1", name="narrow")
-            assert got.headers["x-missing-parts"] == "1"
-            assert _widest_count(site, b"r1") == ATTEMPTS_COUNT
+            narrow, _ = await _start_pair(site)
+            _make_choices_differ(site, narrow)
+            response = await site.get("/all/x", "r1", name="narrow")
+            assert response.headers["x-missing-parts"] == "1"
+            assert _max_upstream_count(site, b"r1") == ATTEMPTS_COUNT
             assert not narrow._pools._lanes.keys() & site.services.keys()
 
     asyncio.run(test())
--- a/hyssoptack/gateway/exceptionlog.py
+++ b/hyssoptack/gateway/exceptionlog.py
@@ -10,10 +10,10 @@
     _loop: asyncio.AbstractEventLoop, context: dict[str, object]
 ) -> None:
     """Logs a fault of ours in a callback; other requests go on."""
-    fault = context.get("exception")
+    exception = context.get("exception")
     trace = (
-        "".join(traceback.format_exception(fault))
-        if isinstance(fault, BaseException)
+        "".join(traceback.format_exception(exception))
+        if isinstance(exception, BaseException)
         else ""
     )
     log.write(
--- a/hyssoptack/gateway/gateway_test.py
+++ b/hyssoptack/gateway/gateway_test.py
@@ -23,14 +23,14 @@
     asyncio.run(test)
 
 
-async def _desk(site: harness.Site, count: int = 2) -> None:
+async def _start_single_service(site: harness.Site, count: int = 2) -> None:
     for index in range(count):
         await site.add_upstream(f"i-{index}", "desk", b"booked" * 4)
     site.configure(SINGLE, ONCE)
     await site.start()
 
 
-async def _index(site: harness.Site) -> None:
+async def _start_sharded_service(site: harness.Site) -> None:
     for index in range(4):
         body = bytes([index]) * 16 + bytes([200 - index]) * 16 + b"rest"
         await site.add_upstream(f"i-{index}", f"s{index}", body)
@@ -41,11 +41,11 @@
 def test_a_request_gets_the_upstreams_reply_unchanged():
     async def test():
         async with harness.Site() as site:
-            await _desk(site)
-            got = await site.get("/one/x?q=1", "r1")
-            assert got.status == 200
-            assert got.body == b"booked" * 4
-            assert got.headers["x-server-stamp"].endswith(".r1")
+            await _start_single_service(site)
+            response = await site.get("/one/x?q=1", "r1")
+            assert response.status == 200
+            assert response.body == b"booked" * 4
+            assert response.headers["x-server-stamp"].endswith(".r1")
             heads = [h for s in site.services.values() for h in s.request_heads]
             assert heads[0].startswith(b"GET /one/x?q=1 HTTP/1.1\r\n")
             assert b"X-Request-Deadline: " in heads[0]
@@ -57,12 +57,12 @@
 def test_a_query_merges_the_greatest_records_of_all_shards():
     async def test():
         async with harness.Site() as site:
-            await _index(site)
-            got = await site.get("/all/", "r1")
+            await _start_sharded_service(site)
+            response = await site.get("/all/", "r1")
             expected = b"".join(bytes([b]) * 16 for b in (200, 199, 198))
-            assert (got.status, got.body) == (200, expected)
-            assert got.headers["x-missing-parts"] == "0"
-            assert len(got.headers["x-part-stamps"].split(",")) == 4
+            assert (response.status, response.body) == (200, expected)
+            assert response.headers["x-missing-parts"] == "0"
+            assert len(response.headers["x-part-stamps"].split(",")) == 4
 
     run(test())
 
@@ -70,13 +70,13 @@
 def test_a_silent_shard_is_left_out_at_the_goal():
     async def test():
         async with harness.Site() as site:
-            await _index(site)
+            await _start_sharded_service(site)
             site.services["i-3"].behaviour.never = True
             started = asyncio.get_running_loop().time()
-            got = await site.get("/all/", "r1")
+            response = await site.get("/all/", "r1")
             took_s = asyncio.get_running_loop().time() - started
-            assert got.status == 200
-            assert got.headers["x-missing-parts"] == "1"
+            assert response.status == 200
+            assert response.headers["x-missing-parts"] == "1"
             assert took_s < 0.4
 
     run(test())
@@ -85,12 +85,12 @@
 def test_below_the_floor_a_query_fails_and_says_nothing_of_not_running():
     async def test():
         async with harness.Site() as site:
-            await _index(site)
+            await _start_sharded_service(site)
             for each in ("i-2", "i-3"):
                 site.services[each].behaviour.fail_count = 9
-            got = await site.get("/all/", "r1")
-            assert got.status == 502
-            assert "retry-after" not in got.headers
+            response = await site.get("/all/", "r1")
+            assert response.status == 502
+            assert "retry-after" not in response.headers
 
     run(test())
 
@@ -98,11 +98,13 @@
 def test_a_request_that_may_run_once_is_not_sent_again_after_a_reset():
     async def test():
         async with harness.Site() as site:
-            await _desk(site)
+            await _start_single_service(site)
             for each in site.services.values():
                 each.behaviour.reset_count = 1
-            got = await site.get("/once/x", "r1", method="POST", body=b"book")
-            assert got.status == 502
+            response = await site.get(
+                "/once/x", "r1", method="POST", body=b"book"
+            )
+            assert response.status == 502
             assert site.run_count("r1") == 1
 
     run(test())
@@ -111,11 +113,13 @@
 def test_a_request_that_may_run_once_goes_on_after_a_refusal():
     async def test():
         async with harness.Site() as site:
-            await _desk(site)
+            await _start_single_service(site)
             for each in site.services.values():
                 each.behaviour.shed_count = 1
-            got = await site.get("/once/x", "r1", method="POST", body=b"book")
-            assert got.status == 200
+            response = await site.get(
+                "/once/x", "r1", method="POST", body=b"book"
+            )
+            assert response.status == 200
             assert site.run_count("r1") == 1
 
     run(test())
@@ -124,12 +128,14 @@
 def test_a_request_that_all_refuse_is_refused_and_never_runs():
     async def test():
         async with harness.Site() as site:
-            await _desk(site)
+            await _start_single_service(site)
             for each in site.services.values():
                 each.behaviour.shed_count = 9
-            got = await site.get("/once/x", "r1", method="POST", body=b"book")
-            assert got.status == 503
-            assert float(got.headers["retry-after"]) > 0
+            response = await site.get(
+                "/once/x", "r1", method="POST", body=b"book"
+            )
+            assert response.status == 503
+            assert float(response.headers["retry-after"]) > 0
             assert site.run_count("r1") == 0
 
     run(test())
@@ -138,7 +144,7 @@
 def test_an_idempotent_request_is_sent_again_after_a_reset():
     async def test():
         async with harness.Site() as site:
-            await _desk(site)
+            await _start_single_service(site)
             for each in site.services.values():
                 each.behaviour.reset_count = 1
             first = await site.get("/one/x", "r1")
@@ -146,8 +152,8 @@
             site.services["i-0"].behaviour.reset_count = 1
             site.services["i-1"].behaviour.reset_count = 0
             for number in range(4):
-                got = await site.get("/one/x", f"r1{number}")
-                assert got.status == 200
+                response = await site.get("/one/x", f"r1{number}")
+                assert response.status == 200
 
     run(test())
 
@@ -156,13 +162,15 @@
 def test_an_answer_to_another_request_reaches_nobody(fault):
     async def test():
         async with harness.Site() as site:
-            await _desk(site, 1)
+            await _start_single_service(site, 1)
             setattr(site.services["i-0"].behaviour, fault, True)
             for number in range(6):
-                got = await site.get("/one/x", f"r{number}")
-                assert got.status == 200
-                assert got.body == b"booked" * 4
-                assert got.headers["x-server-stamp"].endswith(f".r{number}")
+                response = await site.get("/one/x", f"r{number}")
+                assert response.status == 200
+                assert response.body == b"booked" * 4
+                assert response.headers["x-server-stamp"].endswith(
+                    f".r{number}"
+                )
 
     run(test())
 
@@ -171,10 +179,10 @@
 def test_a_spoilt_success_is_never_passed_on(fault):
     async def test():
         async with harness.Site() as site:
-            await _desk(site, 1)
+            await _start_single_service(site, 1)
             setattr(site.services["i-0"].behaviour, fault, True)
-            got = await site.get("/one/x", "r1")
-            assert got.status == 502
+            response = await site.get("/one/x", "r1")
+            assert response.status == 502
 
     run(test())
 
@@ -182,10 +190,10 @@
 def test_an_address_used_again_by_another_upstream_runs_nothing():
     async def test():
         async with harness.Site() as site:
-            await _desk(site, 1)
+            await _start_single_service(site, 1)
             site.services["i-0"].upstream_id = "i-other"
-            got = await site.get("/once/x", "r1", method="POST")
-            assert got.status == 503
+            response = await site.get("/once/x", "r1", method="POST")
+            assert response.status == 503
             assert site.run_count("r1") == 0
 
     run(test())
@@ -194,7 +202,7 @@
 def test_a_caller_that_leaves_cancels_the_work():
     async def test():
         async with harness.Site() as site:
-            await _desk(site, 1)
+            await _start_single_service(site, 1)
             site.services["i-0"].behaviour.never = True
             address = site.settings["gateway-1"].callers_address
             host, _, port = address.rpartition(":")
@@ -211,15 +219,15 @@
 def test_a_kept_connection_serves_many_and_pipelined_requests_in_order():
     async def test():
         async with harness.Site() as site:
-            await _desk(site, 1)
+            await _start_single_service(site, 1)
             address = site.settings["gateway-1"].callers_address
             host, _, port = address.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             for number in range(3):
                 writer.write(harness.request_bytes("/one/x", f"r{number}"))
             for number in range(3):
-                got = await harness.read_response(reader)
-                assert got.headers["x-request-id"] == f"r{number}"
+                response = await harness.read_response(reader)
+                assert response.headers["x-request-id"] == f"r{number}"
             writer.close()
 
     run(test())
@@ -251,10 +259,10 @@
 def test_bad_input_gets_a_clear_refusal(data, status):
     async def test():
         async with harness.Site() as site:
-            await _desk(site, 1)
+            await _start_single_service(site, 1)
             address = site.settings["gateway-1"].callers_address
-            got = await harness.send_raw(address, data)
-            assert got.status == status
+            response = await harness.send_raw(address, data)
+            assert response.status == status
             assert not sum(
                 map(len, (s.run_counts for s in site.services.values()))
             )
@@ -265,15 +273,15 @@
 def test_a_chunked_body_reaches_the_upstream_whole():
     async def test():
         async with harness.Site() as site:
-            await _desk(site, 1)
+            await _start_single_service(site, 1)
             address = site.settings["gateway-1"].callers_address
             data = (
                 b"POST /once/x HTTP/1.1\r\nHost: shop.example\r\n"
                 b"X-Request-Id: r1\r\nTransfer-Encoding: chunked\r\n\r\n"
                 b"4\r\nbook\r\n3\r\ning\r\n0\r\n\r\n"
             )
-            got = await harness.send_raw(address, data)
-            assert got.status == 200
+            response = await harness.send_raw(address, data)
+            assert response.status == 200
             head = site.services["i-0"].request_heads[0].lower()
             assert b"content-length: 7\r\n" in head
             assert b"transfer-encoding" not in head
@@ -301,7 +309,7 @@
 def test_a_new_configuration_is_in_force_soon_and_an_older_one_never():
     async def test():
         async with harness.Site() as site:
-            await _desk(site, 1)
+            await _start_single_service(site, 1)
             version = site.configure({**SINGLE, "prefix": "/new/"})
             await asyncio.sleep(0.3)
             assert (await site.get("/new/x", "r1")).status == 200
@@ -317,13 +325,13 @@
 def test_a_leaving_upstream_gets_nothing_after_it_said_so():
     async def test():
         async with harness.Site() as site:
-            await _desk(site)
+            await _start_single_service(site)
             site.put_upstream_entry("i-0", "desk", state="draining")
             await asyncio.sleep(1.5)
             before = sum(site.services["i-0"].run_counts.values())
             for number in range(10):
-                got = await site.get("/one/x", f"r{number}")
-                assert got.status == 200
+                response = await site.get("/one/x", f"r{number}")
+                assert response.status == 200
             assert sum(site.services["i-0"].run_counts.values()) == before
 
     run(test())
@@ -332,7 +340,7 @@
 def test_entries_lost_in_an_outage_are_kept_for_their_return_only():
     async def test():
         async with harness.Site() as site:
-            await _desk(site, 1)
+            await _start_single_service(site, 1)
             site.store.faults.down = True
             await asyncio.sleep(2.6)
             site.store.remove("servers/i-0")
@@ -348,7 +356,7 @@
 def test_a_silent_store_stops_nothing_and_is_noticed():
     async def test():
         async with harness.Site() as site:
-            await _desk(site, 1)
+            await _start_single_service(site, 1)
             site.store.faults.silent = True
             await asyncio.sleep(1.5)
             assert (await site.get("/one/x", "r1")).status == 200
@@ -386,18 +394,18 @@
 def test_a_planned_stop_finishes_what_is_in_progress():
     async def test():
         async with harness.Site() as site:
-            await _desk(site, 1)
+            await _start_single_service(site, 1)
             site.services["i-0"].behaviour.delay_ms = 500
-            asked = asyncio.create_task(site.get("/one/x", "r1"))
+            first = asyncio.create_task(site.get("/one/x", "r1"))
             await asyncio.sleep(0.1)
             site.gateways["gateway-1"].stop()
             await asyncio.sleep(0.05)
             assert await site.readiness_status() == 503
-            late = asyncio.create_task(site.get("/one/x", "r2"))
-            got = await asked
-            assert got.status == 200
-            assert got.headers["connection"] == "close"
-            assert (await late).status == 200
+            second = asyncio.create_task(site.get("/one/x", "r2"))
+            response = await first
+            assert response.status == 200
+            assert response.headers["connection"] == "close"
+            assert (await second).status == 200
 
     run(test())
 
@@ -407,7 +415,7 @@
 ):
     async def test():
         async with harness.Site() as site:
-            await _desk(site, 1)
+            await _start_single_service(site, 1)
             running = site.gateways["gateway-1"]
             path = tmp_path / "settings.yaml"
             running._path = str(path)
@@ -427,13 +435,13 @@
 def test_metrics_count_requests_calls_and_latency():
     async def test():
         async with harness.Site() as site:
-            await _desk(site, 1)
+            await _start_single_service(site, 1)
             await site.get("/one/x", "r1")
             address = site.settings["gateway-1"].metrics_address
-            got = await harness.send_raw(
+            response = await harness.send_raw(
                 address, b"GET /metrics HTTP/1.1\r\nHost: m\r\n\r\n"
             )
-            page = got.body.decode()
+            page = response.body.decode()
             assert (
                 'hyssoptack_requests_total{route="route-0",status="200"} 1'
                 in page
--- a/hyssoptack/gateway/gathererservice.py
+++ b/hyssoptack/gateway/gathererservice.py
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        believed: replicatedview.ReplicatedView,
+        view: replicatedview.ReplicatedView,
         own_address: str,
         send: Send,
         limit_count: LimitCount,
@@ -55,7 +55,7 @@
             is_stale: Whether messages may be old, as this process stood still.
             suspicions: Which requests crash upstreams.
         """
-        self.view = believed
+        self.view = view
         self.own_address = own_address
         self.send = send
         self.connection_limit_count = limit_count
@@ -83,9 +83,9 @@
         self.active_gathers[key] = gather
         gather.start()
 
-    def on_cancel(self, left: gatewaymessage.RelayCancel) -> None:
+    def on_cancel(self, cancel: gatewaymessage.RelayCancel) -> None:
         """Ends the calls of a query that nobody waits for any more."""
-        gather = self.active_gathers.get((left.sender_address, left.ask_id))
+        gather = self.active_gathers.get((cancel.sender_address, cancel.ask_id))
         if gather is not None:
             gather.end()
 
@@ -94,22 +94,22 @@
     """The calls of one ask."""
 
     def __init__(
-        self, owner: GathererService, ask: gatewaymessage.RelayRequest
+        self, service: GathererService, ask: gatewaymessage.RelayRequest
     ):
-        self._owner = owner
+        self._service = service
         self._ask = ask
         self._started_ms = clock.now_ms()
-        self._common = headers.ForwardedRequest(head=ask.head, body=ask.body)
+        self._forwarded = headers.ForwardedRequest(head=ask.head, body=ask.body)
         self._calls: dict[int, pool.Call] = {}
-        self._open: dict[int, str] = {}
-        self._ready: list[gatewaymessage.RelayedOutcome] = []
-        self._told = False
-        self._flush_asked = False
+        self._open_upstream_ids: dict[int, str] = {}
+        self._unsent: list[gatewaymessage.RelayedOutcome] = []
+        self._reported = False
+        self._flush_scheduled = False
         self._timer: asyncio.TimerHandle | None = None
         self._end_timer: asyncio.TimerHandle | None = None
         self._to_goal_ms = max(0.0, ask.to_goal_ms)
-        self._times = hedgetiming.HedgeTiming(
-            owner.view.load_balancer.latency_of(ask.route_name),
+        self._hedge_timing = hedgetiming.HedgeTiming(
+            service.view.load_balancer.latency_of(ask.route_name),
             self._to_goal_ms,
             self._started_ms + self._to_goal_ms,
             self._started_ms,
@@ -119,36 +119,36 @@
     def decline(self, reason: str) -> None:
         """Says that no call was made, nor will be."""
         for each in self._ask.calls:
-            self._ready.append(_spared(each.call_id, reason))
+            self._unsent.append(_not_run(each.call_id, reason))
         self._flush()
 
     def start(self) -> None:
         """Makes the calls."""
         for each in self._ask.calls:
-            upstream = self._owner.view.load_balancer.usable_upstream(
+            upstream = self._service.view.load_balancer.usable_upstream(
                 each.upstream_id, RELAYED_RANK, self._started_ms
             )
             if upstream is None:
                 reason = callresult.NOT_LISTED_AT_GATHERER
-                self._ready.append(_spared(each.call_id, reason))
+                self._unsent.append(_not_run(each.call_id, reason))
             else:
                 self._call(each.call_id, upstream)
         loop = asyncio.get_running_loop()
         self._end_timer = loop.call_later(
             max(0.0, self._ask.remaining_ms) / message.MS_PER_S, self.end
         )
-        if self._ready:
+        if self._unsent:
             self._flush_soon()
-        self._arm()
+        self._schedule_report()
 
     def _call(self, call_id: int, upstream: traffic.Upstream) -> None:
-        self._open[call_id] = upstream.upstream_id
-        self._owner.view.load_balancer.begin_call(
+        self._open_upstream_ids[call_id] = upstream.upstream_id
+        self._service.view.load_balancer.begin_call(
             upstream.upstream_id, self._started_ms
         )
         job = pool.Job(
             upstream=upstream,
-            build_request=lambda: self._data(upstream),
+            build_request=lambda: self._build_request(upstream),
             request_id=self._ask.request_id,
             is_head=False,
             needs_new_connection=False,
@@ -156,104 +156,110 @@
             on_outcome=lambda outcome: self._on_outcome(call_id, outcome),
             fingerprint=self._ask.fingerprint,
         )
-        limit_count = self._owner.connection_limit_count(upstream)
-        self._calls[call_id] = self._owner.view.pools.call(job, limit_count)
+        limit_count = self._service.connection_limit_count(upstream)
+        self._calls[call_id] = self._service.view.pools.call(job, limit_count)
 
-    def _data(self, upstream: traffic.Upstream) -> bytes:
+    def _build_request(self, upstream: traffic.Upstream) -> bytes:
         spent_ms = clock.now_ms() - self._started_ms
         remaining_ms = self._ask.remaining_ms - spent_ms
-        return headers.upstream_request(self._common, upstream, remaining_ms)
+        return headers.upstream_request(self._forwarded, upstream, remaining_ms)
 
     def _on_outcome(self, call_id: int, outcome: httpclient.Outcome) -> None:
         now_ms = clock.now_ms()
         self._calls.pop(call_id, None)
-        upstream_id = self._open.pop(call_id)
-        read = headers.call_outcome(outcome, is_part=True)
-        known = self._owner.view.load_balancer
-        known.end_call(upstream_id)
+        upstream_id = self._open_upstream_ids.pop(call_id)
+        call_outcome = headers.call_outcome(outcome, is_part=True)
+        load_balancer = self._service.view.load_balancer
+        load_balancer.end_call(upstream_id)
         # The asking instance learns from the call as well.
         callfeedback.record_outcome(
-            known,
+            load_balancer,
             self._ask.route_name,
             upstream_id,
             self._started_ms,
-            read,
+            call_outcome,
             now_ms,
         )
-        answered = read.kind is callcommand.OutcomeKind.ANSWERED
-        if answered:
-            self._times.record_answer(now_ms)
-        self._ready.append(self._told_outcome(call_id, read))
+        is_answered = call_outcome.kind is callcommand.OutcomeKind.ANSWERED
+        if is_answered:
+            self._hedge_timing.record_answer(now_ms)
+        self._unsent.append(self._relayed_outcome(call_id, call_outcome))
         # What failed may be sent again, and what is late is waited for.
-        if not self._open or not answered or self._told:
+        if not self._open_upstream_ids or not is_answered or self._reported:
             self._flush_soon()
         else:
-            self._arm()
+            self._schedule_report()
 
-    def _told_outcome(
-        self, call_id: int, read: callcommand.Outcome
+    def _relayed_outcome(
+        self, call_id: int, call_outcome: callcommand.Outcome
     ) -> gatewaymessage.RelayedOutcome:
-        match read:
+        match call_outcome:
             case callcommand.Outcome(
                 kind=callcommand.OutcomeKind.ANSWERED,
                 reply=message.Reply() as reply,
             ):
-                top = records.greatest((reply.body,), self._ask.top_count)
-                signed = headers.signature(reply)
+                top_records = records.greatest(
+                    (reply.body,), self._ask.top_count
+                )
+                signature = headers.signature(reply)
             case _:
-                top = signed = b""
+                top_records = signature = b""
         return gatewaymessage.RelayedOutcome(
             call_id=call_id,
-            kind=read.kind.value,
-            reason=read.reason,
-            reached=read.reached,
-            signature=signed,
-            records=top,
-            ended=read.upstream_exited,
+            kind=call_outcome.kind.value,
+            reason=call_outcome.reason,
+            reached=call_outcome.reached,
+            signature=signature,
+            records=top_records,
+            ended=call_outcome.upstream_exited,
         )
 
     # Telling.
 
-    def _arm(self) -> None:
-        if self._told:
+    def _schedule_report(self) -> None:
+        if self._reported:
             return
         if self._timer is not None:
             self._timer.cancel()
-        dry_ms = self._times.stall_at_ms()
-        due_ms = self._started_ms + gatherers.REPORT_RATIO * self._to_goal_ms
-        if dry_ms is not None:
-            due_ms = min(due_ms, dry_ms)
-        wait_ms = max(0.0, due_ms - clock.now_ms())
+        stall_at_ms = self._hedge_timing.stall_at_ms()
+        report_at_ms = (
+            self._started_ms + gatherers.REPORT_RATIO * self._to_goal_ms
+        )
+        if stall_at_ms is not None:
+            report_at_ms = min(report_at_ms, stall_at_ms)
+        wait_ms = max(0.0, report_at_ms - clock.now_ms())
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(
-            wait_ms / message.MS_PER_S, self._report, due_ms == dry_ms
+            wait_ms / message.MS_PER_S,
+            self._report,
+            report_at_ms == stall_at_ms,
         )
 
     def _report(self, dried_up: bool) -> None:
         """Tells what is there, or at least that this instance lives."""
-        self._told = True
+        self._reported = True
         self._flush(dried_up, alive=True)
 
     def _flush_soon(self) -> None:
         """Tells what is there with what else this turn of the loop brings."""
-        if not self._flush_asked:
-            self._flush_asked = True
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
             loop = asyncio.get_running_loop()
             loop.call_soon(self._flush)
 
     def _flush(self, dried_up: bool = False, alive: bool = False) -> None:
-        self._flush_asked = False
-        if not self._ready and not alive:
+        self._flush_scheduled = False
+        if not self._unsent and not alive:
             return
         batch = gatewaymessage.RelayBatch(
-            sender_address=self._owner.own_address,
+            sender_address=self._service.own_address,
             ask_id=self._ask.ask_id,
-            outcomes=tuple(self._ready),
+            outcomes=tuple(self._unsent),
             dried_up=dried_up,
         )
-        self._ready.clear()
-        self._owner.send(self._ask.sender_address, batch)
-        if not self._open:
+        self._unsent.clear()
+        self._service.send(self._ask.sender_address, batch)
+        if not self._open_upstream_ids:
             self.end()
 
     def end(self) -> None:
@@ -263,15 +269,15 @@
                 timer.cancel()
         for call in self._calls.values():
             call.cancel()
-        for upstream_id in self._open.values():
-            self._owner.view.load_balancer.end_call(upstream_id)
+        for upstream_id in self._open_upstream_ids.values():
+            self._service.view.load_balancer.end_call(upstream_id)
         self._calls.clear()
-        self._open.clear()
+        self._open_upstream_ids.clear()
         key = self._ask.sender_address, self._ask.ask_id
-        self._owner.active_gathers.pop(key, None)
+        self._service.active_gathers.pop(key, None)
 
 
-def _spared(call_id: int, reason: str) -> gatewaymessage.RelayedOutcome:
+def _not_run(call_id: int, reason: str) -> gatewaymessage.RelayedOutcome:
     """Returns the outcome of a call that was not made."""
     return gatewaymessage.RelayedOutcome(
         call_id=call_id,
--- a/hyssoptack/gateway/listeners.py
+++ b/hyssoptack/gateway/listeners.py
@@ -34,7 +34,7 @@
         self,
         port: socket.socket,
         server: httpserver.Server,
-        believed: replicatedview.ReplicatedView,
+        view: replicatedview.ReplicatedView,
     ) -> None:
         """Accepts callers once there is something to serve them from.
 
@@ -46,7 +46,7 @@
             believed: What they are served from.
         """
         limit_ms = clock.now_ms() + FIRST_VIEWS_WAIT_MS
-        while not believed.is_complete and clock.now_ms() < limit_ms:
+        while not view.is_complete and clock.now_ms() < limit_ms:
             await asyncio.sleep(FIRST_VIEWS_CHECK_S)
         await self._accept(port, server)
 
@@ -54,10 +54,10 @@
         self, port: socket.socket, server: httpserver.Server
     ) -> None:
         loop = asyncio.get_running_loop()
-        made = await loop.create_server(
+        opened = await loop.create_server(
             server.new_connection, sock=port, backlog=earlyport.BACKLOG_COUNT
         )
-        self._servers.append(made)
+        self._servers.append(opened)
 
     def close(self) -> None:
         """Accepts nothing any more."""
--- a/hyssoptack/gateway/querydelegation.py
+++ b/hyssoptack/gateway/querydelegation.py
@@ -27,7 +27,7 @@
 
 Send = collections.abc.Callable[[str, gatewaymessage.Message], None]
 
-STALL_CHECK_S = 0.1
+STALL_CHECK_PERIOD_S = 0.1
 """How often an instance that runs others' queries looks whether it stood still;
 20 such wakings cost 1 ms of processor."""
 
@@ -35,7 +35,7 @@
 """An instance that ran nothing for so long takes no query that may have waited
 as long: its sender has run it by then."""
 
-WAKE_MS = 100.0
+RESUME_WINDOW_MS = 100.0
 """After such a stop, for so long messages may still be those that waited: what
 lies in a link is read within some tens of milliseconds."""
 
@@ -81,11 +81,11 @@
 
     def __init__(
         self,
-        known: delegation.DelegateSelector,
+        selector: delegation.DelegateSelector,
         own_address: str,
         send: Send,
-        run_here: RunLocally,
-        can_take_back: CanRerunLocally,
+        run_locally: RunLocally,
+        can_rerun_locally: CanRerunLocally,
     ):
         """Makes the queries of one instance, of which there are none yet.
 
@@ -96,16 +96,16 @@
             run_here: Runs a query here.
             can_take_back: Whether one that may have begun could be run here.
         """
-        self.can_rerun_locally = can_take_back
-        self.selector = known
+        self.can_rerun_locally = can_rerun_locally
+        self.selector = selector
         self.own_address = own_address
         self.send = send
-        self.run_locally = run_here
+        self.run_locally = run_locally
         self.pending: dict[int, DelegatedQuery] = {}
         self._ask_ids = correlationids.new_sequence()
-        self._taken: dict[tuple[str, int], PeerExchange] = {}
-        self._ticked_ms = clock.now_ms()
-        self._woke_ms = -math.inf
+        self._accepted: dict[tuple[str, int], PeerExchange] = {}
+        self._last_tick_ms = clock.now_ms()
+        self._resumed_ms = -math.inf
 
     def try_delegate(self, query: inbound.Request, version: int) -> bool:
         """Hands a query over if that is better; tells whether it did."""
@@ -115,18 +115,18 @@
             return False
         match route.target:
             case traffic.AllShards(shards=shards):
-                weighed = delegation.Query(
+                candidate = delegation.Query(
                     route_name=route.name,
                     part_count=len(shards),
                     to_goal_ms=query.goal_at_ms(now_ms) - now_ms,
                 )
-                peer = self.selector.choose(weighed, now_ms)
+                peer = self.selector.choose(candidate, now_ms)
             case _:
                 return False
         if peer is None:
             return False
-        handed = DelegatedQuery(self, query, peer, next(self._ask_ids))
-        handed.start(version)
+        delegated = DelegatedQuery(self, query, peer, next(self._ask_ids))
+        delegated.start(version)
         return True
 
     # What neighbours hand over.
@@ -135,10 +135,10 @@
         """Notes that this process runs, for as long as it does."""
         while True:
             now_ms = clock.now_ms()
-            if now_ms - self._ticked_ms >= STALL_MS:
-                self._woke_ms = now_ms
-            self._ticked_ms = now_ms
-            await asyncio.sleep(STALL_CHECK_S)
+            if now_ms - self._last_tick_ms >= STALL_MS:
+                self._resumed_ms = now_ms
+            self._last_tick_ms = now_ms
+            await asyncio.sleep(STALL_CHECK_PERIOD_S)
 
     def messages_may_be_stale(self) -> bool:
         """Whether messages may be old: this process stood still until now.
@@ -146,8 +146,8 @@
         After a stop the loop runs this watch before it reads messages.
         """
         now_ms = clock.now_ms()
-        stalled = now_ms - self._ticked_ms >= STALL_MS
-        return stalled or now_ms - self._woke_ms < WAKE_MS
+        stalled = now_ms - self._last_tick_ms >= STALL_MS
+        return stalled or now_ms - self._resumed_ms < RESUME_WINDOW_MS
 
     def accept(
         self, ask: gatewaymessage.DelegationRequest, can_serve: bool
@@ -163,17 +163,17 @@
         """
         now_ms = clock.now_ms()
         key = ask.sender_address, ask.ask_id
-        running_already = key in self._taken
+        already_running = key in self._accepted
         stale = self.messages_may_be_stale()
-        begun = running_already or (can_serve and not stale and ask.fresh)
-        taken = gatewaymessage.DelegationStatus(
+        begun = already_running or (can_serve and not stale and ask.fresh)
+        status = gatewaymessage.DelegationStatus(
             sender_address=self.own_address, ask_id=ask.ask_id, begun=begun
         )
-        self.send(ask.sender_address, taken)
-        if running_already:
+        self.send(ask.sender_address, status)
+        if already_running:
             if not ask.fresh:
                 # Only a sender that has heard of the beginning asks so.
-                self._granted(key)
+                self._on_commit(key)
             return None
         request = message.Request(
             method=ask.method,
@@ -201,13 +201,13 @@
             request=request,
             send_reply=lambda reply: self._reply(key, route_name, reply),
         )
-        self._taken[key] = exchange
+        self._accepted[key] = exchange
         return exchange
 
     def _reply(
         self, key: tuple[str, int], route_name: str, reply: message.Reply
     ) -> None:
-        self._taken.pop(key, None)
+        self._accepted.pop(key, None)
         address, ask_id = key
         answer = gatewaymessage.DelegationAnswer(
             sender_address=self.own_address,
@@ -219,8 +219,8 @@
         )
         self.send(address, answer)
 
-    def _granted(self, key: tuple[str, int]) -> None:
-        exchange = self._taken.get(key)
+    def _on_commit(self, key: tuple[str, int]) -> None:
+        exchange = self._accepted.get(key)
         if exchange is not None and exchange.on_commit is not None:
             exchange.on_commit()
 
@@ -230,11 +230,11 @@
         """Takes a neighbour's word on a query."""
         match each:
             case gatewaymessage.DelegationStatus(ask_id=ask_id, begun=begun):
-                if (found := self.pending.get(ask_id)) is not None:
-                    found.on_status(begun)
+                if (delegated := self.pending.get(ask_id)) is not None:
+                    delegated.on_status(begun)
             case gatewaymessage.DelegationAnswer(ask_id=ask_id):
-                if (found := self.pending.get(ask_id)) is not None:
-                    found.on_answer(each)
+                if (delegated := self.pending.get(ask_id)) is not None:
+                    delegated.on_answer(each)
                 else:
                     log.write(
                         log.Event.QUERY_ANSWER_UNUSED,
@@ -245,11 +245,11 @@
             case gatewaymessage.DelegationCommit(
                 sender_address=address, ask_id=ask_id
             ):
-                self._granted((address, ask_id))
+                self._on_commit((address, ask_id))
             case gatewaymessage.DelegationCancel(
                 sender_address=address, ask_id=ask_id
             ):
-                exchange = self._taken.pop((address, ask_id), None)
+                exchange = self._accepted.pop((address, ask_id), None)
                 if exchange is not None and exchange.on_abandoned is not None:
                     exchange.on_abandoned()
 
@@ -257,8 +257,8 @@
         """Takes that a message did not reach its neighbour."""
         match each:
             case gatewaymessage.DelegationRequest(ask_id=ask_id):
-                if (found := self.pending.get(ask_id)) is not None:
-                    found.on_undelivered()
+                if (delegated := self.pending.get(ask_id)) is not None:
+                    delegated.on_undelivered()
 
     def on_link_lost(self, address: str) -> None:
         """Takes that the connection to a neighbour has ended."""
@@ -272,37 +272,37 @@
 
     def __init__(
         self,
-        owner: Delegator,
+        delegator: Delegator,
         query: inbound.Request,
         peer: member.Peer,
         ask_id: int,
     ):
-        self._owner = owner
+        self._delegator = delegator
         self._query = query
         self._peer = peer
         self._ask_id = ask_id
         self._state = _State.SENT
-        self._hop_ms = owner.selector.hop_delays.estimate_ms
+        self._hop_delay_ms = delegator.selector.hop_delays.estimate_ms
         self._goal_at_ms = query.goal_at_ms(clock.now_ms())
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self, version: int) -> None:
         """Sends the query to the neighbour."""
-        self._owner.pending[self._ask_id] = self
-        self._owner.selector.begin_delegation(self._peer.address)
-        self._query.exchange.on_abandoned = self._left
-        self._ask(version, fresh=True)
-        self._wait(delegation.ACCEPT_TIMEOUT_MS, self._not_begun)
+        self._delegator.pending[self._ask_id] = self
+        self._delegator.selector.begin_delegation(self._peer.address)
+        self._query.exchange.on_abandoned = self._on_caller_left
+        self._send_request(version, fresh=True)
+        self._start_timer(delegation.ACCEPT_TIMEOUT_MS, self._on_accept_timeout)
 
     @property
     def address(self) -> str:
         """Where the neighbour takes messages."""
         return self._peer.address
 
-    def _ask(self, version: int, fresh: bool) -> None:
+    def _send_request(self, version: int, fresh: bool) -> None:
         request = self._query.exchange.request
         ask = gatewaymessage.DelegationRequest(
-            sender_address=self._owner.own_address,
+            sender_address=self._delegator.own_address,
             ask_id=self._ask_id,
             version=version,
             route_name=self._query.route_match.route.name,
@@ -311,12 +311,12 @@
             headers=request.headers,
             body=request.body,
             elapsed_ms=clock.now_ms() - request.received_ms,
-            away_ms=self._query.reserved_ms + self._hop_ms,
+            away_ms=self._query.reserved_ms + self._hop_delay_ms,
             fresh=fresh,
         )
-        self._owner.send(self._peer.address, ask)
+        self._delegator.send(self._peer.address, ask)
 
-    def _wait(
+    def _start_timer(
         self, wait_ms: float, function: collections.abc.Callable[[], None]
     ) -> None:
         if self._timer is not None:
@@ -324,10 +324,10 @@
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(wait_ms / message.MS_PER_S, function)
 
-    def _not_begun(self) -> None:
+    def _on_accept_timeout(self) -> None:
         """Takes the query back, or waits on where it could not be run here."""
         now_ms = clock.now_ms()
-        if now_ms < self._goal_at_ms and not self._owner.can_rerun_locally(
+        if now_ms < self._goal_at_ms and not self._delegator.can_rerun_locally(
             self._query
         ):
             log.write(
@@ -338,33 +338,41 @@
                 to_goal_ms=round(self._goal_at_ms - now_ms),
             )
             # Asked again, a neighbour that has run it would run it once more.
-            self._wait(self._goal_at_ms - now_ms, self._not_begun)
+            self._start_timer(
+                self._goal_at_ms - now_ms, self._on_accept_timeout
+            )
             return
-        self._say_left()
-        self._back("not_begun", may_have_run=True)
+        self._send_cancel()
+        self._take_back("not_begun", may_have_run=True)
 
-    def _check(self) -> None:
+    def _check_liveness(self) -> None:
         """Asks whether the neighbour still runs the query."""
-        self._ask(version=0, fresh=False)
-        self._wait(delegation.ACCEPT_TIMEOUT_MS, lambda: self.on_lost("silent"))
+        self._send_request(version=0, fresh=False)
+        self._start_timer(
+            delegation.ACCEPT_TIMEOUT_MS, lambda: self.on_lost("silent")
+        )
 
     def on_status(self, begun: bool) -> None:
         """Takes whether the neighbour runs the query."""
         match self._state, begun:
             case _State.SENT, True:
                 self._state = _State.BEGUN
-                self._say_granted()
+                self._send_commit()
                 request = self._query.exchange.request
                 due_ms = (
                     request.received_ms
                     + self._query.route_match.route.latency_goal_ms
                 )
                 left_ms = max(0.0, due_ms - clock.now_ms())
-                self._wait(left_ms + delegation.ANSWER_SLACK_MS, self._check)
+                self._start_timer(
+                    left_ms + delegation.ANSWER_SLACK_MS, self._check_liveness
+                )
             case _State.SENT, False:
-                self._back("declined", may_have_run=False)
+                self._take_back("declined", may_have_run=False)
             case _State.BEGUN, True:
-                self._wait(delegation.LIVENESS_CHECK_PERIOD_MS, self._check)
+                self._start_timer(
+                    delegation.LIVENESS_CHECK_PERIOD_MS, self._check_liveness
+                )
             case _State.BEGUN, False:
                 self.on_lost("forgotten")
 
@@ -372,19 +380,21 @@
         """Takes that the last ask did not reach the neighbour."""
         match self._state:
             case _State.SENT:
-                self._back("unreachable", may_have_run=False)
+                self._take_back("unreachable", may_have_run=False)
             case _:
                 self.on_lost("unreachable")
 
     def on_lost(self, reason: str) -> None:
         """Takes that the neighbour is gone with the query, or may be."""
         if self._state is _State.SENT:
-            self._back(reason, may_have_run=True)
+            self._take_back(reason, may_have_run=True)
             return
-        self._owner.selector.record_failure(self._peer.address, clock.now_ms())
-        self._say_left()
+        self._delegator.selector.record_failure(
+            self._peer.address, clock.now_ms()
+        )
+        self._send_cancel()
         self._end()
-        self._log_back(reason, may_have_run=True)
+        self._log_taken_back(reason, may_have_run=True)
         status = http.HTTPStatus.BAD_GATEWAY
         self._query.exchange.answer(
             message.problem_reply(status, "neighbour_lost")
@@ -392,9 +402,11 @@
 
     def on_answer(self, answer: gatewaymessage.DelegationAnswer) -> None:
         """Passes the neighbour's answer on."""
-        self._owner.selector.record_answer(self._peer.address)
+        self._delegator.selector.record_answer(self._peer.address)
         route_name = self._query.route_match.route.name
-        self._owner.selector.record_reply_size(route_name, answer.reply_bytes)
+        self._delegator.selector.record_reply_size(
+            route_name, answer.reply_bytes
+        )
         self._end()
         reply = message.Reply(
             status=answer.status, headers=answer.headers, body=answer.body
@@ -404,7 +416,9 @@
         if headers.has_missing_parts(reply):
             # Given at the goal: the rest is what the way back took.
             late_ms = clock.now_ms() - self._goal_at_ms
-            self._owner.selector.hop_delays.record(self._hop_ms + late_ms)
+            self._delegator.selector.hop_delays.record(
+                self._hop_delay_ms + late_ms
+            )
         log.write(
             log.Event.QUERY_HANDED,
             request_id=self._query.request_id,
@@ -413,14 +427,16 @@
             took_ms=round(clock.now_ms() - request.received_ms, 1),
         )
 
-    def _back(self, reason: str, may_have_run: bool) -> None:
+    def _take_back(self, reason: str, may_have_run: bool) -> None:
         """Runs the query here, as the neighbour won't."""
-        self._owner.selector.record_failure(self._peer.address, clock.now_ms())
+        self._delegator.selector.record_failure(
+            self._peer.address, clock.now_ms()
+        )
         self._end()
-        self._log_back(reason, may_have_run)
-        self._owner.run_locally(self._query, may_have_run)
+        self._log_taken_back(reason, may_have_run)
+        self._delegator.run_locally(self._query, may_have_run)
 
-    def _log_back(self, reason: str, may_have_run: bool) -> None:
+    def _log_taken_back(self, reason: str, may_have_run: bool) -> None:
         log.write(
             log.Event.QUERY_BACK,
             request_id=self._query.request_id,
@@ -430,24 +446,24 @@
             may_have_run=may_have_run,
         )
 
-    def _left(self) -> None:
-        self._say_left()
+    def _on_caller_left(self) -> None:
+        self._send_cancel()
         self._end()
 
-    def _say_left(self) -> None:
-        left = gatewaymessage.DelegationCancel(
-            sender_address=self._owner.own_address, ask_id=self._ask_id
+    def _send_cancel(self) -> None:
+        cancel = gatewaymessage.DelegationCancel(
+            sender_address=self._delegator.own_address, ask_id=self._ask_id
         )
-        self._owner.send(self._peer.address, left)
+        self._delegator.send(self._peer.address, cancel)
 
-    def _say_granted(self) -> None:
-        granted = gatewaymessage.DelegationCommit(
-            sender_address=self._owner.own_address, ask_id=self._ask_id
+    def _send_commit(self) -> None:
+        commit = gatewaymessage.DelegationCommit(
+            sender_address=self._delegator.own_address, ask_id=self._ask_id
         )
-        self._owner.send(self._peer.address, granted)
+        self._delegator.send(self._peer.address, commit)
 
     def _end(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._owner.pending.pop(self._ask_id, None)
-        self._owner.selector.end_delegation(self._peer.address)
+        self._delegator.pending.pop(self._ask_id, None)
+        self._delegator.selector.end_delegation(self._peer.address)
--- a/hyssoptack/gateway/querydelegation_test.py
+++ b/hyssoptack/gateway/querydelegation_test.py
@@ -13,7 +13,7 @@
 from hyssoptack.policy import delegation
 
 
-async def _pair(site):
+async def _start_pair(site):
     """A narrow instance and a wide one, over four shards of one upstream."""
     for index in range(4):
         body = bytes([index]) * 16 + bytes([200 - index]) * 16
@@ -26,7 +26,7 @@
 def test_a_wider_neighbour_answers_and_the_caller_sees_no_difference():
     async def test():
         async with harness.Site() as site:
-            narrow = await _pair(site)
+            narrow = await _start_pair(site)
             first = await site.get("/all/x", "r1", name="narrow")
             wide = site.gateways["wide"]
             assert first.status == 200
@@ -43,12 +43,12 @@
 def test_a_neighbour_that_is_gone_costs_no_answer():
     async def test():
         async with harness.Site() as site:
-            await _pair(site)
+            await _start_pair(site)
             site.kill("wide")
             for number in range(5):
-                got = await site.get("/all/x", f"r{number}", name="narrow")
-                assert got.status == 200
-                assert got.headers["x-missing-parts"] == "0"
+                response = await site.get("/all/x", f"r{number}", name="narrow")
+                assert response.status == 200
+                assert response.headers["x-missing-parts"] == "0"
 
     asyncio.run(test())
 
@@ -56,15 +56,15 @@
 def test_a_neighbour_with_another_configuration_declines():
     async def test():
         async with harness.Site() as site:
-            narrow = await _pair(site)
+            narrow = await _start_pair(site)
             table = site.gateways["wide"].view
-            held = table.route_table
+            original_table = table.route_table
             table.route_table = types.SimpleNamespace(
                 configuration=types.SimpleNamespace(version=999)
             )
-            got = await site.get("/all/x", "r1", name="narrow")
-            table.route_table = held
-            assert got.status == 200
+            response = await site.get("/all/x", "r1", name="narrow")
+            table.route_table = original_table
+            assert response.status == 200
             assert sum(s.run_counts[b"r1"] for s in site.services.values()) == 4
             assert not narrow._delegating.pending
 
@@ -74,15 +74,15 @@
 def test_a_stopping_neighbour_declines_and_finishes_what_it_began():
     async def test():
         async with harness.Site() as site:
-            await _pair(site)
+            await _start_pair(site)
             for each in site.services.values():
                 each.behaviour.delay_ms = 150.0
             begun = asyncio.create_task(site.get("/all/x", "r1", name="narrow"))
             await asyncio.sleep(0.05)
             site.gateways["wide"].stop()
             later = await site.get("/all/x", "r2", name="narrow")
-            got = await begun
-            assert (got.status, later.status) == (200, 200)
+            response = await begun
+            assert (response.status, later.status) == (200, 200)
             for name in ("r1", "r2"):
                 key = name.encode()
                 runs = [s.run_counts[key] for s in site.services.values()]
@@ -94,7 +94,7 @@
 def test_a_caller_that_leaves_ends_the_work_at_the_neighbour():
     async def test():
         async with harness.Site() as site:
-            await _pair(site)
+            await _start_pair(site)
             for each in site.services.values():
                 each.behaviour.never = True
             address = site.settings["narrow"].callers_address
@@ -116,15 +116,15 @@
 def test_a_neighbour_that_stands_still_is_not_waited_for():
     async def test():
         async with harness.Site() as site:
-            narrow = await _pair(site)
+            narrow = await _start_pair(site)
             # It takes messages and says nothing: a frozen process.
             site.gateways["wide"]._peering.on_message = lambda _: None
             for each in site.services.values():
                 each.behaviour.delay_ms = 20.0
             started_s = asyncio.get_running_loop().time()
-            got = await site.get("/all/x", "r1", name="narrow")
+            response = await site.get("/all/x", "r1", name="narrow")
             took_s = asyncio.get_running_loop().time() - started_s
-            assert got.status == 200
+            assert response.status == 200
             assert took_s * 1_000 < delegation.ACCEPT_TIMEOUT_MS + 150.0
             # It is left alone from then on.
             assert (
@@ -145,35 +145,35 @@
     # that were starting too failed, as nothing was left for extra calls.
     async def test():
         async with harness.Site() as site:
-            narrow = await _pair(site)
-            none = dataclasses.replace(
+            narrow = await _start_pair(site)
+            empty_share = dataclasses.replace(
                 narrow._extra_calls.share, slack_count=0.0
             )
-            narrow._extra_calls.share = none
-            narrow._extra_calls.gather_share = none
+            narrow._extra_calls.share = empty_share
+            narrow._extra_calls.gather_share = empty_share
             for each in narrow._extra_calls._services.values():
                 each.slack_count = 0.0
             wide = site.gateways["wide"]._peering
-            take = wide.on_message
+            deliver = wide.on_message
             loop = asyncio.get_running_loop()
-            asked = []
+            received_types = []
 
-            def late(each):
-                asked.append(type(each))
-                loop.call_later(0.1, take, each)
+            def deliver_late(each):
+                received_types.append(type(each))
+                loop.call_later(0.1, deliver, each)
 
-            wide.on_message = late
-            got = await site.get("/all/x", "r1", name="narrow")
-            assert got.status == 200
+            wide.on_message = deliver_late
+            response = await site.get("/all/x", "r1", name="narrow")
+            assert response.status == 200
             # Asked again after its answer, it would run the query once more.
-            assert asked.count(gatewaymessage.DelegationRequest) == 1
+            assert received_types.count(gatewaymessage.DelegationRequest) == 1
             runs = [s.run_counts[b"r1"] for s in site.services.values()]
             assert runs == [1, 1, 1, 1]
 
     asyncio.run(test())
 
 
-def _ask():
+def _delegation_request():
     return gatewaymessage.DelegationRequest(
         sender_address="n:1",
         ask_id=3,
@@ -189,44 +189,44 @@
 
 def test_who_stood_still_takes_no_query_that_may_have_waited_as_long():
     sent = []
-    held = querydelegation.Delegator(
+    delegator = querydelegation.Delegator(
         delegation.DelegateSelector(0.0, random.Random(1)),
         "w:1",
         lambda _, each: sent.append(each),
         None,
         None,
     )
-    held._ticked_ms -= 2 * querydelegation.STALL_MS
-    assert held.accept(_ask(), can_serve=True) is None
+    delegator._last_tick_ms -= 2 * querydelegation.STALL_MS
+    assert delegator.accept(_delegation_request(), can_serve=True) is None
     assert [each.begun for each in sent] == [False]
-    held._ticked_ms += 2 * querydelegation.STALL_MS
-    exchange = held.accept(_ask(), can_serve=True)
+    delegator._last_tick_ms += 2 * querydelegation.STALL_MS
+    exchange = delegator.accept(_delegation_request(), can_serve=True)
     assert exchange is not None
     assert sent[-1].begun
     # Asked again, it says that it runs, and begins nothing.
-    assert held.accept(_ask(), can_serve=False) is None
+    assert delegator.accept(_delegation_request(), can_serve=False) is None
     assert sent[-1].begun
 
 
 def test_messages_that_waited_are_declined_though_the_watch_has_run():
     # After a stop the loop runs its timers first, and reads messages then.
     sent = []
-    held = querydelegation.Delegator(
+    delegator = querydelegation.Delegator(
         delegation.DelegateSelector(0.0, random.Random(1)),
         "w:1",
         lambda _, each: sent.append(each),
         None,
         None,
     )
-    held._ticked_ms -= 2 * querydelegation.STALL_MS
+    delegator._last_tick_ms -= 2 * querydelegation.STALL_MS
 
-    async def wake():
-        watch = asyncio.create_task(held.watch_stalls())
+    async def run_watch():
+        watch = asyncio.create_task(delegator.watch_stalls())
         await asyncio.sleep(0.01)
         watch.cancel()
 
-    asyncio.run(wake())
-    assert held.accept(_ask(), can_serve=True) is None
+    asyncio.run(run_watch())
+    assert delegator.accept(_delegation_request(), can_serve=True) is None
     assert [each.begun for each in sent] == [False]
 
 
@@ -250,11 +250,11 @@
     # shard where their routes allow two.
     async def test():
         async with harness.Site() as site:
-            await _pair(site)
+            await _start_pair(site)
             for each in site.services.values():
                 each.behaviour.delay_ms = 700.0
-            got = await site.get("/all/x", "r1", name="narrow")
-            assert got.status == 200
+            response = await site.get("/all/x", "r1", name="narrow")
+            assert response.status == 200
             runs = [s.run_counts[b"r1"] for s in site.services.values()]
             assert runs == [1, 1, 1, 1]
 
@@ -264,15 +264,15 @@
 def test_a_neighbour_lost_on_the_way_ends_the_query_at_once():
     async def test():
         async with harness.Site() as site:
-            await _pair(site)
+            await _start_pair(site)
             for each in site.services.values():
                 each.behaviour.delay_ms = 700.0
             begun = asyncio.create_task(site.get("/all/x", "r1", name="narrow"))
             await asyncio.sleep(0.1)
             site.kill("wide")
             async with asyncio.timeout(0.7):
-                got = await begun
-            assert got.status == 502
+                response = await begun
+            assert response.status == 502
             runs = [s.run_counts[b"r1"] for s in site.services.values()]
             assert runs == [1, 1, 1, 1]
 
--- a/hyssoptack/gateway/requesthandler.py
+++ b/hyssoptack/gateway/requesthandler.py
@@ -35,19 +35,19 @@
 
     def __init__(
         self,
-        believed: replicatedview.ReplicatedView,
-        knowledge: plancontext.PlanContext,
+        view: replicatedview.ReplicatedView,
+        plan_context: plancontext.PlanContext,
         failure_domain: str,
-        counted: metrics.Metrics,
+        collectors: metrics.Metrics,
     ):
-        self._beliefs = believed
-        self._knowledge = knowledge
-        self.metrics = counted
+        self._view = view
+        self._plan_context = plan_context
+        self.metrics = collectors
         self._failure_domain = failure_domain
         self.instance_counts = connections.InstanceCounts()
         self.active_runs: set[requestrun.RequestRun] = set()
         self._random = random.Random()
-        self._caller_time = callerlatency.CallerLatency()
+        self._caller_latency = callerlatency.CallerLatency()
         self.delegator: querydelegation.Delegator | None = None
         self.call_relay: callrelay.CallRelay | None = None
 
@@ -60,7 +60,7 @@
     ) -> None:
         """Serves a neighbour's query, or declines it."""
         # With another configuration it might run as its sender may not.
-        willing = ready and ask.version == self._beliefs.version
+        willing = ready and ask.version == self._view.version
         exchange = self.delegator.accept(ask, willing)
         if exchange is not None:
             self._serve(exchange, ask)
@@ -70,53 +70,57 @@
         exchange: inbound.Exchange,
         ask: gatewaymessage.DelegationRequest | None,
     ) -> None:
-        facts = headers.read_metadata(exchange.request)
-        if isinstance(facts, str):
+        metadata = headers.read_metadata(exchange.request)
+        if isinstance(metadata, str):
             exchange.answer(
-                message.problem_reply(http.HTTPStatus.BAD_REQUEST, facts)
+                message.problem_reply(http.HTTPStatus.BAD_REQUEST, metadata)
             )
-            log_unreadable_request(http.HTTPStatus.BAD_REQUEST, facts)
+            log_unreadable_request(http.HTTPStatus.BAD_REQUEST, metadata)
             return
         path = exchange.request.path.decode("latin-1")
-        found = self._beliefs.route_table.find(facts.host, path)
-        match found:
+        match_result = self._view.route_table.find(metadata.host, path)
+        match match_result:
             case routetable.RouteMiss.NOT_CONFIGURED:
                 status = http.HTTPStatus.SERVICE_UNAVAILABLE
-                self._refuse(exchange, facts, status, found.value)
+                self._refuse(exchange, metadata, status, match_result.value)
             case routetable.RouteMiss.NO_ROUTE:
                 status = http.HTTPStatus.NOT_FOUND
-                self._refuse(exchange, facts, status, found.value)
+                self._refuse(exchange, metadata, status, match_result.value)
             case routetable.RouteMatch():
                 query = inbound.Request(
-                    exchange=exchange, metadata=facts, route_match=found
+                    exchange=exchange,
+                    metadata=metadata,
+                    route_match=match_result,
                 )
                 if ask is None:
                     self._serve_caller(query)
                 else:
-                    known = dataclasses.replace(
+                    prepared = dataclasses.replace(
                         query, transit_margin_ms=ask.away_ms
                     )
-                    run = requestrun.RequestRun(self, known, awaits_grant=True)
+                    run = requestrun.RequestRun(
+                        self, prepared, awaits_grant=True
+                    )
                     exchange.on_commit = run.on_attempts_granted
                     run.start()
 
     def _serve_caller(self, query: inbound.Request) -> None:
         timed = dataclasses.replace(
-            query, transit_margin_ms=self._caller_time.margin_ms
+            query, transit_margin_ms=self._caller_latency.margin_ms
         )
-        if self._knowledge.mechanisms.caller_time:
-            spent_ms = self._caller_time.observe_elapsed_ms(
+        if self._plan_context.mechanisms.caller_time:
+            spent_ms = self._caller_latency.observe_elapsed_ms(
                 query.route_match.route.name,
                 query.metadata.deadline_ms,
                 query.exchange.request.is_first,
             )
             timed = dataclasses.replace(timed, caller_spent_ms=spent_ms)
-        version = self._beliefs.version
-        known = self._knowledge.suspicions
-        here = self.delegator is None or (
-            known.has_entries and known.is_tracked(timed.fingerprint)
+        version = self._view.version
+        prepared = self._plan_context.suspicions
+        keep_local = self.delegator is None or (
+            prepared.has_entries and prepared.is_tracked(timed.fingerprint)
         )
-        if here or not self.delegator.try_delegate(timed, version):
+        if keep_local or not self.delegator.try_delegate(timed, version):
             self.run_locally(timed, may_have_run=False)
 
     def run_locally(self, query: inbound.Request, may_have_run: bool) -> None:
@@ -135,39 +139,39 @@
         """
         services = query.route_match.services
         now_ms = clock.now_ms()
-        paid_count = sum(
-            self._knowledge.extra_call_budget.can_spend(each, now_ms)
+        affordable_count = sum(
+            self._plan_context.extra_call_budget.can_spend(each, now_ms)
             for each in services
         )
         floor_count = callcommand.coverage_floor_count(
             query.route_match.route, len(services)
         )
-        return paid_count >= floor_count
+        return affordable_count >= floor_count
 
     def _refuse(
         self,
         exchange: inbound.Exchange,
-        facts: headers.RequestMetadata,
+        metadata: headers.RequestMetadata,
         status: int,
         reason: str,
     ) -> None:
-        comes_back = status == http.HTTPStatus.SERVICE_UNAVAILABLE
-        wait_ms = self.retry_delay_ms(reason) if comes_back else None
+        can_retry = status == http.HTTPStatus.SERVICE_UNAVAILABLE
+        wait_ms = self.retry_delay_ms(reason) if can_retry else None
         self.metrics.requests.inc({"route": "", "status": str(status)})
         exchange.answer(message.problem_reply(status, reason, wait_ms))
         log.write(
             log.Event.REQUEST_ENDED,
-            request_id=facts.request_id.decode("latin-1"),
-            host=facts.host,
+            request_id=metadata.request_id.decode("latin-1"),
+            host=metadata.host,
             path=exchange.request.path.decode("latin-1"),
             status=status,
             reason=reason,
-            version=self._beliefs.version,
+            version=self._view.version,
         )
 
     def record_lateness(self, late_ms: float) -> None:
         """Takes how long after the goal's time an answer was written."""
-        self._caller_time.answer_delay.record(late_ms)
+        self._caller_latency.answer_delay.record(late_ms)
 
     def record_reply(self, route_name: str, reply: message.Reply) -> None:
         """Takes an upstream's reply: its size decides who gathers."""
@@ -177,13 +181,15 @@
 
     def retry_delay_ms(self, reason: str) -> float:
         """Returns when a caller that is refused should come back."""
-        if not self._knowledge.mechanisms.comeback_by_cause:
+        if not self._plan_context.mechanisms.comeback_by_cause:
             return retrydelay.OVERLOADED_RETRY_MS
-        domains = self._knowledge.partition_detector
-        cut_for_ms = clock.now_ms() - domains.partitioned_since_ms
+        detector = self._plan_context.partition_detector
+        partitioned_for_ms = clock.now_ms() - detector.partitioned_since_ms
         refusal = retrydelay.RefusalContext(
             cause=retrydelay.cause_of(reason),
-            partitioned_for_ms=cut_for_ms if domains.is_partitioned else 0.0,
+            partitioned_for_ms=partitioned_for_ms
+            if detector.is_partitioned
+            else 0.0,
         )
         return retrydelay.retry_delay_ms(refusal, self._random)
 
@@ -207,16 +213,16 @@
     @property
     def view(self) -> replicatedview.ReplicatedView:
         """What requests are served from."""
-        return self._beliefs
+        return self._view
 
     @property
     def plan_context(self) -> plancontext.PlanContext:
         """What plans draw on."""
-        return self._knowledge
+        return self._plan_context
 
     def connection_limit_count(self, upstream: traffic.Upstream) -> int:
         """Returns how many connections to an upstream this instance may use."""
-        configuration = self._beliefs.route_table.configuration
+        configuration = self._view.route_table.configuration
         service = (
             configuration.services.get(upstream.service)
             if configuration
--- a/hyssoptack/gateway/requestrun.py
+++ b/hyssoptack/gateway/requestrun.py
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        owner: "requesthandler.RequestHandler",
+        handler: "requesthandler.RequestHandler",
         query: inbound.Request,
         *,
         may_have_run: bool = False,
@@ -46,30 +46,30 @@
             may_have_run: Whether a neighbour may have run some of it.
             awaits_grant: Whether its sender may still take it back.
         """
-        exchange, facts, found = (
+        exchange, metadata, route_match = (
             query.exchange,
             query.metadata,
             query.route_match,
         )
-        self._owner = owner
+        self._handler = handler
         self._exchange = exchange
-        self._facts = facts
-        self._route = found.route
-        self._version = owner.view.version
+        self._metadata = metadata
+        self._route = route_match.route
+        self._version = handler.view.version
         self._now_ms = clock.now_ms()
         received_ms = exchange.request.received_ms
         self._spent_ms = query.caller_spent_ms
-        self._wait_ms = found.route.timeout_ms
-        if facts.deadline_ms is not None:
-            self._wait_ms = min(self._wait_ms, facts.deadline_ms)
+        self._wait_ms = route_match.route.timeout_ms
+        if metadata.deadline_ms is not None:
+            self._wait_ms = min(self._wait_ms, metadata.deadline_ms)
         self._deadline_at_ms = received_ms + (
-            facts.deadline_ms
-            if facts.deadline_ms is not None
-            else found.route.timeout_ms
+            metadata.deadline_ms
+            if metadata.deadline_ms is not None
+            else route_match.route.timeout_ms
         )
-        self._ask = callcommand.PlanRequest(
-            route=found.route,
-            services=found.services,
+        self._plan_request = callcommand.PlanRequest(
+            route=route_match.route,
+            services=route_match.services,
             goal_at_ms=query.goal_at_ms(self._now_ms),
             deadline_at_ms=received_ms + self._wait_ms,
             may_have_run=may_have_run,
@@ -77,31 +77,31 @@
             fingerprint=query.fingerprint,
         )
         self._plan = callplan.CallPlan(
-            self._ask, owner.plan_context, self._now_ms
+            self._plan_request, handler.plan_context, self._now_ms
         )
         self.fingerprint = query.fingerprint
-        self._common = headers.forwarded_request(exchange.request)
+        self._forwarded = headers.forwarded_request(exchange.request)
         self._calls: dict[int, pool.Call] = {}
         self._traces: dict[int, calltrace.Trace] = {}
         self._relayed: list[callrelay.PendingRelay] = []
-        match found.route.target:
+        match route_match.route.target:
             case traffic.AllShards(top_count=top_count):
                 self._top_count = top_count
             case _:
                 self._top_count = None
         # A gatherer reads records, which a reply to HEAD has none of.
-        to_head = exchange.request.method == b"HEAD"
-        self._may_relay = self._top_count is not None and not to_head
+        is_head = exchange.request.method == b"HEAD"
+        self._may_relay = self._top_count is not None and not is_head
         self._timer: asyncio.TimerHandle | None = None
-        self._due_ms = 0.0
+        self._timer_due_ms = 0.0
 
     def start(self) -> None:
         """Sends the first calls."""
-        self._owner.active_runs.add(self)
-        self._exchange.on_abandoned = self._left
-        self._carry(self._plan.start(self._now_ms))
+        self._handler.active_runs.add(self)
+        self._exchange.on_abandoned = self._on_caller_left
+        self._execute(self._plan.start(self._now_ms))
 
-    def _carry(self, commands: list[callcommand.Command]) -> None:
+    def _execute(self, commands: list[callcommand.Command]) -> None:
         self._send_all(
             [each for each in commands if isinstance(each, callcommand.Send)]
         )
@@ -114,12 +114,12 @@
                 case callcommand.Finish(result=result):
                     self._finish(result)
         if not self._plan.finished:
-            self._arm()
+            self._schedule_timer()
 
     def _send_all(self, sends: list[callcommand.Send]) -> None:
         """Makes calls from here, or lets instances beside the upstreams."""
-        near: list[callcommand.Send] = []
-        far: dict[str, list[callcommand.Send]] = {}
+        local_sends: list[callcommand.Send] = []
+        relayed_sends: dict[str, list[callcommand.Send]] = {}
         for each in sends:
             self._traces[each.call_id] = calltrace.Trace(
                 upstream_id=each.upstream.upstream_id,
@@ -128,19 +128,19 @@
                 extra=each.extra_reason,
             )
             if each.extra_reason:
-                self._log_extra(each)
+                self._log_extra_call(each)
             domain = each.upstream.failure_domain
-            if self._is_for_others(each):
-                far.setdefault(domain, []).append(each)
+            if self._should_relay(each):
+                relayed_sends.setdefault(domain, []).append(each)
             else:
-                near.append(each)
+                local_sends.append(each)
         # Those on the longer way first: opening 18 connections takes 2 ms.
-        for domain, calls in far.items():
+        for domain, calls in relayed_sends.items():
             self._relay(domain, calls)
-        for each in near:
+        for each in local_sends:
             self._send(each)
 
-    def _is_for_others(self, each: callcommand.Send) -> bool:
+    def _should_relay(self, each: callcommand.Send) -> bool:
         """Whether a call is made by an instance beside its upstream.
 
         Only where the own failure domain has none: a call that crosses to get
@@ -153,11 +153,11 @@
             self._may_relay
             and each.cross_domain_only
             and not each.is_probe
-            and self._owner.can_relay_to(each.upstream.failure_domain)
+            and self._handler.can_relay_to(each.upstream.failure_domain)
         )
 
     def _relay(self, domain: str, calls: list[callcommand.Send]) -> None:
-        peer = self._owner.call_relay.choose_gatherer(domain)
+        peer = self._handler.call_relay.choose_gatherer(domain)
         if peer is None:
             for each in calls:
                 self._send(each)
@@ -165,16 +165,16 @@
         for each in calls:
             self._traces[each.call_id].gatherer_id = peer.instance_id
         query = callrelay.Query(
-            request_id=self._facts.request_id,
+            request_id=self._metadata.request_id,
             route_name=self._route.name,
             top_count=self._top_count,
             fingerprint=self.fingerprint,
-            forwarded=self._common,
+            forwarded=self._forwarded,
             deadline_at_ms=self._deadline_at_ms,
-            goal_at_ms=self._ask.goal_at_ms,
+            goal_at_ms=self._plan_request.goal_at_ms,
             on_outcomes=self._on_relayed,
         )
-        relayed = self._owner.call_relay.relay(peer, query, calls)
+        relayed = self._handler.call_relay.relay(peer, query, calls)
         self._relayed.append(relayed)
         call_ids = [each.call_id for each in calls]
         self._plan.record_relayed(call_ids, relayed.overdue_at_ms)
@@ -184,38 +184,38 @@
         call_id = command.call_id
         job = pool.Job(
             upstream=upstream,
-            build_request=lambda: self._data(call_id, upstream),
-            request_id=self._facts.request_id,
+            build_request=lambda: self._build_request(call_id, upstream),
+            request_id=self._metadata.request_id,
             is_head=self._exchange.request.method == b"HEAD",
             needs_new_connection=command.is_probe or not self._route.idempotent,
             needs_recent_connection=bool(command.extra_reason),
             on_outcome=lambda outcome: self._on_outcome(call_id, outcome),
             fingerprint=self.fingerprint,
         )
-        limit_count = self._owner.connection_limit_count(upstream)
-        call = self._owner.view.pools.call(job, limit_count)
+        limit_count = self._handler.connection_limit_count(upstream)
+        call = self._handler.view.pools.call(job, limit_count)
         self._calls[call_id] = call
         if call.connection is None:
             self._plan.calls.mark_unsent(call_id)
 
-    def _data(self, call_id: int, upstream: traffic.Upstream) -> bytes:
+    def _build_request(self, call_id: int, upstream: traffic.Upstream) -> bytes:
         self._plan.calls.mark_sent(call_id)
         remaining_ms = self._deadline_at_ms - clock.now_ms()
-        return headers.upstream_request(self._common, upstream, remaining_ms)
+        return headers.upstream_request(self._forwarded, upstream, remaining_ms)
 
     def _cancel(self, call_id: int) -> None:
         call = self._calls.pop(call_id, None)
         if call is not None:
             call.cancel()
         if self._traces[call_id].outcome == calltrace.OPEN:
-            self._note(call_id, "cancelled")
+            self._record_outcome(call_id, "cancelled")
 
-    def _note(self, call_id: int, outcome: str) -> None:
+    def _record_outcome(self, call_id: int, outcome: str) -> None:
         trace = self._traces[call_id]
         trace.outcome = outcome
         trace.took_ms = clock.now_ms() - trace.sent_ms
         answered = outcome == callcommand.OutcomeKind.ANSWERED.value
-        self._owner.metrics.record_call(
+        self._handler.metrics.record_call(
             trace.service, outcome, trace.took_ms if answered else None
         )
 
@@ -223,15 +223,23 @@
         self._now_ms = clock.now_ms()
         self._calls.pop(call_id, None)
         if isinstance(outcome, message.Reply):
-            self._owner.record_reply(self._route.name, outcome)
-        read = headers.call_outcome(outcome, self._top_count is not None)
-        self._note_outcome(call_id, read)
-        self._carry(self._plan.on_outcome(call_id, read, self._now_ms))
+            self._handler.record_reply(self._route.name, outcome)
+        call_outcome = headers.call_outcome(
+            outcome, self._top_count is not None
+        )
+        self._record_and_log_outcome(call_id, call_outcome)
+        self._execute(
+            self._plan.on_outcome(call_id, call_outcome, self._now_ms)
+        )
 
-    def _note_outcome(self, call_id: int, read: callcommand.Outcome) -> None:
-        self._note(call_id, read.reason or read.kind.value)
-        if not read.reached:
-            self._log_unreachable(call_id, read)
+    def _record_and_log_outcome(
+        self, call_id: int, call_outcome: callcommand.Outcome
+    ) -> None:
+        self._record_outcome(
+            call_id, call_outcome.reason or call_outcome.kind.value
+        )
+        if not call_outcome.reached:
+            self._log_unreachable(call_id, call_outcome)
 
     def _on_relayed(
         self,
@@ -246,53 +254,57 @@
         """
         self._now_ms = clock.now_ms()
         commands: list[callcommand.Command] = []
-        for call_id, read in outcomes.items():
+        for call_id, call_outcome in outcomes.items():
             if self._traces[call_id].outcome == calltrace.OPEN:
-                self._note_outcome(call_id, read)
-            commands.extend(self._plan.on_outcome(call_id, read, self._now_ms))
+                self._record_and_log_outcome(call_id, call_outcome)
+            commands.extend(
+                self._plan.on_outcome(call_id, call_outcome, self._now_ms)
+            )
         commands.extend(self._plan.on_stalled(waiting, self._now_ms))
-        self._carry(commands)
+        self._execute(commands)
 
-    def _arm(self) -> None:
+    def _schedule_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._due_ms = max(self._now_ms, self._plan.next_deadline_ms())
-        self._wake_after(self._due_ms - self._now_ms)
+        self._timer_due_ms = max(self._now_ms, self._plan.next_deadline_ms())
+        self._start_timer(self._timer_due_ms - self._now_ms)
 
-    def _wake_after(self, wait_ms: float) -> None:
+    def _start_timer(self, wait_ms: float) -> None:
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(wait_ms / message.MS_PER_S, self._on_time)
+        self._timer = loop.call_later(
+            wait_ms / message.MS_PER_S, self._on_timer
+        )
 
-    def _on_time(self) -> None:
+    def _on_timer(self) -> None:
         self._now_ms = clock.now_ms()
-        if self._now_ms - self._due_ms > TIMER_LATE_MS:
+        if self._now_ms - self._timer_due_ms > TIMER_LATE_MS:
             # The loop runs timers before it reads sockets.
-            self._due_ms = self._now_ms
-            self._wake_after(0.0)
+            self._timer_due_ms = self._now_ms
+            self._start_timer(0.0)
             return
         for each in self._relayed:
             each.check_overdue(self._now_ms)
-        self._carry(self._plan.on_timeout(self._now_ms))
+        self._execute(self._plan.on_timeout(self._now_ms))
 
     def on_attempts_granted(self) -> None:
         """Takes that the sender will not take the request back."""
         self._now_ms = clock.now_ms()
-        self._carry(self._plan.on_attempts_granted(self._now_ms))
+        self._execute(self._plan.on_attempts_granted(self._now_ms))
 
     def on_partition(self) -> None:
         """Gives up on other failure domains."""
         self._now_ms = clock.now_ms()
-        self._carry(self._plan.on_partition(self._now_ms))
+        self._execute(self._plan.on_partition(self._now_ms))
 
     def on_quarantined(self) -> None:
         """Gives up a request that was found to crash upstreams."""
         self._now_ms = clock.now_ms()
-        self._carry(self._plan.on_quarantined(self._now_ms))
+        self._execute(self._plan.on_quarantined(self._now_ms))
 
-    def _left(self) -> None:
+    def _on_caller_left(self) -> None:
         """Cancels everything: nobody waits for the answer."""
         self._now_ms = clock.now_ms()
-        self._carry(self._plan.on_caller_left(self._now_ms))
+        self._execute(self._plan.on_caller_left(self._now_ms))
         self._end(0, "caller_left")
 
     def _finish(self, result: callcommand.Result) -> None:
@@ -300,12 +312,12 @@
             case callcommand.Answer(replies=replies, part_count=part_count):
                 reply = self._answer(replies, part_count)
                 detail = f"{len(replies)}/{part_count}"
-                self._owner.metrics.missing_parts.add(
+                self._handler.metrics.missing_parts.add(
                     {"route": self._route.name}, part_count - len(replies)
                 )
             case callcommand.Refuse(reason=detail):
                 status = http.HTTPStatus.SERVICE_UNAVAILABLE
-                wait_ms = self._owner.retry_delay_ms(detail)
+                wait_ms = self._handler.retry_delay_ms(detail)
                 reply = message.problem_reply(status, detail, wait_ms)
             case callcommand.Fail(
                 reason=detail, reply=message.Reply() as failure
@@ -313,7 +325,7 @@
                 reply = headers.single_reply(failure)
             case callcommand.Fail(reason=detail, timed_out=timed_out):
                 if detail == callresult.CRASHES_UPSTREAMS:
-                    self._owner.metrics.suspicion_events.inc(
+                    self._handler.metrics.suspicion_events.inc(
                         {"what": "refused"}
                     )
                 status = (
@@ -323,17 +335,17 @@
                 )
                 reply = message.problem_reply(status, detail)
         self._exchange.answer(reply)
-        self._note_late(result)
+        self._record_lateness(result)
         self._end(reply.status, detail)
 
-    def _note_late(self, result: callcommand.Result) -> None:
+    def _record_lateness(self, result: callcommand.Result) -> None:
         """Notes how late an answer is that was given at the goal."""
-        decided_ms, goal_at_ms = self._now_ms, self._ask.goal_at_ms
+        decided_at_ms, goal_at_ms = self._now_ms, self._plan_request.goal_at_ms
         match result:
             case callcommand.Answer(replies=replies, part_count=part_count) if (
-                len(replies) < part_count and decided_ms >= goal_at_ms
+                len(replies) < part_count and decided_at_ms >= goal_at_ms
             ):
-                self._owner.record_lateness(clock.now_ms() - goal_at_ms)
+                self._handler.record_lateness(clock.now_ms() - goal_at_ms)
 
     def _answer(
         self, replies: tuple[message.Reply, ...], part_count: int
@@ -342,7 +354,7 @@
             return headers.single_reply(replies[0])
         bodies = tuple(each.body for each in replies)
         return headers.merged_reply(
-            self._facts.request_id,
+            self._metadata.request_id,
             replies,
             part_count,
             records.greatest(bodies, self._top_count),
@@ -351,15 +363,15 @@
     def _end(self, status: int, detail: str) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._owner.active_runs.discard(self)
+        self._handler.active_runs.discard(self)
         for each in self._relayed:
             each.cancel()
         now_ms = clock.now_ms()
         started_ms = self._exchange.request.received_ms
-        self._count(status, now_ms - started_ms)
+        self._count_request(status, now_ms - started_ms)
         log.write(
             log.Event.REQUEST_ENDED,
-            request_id=self._facts.request_id.decode("latin-1"),
+            request_id=self._metadata.request_id.decode("latin-1"),
             fingerprint=self.fingerprint,
             route=self._route.name,
             status=status,
@@ -368,47 +380,49 @@
             wait_ms=self._wait_ms,
             spent_ms=round(self._spent_ms, 1),
             version=self._version,
-            version_age_ms=round(now_ms - self._owner.view.config_applied_ms),
-            list_age_ms=round(now_ms - self._owner.view.list_read_ms),
+            version_age_ms=round(now_ms - self._handler.view.config_applied_ms),
+            list_age_ms=round(now_ms - self._handler.view.list_read_ms),
             attempts_count=self._plan.attempts.limit_count,
             widest_count=self._plan.max_reached_count,
             calls=[each.describe(started_ms) for each in self._traces.values()],
-            **self._named(),
+            **self._target_fields(),
         )
 
-    def _named(self) -> dict[str, str]:
+    def _target_fields(self) -> dict[str, str]:
         """Returns where to find a request under which upstreams ended."""
         if not self._plan.caution.crash_count:
             return {}
         return calltrace.target_fields(
-            self._facts.host, self._exchange.request.target
+            self._metadata.host, self._exchange.request.target
         )
 
-    def _count(self, status: int, took_ms: float) -> None:
-        counted = self._owner.metrics
+    def _count_request(self, status: int, took_ms: float) -> None:
+        collectors = self._handler.metrics
         labels = {"route": self._route.name}
-        counted.requests.inc({**labels, "status": str(status)})
-        counted.request_ms.observe(labels, took_ms)
+        collectors.requests.inc({**labels, "status": str(status)})
+        collectors.request_ms.observe(labels, took_ms)
         if self._plan.max_reached_count >= self._plan.attempts.limit_count:
-            counted.requests_at_attempt_limit.inc(labels)
+            collectors.requests_at_attempt_limit.inc(labels)
 
-    def _log_extra(self, command: callcommand.Send) -> None:
-        self._owner.metrics.extra_calls.inc(
+    def _log_extra_call(self, command: callcommand.Send) -> None:
+        self._handler.metrics.extra_calls.inc(
             {"service": command.upstream.service, "why": command.extra_reason}
         )
         log.write(
             log.Event.CALL_EXTRA,
-            request_id=self._facts.request_id.decode("latin-1"),
+            request_id=self._metadata.request_id.decode("latin-1"),
             upstream=command.upstream.upstream_id,
             service=command.upstream.service,
             why=command.extra_reason,
             after_ms=round(self._now_ms - self._exchange.request.received_ms),
         )
 
-    def _log_unreachable(self, call_id: int, read: callcommand.Outcome) -> None:
+    def _log_unreachable(
+        self, call_id: int, call_outcome: callcommand.Outcome
+    ) -> None:
         log.write(
             log.Event.UPSTREAM_UNREACHABLE,
-            request_id=self._facts.request_id.decode("latin-1"),
+            request_id=self._metadata.request_id.decode("latin-1"),
             upstream=self._traces[call_id].upstream_id,
-            reason=read.reason,
+            reason=call_outcome.reason,
         )
--- a/hyssoptack/gateway/statuspages.py
+++ b/hyssoptack/gateway/statuspages.py
@@ -9,7 +9,7 @@
 from hyssoptack.http1 import message
 from hyssoptack.platform import headers
 
-Facts = collections.abc.Callable[[float], dict[str, float]]
+GaugeSource = collections.abc.Callable[[float], dict[str, float]]
 """Returns facts of the instance by name, at a time."""
 
 
@@ -18,9 +18,9 @@
 
     def __init__(
         self,
-        counted: metrics.Metrics,
+        collectors: metrics.Metrics,
         is_ready: collections.abc.Callable[[], bool],
-        facts: Facts,
+        read_gauges: GaugeSource,
     ):
         """Makes the pages.
 
@@ -29,10 +29,10 @@
             is_ready: Whether it takes callers.
             facts: Returns what else the page of metrics shows.
         """
-        self._metrics = counted
+        self._metrics = collectors
         self._is_ready = is_ready
-        self._facts = facts
-        self._said_ready = False
+        self._read_gauges = read_gauges
+        self._last_logged_ready = False
 
     def answer_readiness(self, exchange: httpserver.Exchange) -> None:
         """Tells the balancer whether to send callers."""
@@ -40,7 +40,7 @@
             exchange.answer(message.problem_reply(404, "unknown_path"))
             return
         ready = self._is_ready()
-        self._note_ready(ready)
+        self._log_readiness_change(ready)
         if ready:
             reply = message.Reply(status=200, headers=(), body=b"")
         else:
@@ -49,7 +49,7 @@
 
     def answer_metrics(self, exchange: httpserver.Exchange) -> None:
         """Shows the metrics, at any path."""
-        for name, value in self._facts(clock.now_ms()).items():
+        for name, value in self._read_gauges(clock.now_ms()).items():
             self._metrics.instance_facts.set({"name": name}, value)
         page = self._metrics.render_text()
         page_headers = ((b"Content-Type", b"text/plain; version=0.0.4"),)
@@ -57,7 +57,7 @@
             message.Reply(status=200, headers=page_headers, body=page)
         )
 
-    def _note_ready(self, ready: bool) -> None:
-        if ready != self._said_ready:
-            self._said_ready = ready
+    def _log_readiness_change(self, ready: bool) -> None:
+        if ready != self._last_logged_ready:
+            self._last_logged_ready = ready
             log.write(log.Event.READY, ready=ready)
