--- a/hyssoptack/gateway/__init__.py
+++ b/hyssoptack/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway daemon: takes callers' requests and calls upstreams."""
+"""The gateway daemon: routes callers' requests to upstreams."""
--- a/hyssoptack/gateway/callrelay.py
+++ b/hyssoptack/gateway/callrelay.py
@@ -1,7 +1,7 @@
-"""Calls of queries that instances of other failure domains make.
+"""Relays calls of queries to gatherers: instances in other failure domains.
 
-`policy.gatherers` says who makes them. The plan of a query decides on each call
-and learns its outcome as if it had been made from here.
+`policy.gatherers` selects the gatherer. The query's plan decides on each call
+and receives its outcome as if this instance had made the call.
 """
 
 import collections.abc
@@ -21,27 +21,28 @@
 Send = collections.abc.Callable[[str, gatewaymessage.Message], None]
 
 KINDS_BY_NAME = {each.value: each for each in callcommand.OutcomeKind}
-"""What a call's outcome may be, by its name in messages."""
+"""Outcome kinds by their name in messages."""
 
 OnOutcomes = collections.abc.Callable[
     [dict[int, callcommand.Outcome], tuple[int, ...]], None
 ]
-"""Takes outcomes by call, and the calls that wait for their upstreams."""
+"""Receives outcomes by call id, and the ids of calls that still wait for their
+upstreams."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Query:
-    """What relayed calls of one query have in common.
+    """The query that relayed calls belong to.
 
     Attributes:
-        request_id: The caller's id of it.
-        route_name: Its route.
-        top_count: Records that its answer has at most.
-        fingerprint: Names its content.
-        forwarded: Its head and body.
-        deadline_at_ms: When its caller stops waiting.
-        goal_at_ms: When its answer loses most of its use.
-        on_outcomes: Takes the outcomes.
+        request_id: The caller's request id.
+        route_name: The route of the query.
+        top_count: Maximum number of records in the answer.
+        fingerprint: Hash that identifies the query's content.
+        forwarded: Head and body that are sent to upstreams.
+        deadline_at_ms: Time at which the caller stops waiting.
+        goal_at_ms: Time after which the answer loses most of its value.
+        on_outcomes: Receives the outcomes of the calls.
     """
 
     request_id: bytes
@@ -55,7 +56,7 @@
 
 
 class CallRelay:
-    """The calls of this instance's queries that others make."""
+    """Tracks the calls that this instance relays to gatherers."""
 
     def __init__(
         self,
@@ -64,13 +65,13 @@
         send: Send,
         enabled: bool,
     ):
-        """Makes the calls of one instance, of which there are none yet.
+        """Creates a relay without any calls.
 
         Args:
-            known: Chooses who makes calls.
-            own_address: Where this instance takes messages.
+            selector: Selects the gatherer of a failure domain.
+            own_address: Address at which this instance receives messages.
             send: Sends a message to an address.
-            enabled: Whether others make calls at all.
+            enabled: Whether calls are relayed at all.
         """
         self.selector = selector
         self.own_address = own_address
@@ -80,7 +81,7 @@
         self._ask_ids = correlationids.new_sequence()
 
     def choose_gatherer(self, failure_domain: str) -> member.Peer | None:
-        """Returns who makes calls in a domain; None to make them from here."""
+        """Returns the gatherer of a domain, or None to make calls directly."""
         if not self._enabled or not self.own_address:
             return None
         return self.selector.choose(failure_domain, clock.now_ms())
@@ -91,7 +92,7 @@
         query: Query,
         calls: collections.abc.Sequence[callcommand.Send],
     ) -> "PendingRelay":
-        """Lets an instance make calls of a query."""
+        """Sends calls of a query to a gatherer."""
         ask_id = next(self._ask_ids)
         pending = PendingRelay(self, peer, query, ask_id)
         self.pending[ask_id] = pending
@@ -99,25 +100,25 @@
         return pending
 
     def on_batch(self, batch: gatewaymessage.RelayBatch) -> None:
-        """Takes outcomes; those of a query that has ended change nothing."""
+        """Handles outcomes; those of a query that has ended are ignored."""
         pending = self.pending.get(batch.ask_id)
         if pending is not None and pending.peer.address == batch.sender_address:
             pending.on_batch(batch)
 
     def on_undelivered(self, ask: gatewaymessage.RelayRequest) -> None:
-        """Takes that an ask was not sent."""
+        """Handles a relay request that could not be delivered."""
         if (pending := self.pending.get(ask.ask_id)) is not None:
             pending.on_lost(sent=False)
 
     def on_link_lost(self, address: str) -> None:
-        """Takes that the connection to an instance has ended."""
+        """Handles the loss of the connection to a gatherer."""
         for each in tuple(self.pending.values()):
             if each.peer.address == address:
                 each.on_lost(sent=True)
 
 
 class PendingRelay:
-    """Calls of one query that one instance was asked to make."""
+    """Calls of one query that were relayed to one gatherer."""
 
     def __init__(
         self, relay: CallRelay, peer: member.Peer, query: Query, ask_id: int
@@ -132,7 +133,7 @@
         self.overdue_at_ms = math.inf
 
     def start(self, calls: collections.abc.Sequence[callcommand.Send]) -> None:
-        """Sends the ask."""
+        """Sends the relay request to the gatherer."""
         self._open_ids = {each.call_id for each in calls}
         self._relay.selector.begin_query(self.peer)
         now_ms = clock.now_ms()
@@ -162,7 +163,7 @@
         self._relay.send(self.peer.address, ask)
 
     def on_batch(self, batch: gatewaymessage.RelayBatch) -> None:
-        """Takes what became of some calls."""
+        """Records the outcomes of some calls and passes them to the query."""
         if not self._has_reported:
             self._has_reported = True
             took_ms = clock.now_ms() - self._sent_ms
@@ -186,17 +187,17 @@
         self._query.on_outcomes(outcomes, waiting)
 
     def check_overdue(self, now_ms: float) -> None:
-        """Takes the time: an instance whose word is overdue may be gone."""
+        """Records the gatherer as lost if its first report is overdue."""
         if now_ms >= self.overdue_at_ms and not self._has_reported:
             self.overdue_at_ms = math.inf
             self._relay.selector.record_loss(self.peer, clock.now_ms())
             self._log("silent")
 
     def on_lost(self, sent: bool) -> None:
-        """Takes that the instance is gone, or that it was never asked.
+        """Ends the calls because the gatherer is lost or unreachable.
 
         Args:
-            sent: Whether it may have made the calls.
+            sent: Whether the gatherer may have made the calls.
         """
         self._relay.selector.record_loss(self.peer, clock.now_ms())
         self._log("link_lost" if sent else "unreachable")
@@ -211,7 +212,7 @@
         self._query.on_outcomes(dict.fromkeys(self._open_ids, outcome), ())
 
     def cancel(self) -> None:
-        """Ends the calls that are still out: nobody waits for them."""
+        """Cancels the open calls, because the query has ended."""
         if self._ask_id not in self._relay.pending:
             return
         self._end()
--- a/hyssoptack/gateway/callrelay_test.py
+++ b/hyssoptack/gateway/callrelay_test.py
@@ -1,4 +1,4 @@
-"""Calls that instances of other domains make: answered, refused, lost."""
+"""Tests of calls relayed to other failure domains."""
 
 import asyncio
 
@@ -11,11 +11,11 @@
 
 
 async def _start_north_and_south(site, with_west=False):
-    """An instance in the north; the shards' upstreams are in the south.
+    """Starts an instance in the north and one beside upstreams in the south.
 
     Args:
         site: The site.
-        both: Whether each shard has a second upstream in the west.
+        with_west: Whether each shard has a second upstream in the west.
     """
     for index in range(SHARD_COUNT):
         body = bytes([index]) * 16 + bytes([200 - index]) * 16
@@ -35,7 +35,7 @@
     return [s.run_counts[request_id] for s in site.services.values()]
 
 
-def test_an_instance_beside_the_upstreams_makes_the_calls():
+def test_calls_to_another_domain_are_relayed_to_its_gatherer():
     async def test():
         async with harness.Site() as site:
             north = await _start_north_and_south(site)
@@ -55,7 +55,7 @@
     asyncio.run(test())
 
 
-def test_an_instance_that_is_gone_costs_no_answer():
+def test_a_killed_gatherer_causes_no_failed_or_partial_answers():
     async def test():
         async with harness.Site() as site:
             await _start_north_and_south(site)
@@ -68,9 +68,9 @@
     asyncio.run(test())
 
 
-def test_a_silent_instance_is_hedged_within_the_routes_attempts():
-    # A frozen process: it takes messages and says nothing. What it was asked
-    # for counts as sent, so that no shard runs on a third upstream.
+def test_a_silent_gatherer_is_hedged_within_the_routes_attempts():
+    # A frozen process receives messages without answering. The calls relayed
+    # to it count as sent; otherwise a shard could run on a third upstream.
     async def test():
         async with harness.Site() as site:
             north = await _start_north_and_south(site, with_west=True)
@@ -88,7 +88,7 @@
     asyncio.run(test())
 
 
-def test_a_stopping_instance_declines_and_the_calls_go_from_here():
+def test_a_stopping_gatherer_declines_and_the_calls_are_made_directly():
     async def test():
         async with harness.Site() as site:
             north = await _start_north_and_south(site)
@@ -101,7 +101,7 @@
     asyncio.run(test())
 
 
-def test_an_instance_that_stood_still_makes_no_calls_that_may_be_old():
+def test_a_gatherer_declines_calls_after_a_stall():
     async def test():
         async with harness.Site() as site:
             await _start_north_and_south(site)
@@ -114,7 +114,7 @@
     asyncio.run(test())
 
 
-def test_an_upstream_that_leaves_by_what_is_known_there_is_not_called():
+def test_an_upstream_known_to_drain_at_the_gatherer_is_not_called():
     async def test():
         async with harness.Site() as site:
             await _start_north_and_south(site, with_west=True)
@@ -133,7 +133,7 @@
     asyncio.run(test())
 
 
-def test_a_caller_that_leaves_ends_the_calls_there():
+def test_a_caller_that_disconnects_cancels_the_relayed_calls():
     async def test():
         async with harness.Site() as site:
             await _start_north_and_south(site)
@@ -156,7 +156,7 @@
     asyncio.run(test())
 
 
-def test_a_lost_instance_takes_nothing_along_but_its_calls():
+def test_losing_a_gatherer_during_calls_does_not_fail_the_query():
     async def test():
         async with harness.Site() as site:
             await _start_north_and_south(site, with_west=True)
@@ -174,7 +174,7 @@
     asyncio.run(test())
 
 
-def test_foreign_and_repeated_batches_change_nothing():
+def test_batches_from_another_sender_are_ignored():
     async def test():
         async with harness.Site() as site:
             north = await _start_north_and_south(site)
@@ -200,7 +200,7 @@
 
 
 def test_a_head_request_is_not_relayed():
-    # A gatherer would wait for bodies that never come.
+    # A gatherer would wait for bodies, which replies to HEAD do not have.
     async def test():
         async with harness.Site() as site:
             north = await _start_north_and_south(site)
--- a/hyssoptack/gateway/calltrace.py
+++ b/hyssoptack/gateway/calltrace.py
@@ -1,17 +1,27 @@
-"""What became of each call of a request, for its line in the log."""
+"""Traces of a request's calls, for the request's log line."""
 
 import dataclasses
 
 TARGET_LOGGED_BYTES = 200
-"""Most of a path and query that a line names."""
+"""Maximum length of the request target (path and query) in a log line."""
 
 OPEN = "open"
-"""What became of a call that is still out."""
+"""Outcome of a call that has not ended."""
 
 
 @dataclasses.dataclass(kw_only=True)
 class Trace:
-    """One call, for the log line of its request."""
+    """One call of a request.
+
+    Attributes:
+        upstream_id: The upstream called.
+        service: The service of the upstream.
+        sent_ms: Time at which the call was sent.
+        extra: Reason of an extra call; empty for the first call of a part.
+        gatherer_id: The instance that makes the call; empty if it is this one.
+        outcome: Outcome of the call, or `OPEN` until it ends.
+        took_ms: Duration of the call.
+    """
 
     upstream_id: str
     service: str
@@ -22,17 +32,17 @@
     took_ms: float = 0.0
 
     def describe(self, started_ms: float) -> str:
-        """Returns the call as `upstream[@gatherer] why +start took outcome`."""
+        """Returns `upstream[@gatherer] reason +start duration outcome`."""
         after_ms = self.sent_ms - started_ms
         reason = self.extra or "first"
         gatherer = f"@{self.gatherer_id}" if self.gatherer_id else ""
         return (
-            f"{self.upstream_id}{by} {why} +{after_ms:.0f} "
+            f"{self.upstream_id}{gatherer} {reason} +{after_ms:.0f} "
             f"{self.took_ms:.0f} {self.outcome}"
         )
 
 
 def target_fields(host: str, target: bytes) -> dict[str, str]:
-    """Returns the fields by which a line names a request for a person."""
+    """Returns the log fields that show a request's host and target."""
     shown = target[:TARGET_LOGGED_BYTES].decode("latin-1")
     return {"host": host, "target": shown}
--- a/hyssoptack/gateway/correlationids.py
+++ b/hyssoptack/gateway/correlationids.py
@@ -1,17 +1,17 @@
-"""Numbers of what an instance asks others for."""
+"""Correlation ids of requests that an instance sends to its peers."""
 
 import collections.abc
 import itertools
 import secrets
 
 START_BITS = 48
-"""Random bits of an incarnation's first number."""
+"""Random bits of the first correlation id of an incarnation."""
 
 
 def new_sequence() -> collections.abc.Iterator[int]:
-    """Returns numbers that no earlier incarnation of this instance has used.
+    """Returns an iterator of ids that earlier incarnations have not used.
 
-    Others may still work for a predecessor that had the same address; their
-    answers to it must not pass for answers to its successor.
+    Peers may still process requests of an earlier incarnation at the same
+    address. Their answers must not be taken for answers to this incarnation.
     """
     return itertools.count(secrets.randbits(START_BITS))
--- a/hyssoptack/gateway/delegation_attempts_test.py
+++ b/hyssoptack/gateway/delegation_attempts_test.py
@@ -1,4 +1,4 @@
-"""A route's attempts, where a query is handed over and taken back."""
+"""Tests that queries delegated and taken back keep to the route's attempts."""
 
 import asyncio
 
@@ -24,17 +24,17 @@
 
 
 async def _start_pair(site, **changes):
-    """A narrow instance and a wide one, over shards of four upstreams each."""
+    """Starts instances with a narrow and a wide link; 4 upstreams a shard."""
     for shard in range(SHARD_COUNT):
         body = bytes([shard]) * 16
         for number in range(UPSTREAM_COUNT):
-            await site.add_upstream(f"i-{shard}-{copy}", f"s{shard}", body)
+            await site.add_upstream(f"i-{shard}-{number}", f"s{shard}", body)
     site.configure({**SHARDS, **changes})
     return await site.start_delegating_pair()
 
 
 def _delay(gateway, kinds, delay_s):
-    """Makes a gateway late in reading some messages; their order stays."""
+    """Delays a gateway's handling of some messages, keeping their order."""
     deliver, loop = gateway._peering.on_message, asyncio.get_running_loop()
 
     def deliver_late(each):
@@ -47,10 +47,10 @@
 
 
 def _max_upstream_count(site, request_id):
-    """Returns the most upstreams of one shard that ran a request."""
+    """Returns the highest number of a shard's upstreams that ran a request."""
     return max(
         sum(
-            site.services[f"i-{shard}-{copy}"].run_counts[request_id] > 0
+            site.services[f"i-{shard}-{number}"].run_counts[request_id] > 0
             for number in range(UPSTREAM_COUNT)
         )
         for shard in range(SHARD_COUNT)
@@ -58,16 +58,17 @@
 
 
 def _make_choices_differ(site, narrow):
-    """Lets two instances prefer different upstreams of a silent shard."""
+    """Makes two instances prefer different upstreams of a silent shard."""
     for number in range(UPSTREAM_COUNT):
-        site.services[f"i-0-{copy}"].behaviour.never = True
+        site.services[f"i-0-{number}"].behaviour.never = True
     for number in range(ATTEMPTS_COUNT):
         for _ in range(OPEN_CALL_COUNT):
-            narrow._placing.begin_call(f"i-0-{copy}", 0.0)
+            narrow._placing.begin_call(f"i-0-{number}", 0.0)
 
 
 def test_a_query_taken_back_from_a_late_neighbour_keeps_to_its_attempts():
-    # The neighbour made a first call and a hedge, its sender a third call.
+    # Without the limit the neighbour makes a first call and a hedge, and the
+    # sender that takes the query back makes a third call.
     async def test():
         async with harness.Site() as site:
             narrow, wide = await _start_pair(site)
@@ -82,8 +83,9 @@
     asyncio.run(test())
 
 
-def test_a_query_taken_back_as_its_link_broke_keeps_to_its_attempts():
-    # The neighbour's word and the sender's are both lost with the link.
+def test_a_query_taken_back_after_a_lost_link_keeps_to_its_attempts():
+    # The neighbour's status and the sender's cancellation are both lost with
+    # the link.
     async def test():
         async with harness.Site() as site:
             narrow, wide = await _start_pair(site)
@@ -101,8 +103,8 @@
     asyncio.run(test())
 
 
-def test_a_query_that_may_run_once_only_is_not_handed_over():
-    # One that is taken back may have run.
+def test_a_query_that_may_run_only_once_is_not_delegated():
+    # A query that is taken back may already have run at the neighbour.
     async def test():
         async with harness.Site() as site:
             narrow, wide = await _start_pair(site, route_type="unsafe")
@@ -118,7 +120,7 @@
     asyncio.run(test())
 
 
-def test_a_neighbour_hedges_once_its_sender_has_heard_of_the_beginning(
+def test_a_neighbour_hedges_once_its_sender_has_committed_the_query(
     monkeypatch,
 ):
     monkeypatch.setattr(delegation, "ACCEPT_TIMEOUT_MS", LONG_ACCEPT_TIMEOUT_MS)
--- a/hyssoptack/gateway/derivedsettings.py
+++ b/hyssoptack/gateway/derivedsettings.py
@@ -1,4 +1,4 @@
-"""What a gateway's parts need of its settings."""
+"""Derives settings of a gateway's components from the gateway settings."""
 
 from hyssoptack.core import member
 from hyssoptack.policy import loadbalancer
@@ -8,7 +8,7 @@
 def load_balancer_settings(
     settings: gateway.GatewaySettings,
 ) -> loadbalancer.LoadBalancerSettings:
-    """Returns how upstreams are weighed."""
+    """Returns the settings of the load balancer."""
     return loadbalancer.LoadBalancerSettings(
         failure_domain=settings.failure_domain,
         crossing_ratio=settings.crossing_ratio,
@@ -17,7 +17,7 @@
 
 
 def own_peer(settings: gateway.GatewaySettings) -> member.Peer:
-    """Returns an instance as others know it."""
+    """Returns the peer record under which others know this instance."""
     return member.Peer(
         instance_id=settings.instance_id,
         failure_domain=settings.failure_domain,
@@ -27,5 +27,5 @@
 
 
 def delegation_link_mbps(settings: gateway.GatewaySettings) -> float:
-    """Returns the width by which queries are handed over; 0 for never."""
+    """Returns the link bandwidth for delegation, or 0 if it is disabled."""
     return settings.link_mbps if settings.mechanisms.handing_over else 0.0
--- a/hyssoptack/gateway/exceptionlog.py
+++ b/hyssoptack/gateway/exceptionlog.py
@@ -1,4 +1,4 @@
-"""Logs faults of ours that a callback met."""
+"""Logs unhandled exceptions in event loop callbacks."""
 
 import asyncio
 import traceback
@@ -9,7 +9,7 @@
 def log_callback_exception(
     _loop: asyncio.AbstractEventLoop, context: dict[str, object]
 ) -> None:
-    """Logs a fault of ours in a callback; other requests go on."""
+    """Logs an unhandled exception; other requests are not affected."""
     exception = context.get("exception")
     trace = (
         "".join(traceback.format_exception(exception))
--- a/hyssoptack/gateway/gateway_test.py
+++ b/hyssoptack/gateway/gateway_test.py
@@ -1,4 +1,4 @@
-"""A whole gateway between stand-ins: what callers and upstreams see."""
+"""Tests of a whole gateway between simulated callers, upstreams and store."""
 
 import asyncio
 import dataclasses
@@ -19,7 +19,7 @@
 
 
 def run(test):
-    """Runs an async test on a loop of its own."""
+    """Runs an async test on its own event loop."""
     asyncio.run(test)
 
 
@@ -67,7 +67,7 @@
     run(test())
 
 
-def test_a_silent_shard_is_left_out_at_the_goal():
+def test_a_silent_shard_is_omitted_at_the_latency_goal():
     async def test():
         async with harness.Site() as site:
             await _start_sharded_service(site)
@@ -82,7 +82,7 @@
     run(test())
 
 
-def test_below_the_floor_a_query_fails_and_says_nothing_of_not_running():
+def test_a_query_below_the_coverage_floor_fails_without_retry_after():
     async def test():
         async with harness.Site() as site:
             await _start_sharded_service(site)
@@ -95,7 +95,7 @@
     run(test())
 
 
-def test_a_request_that_may_run_once_is_not_sent_again_after_a_reset():
+def test_a_non_idempotent_request_is_not_retried_after_a_reset():
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site)
@@ -110,7 +110,7 @@
     run(test())
 
 
-def test_a_request_that_may_run_once_goes_on_after_a_refusal():
+def test_a_non_idempotent_request_is_retried_after_a_refusal():
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site)
@@ -125,7 +125,7 @@
     run(test())
 
 
-def test_a_request_that_all_refuse_is_refused_and_never_runs():
+def test_a_request_refused_by_all_upstreams_gets_503_and_never_runs():
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site)
@@ -141,7 +141,7 @@
     run(test())
 
 
-def test_an_idempotent_request_is_sent_again_after_a_reset():
+def test_an_idempotent_request_is_retried_after_a_reset():
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site)
@@ -159,7 +159,7 @@
 
 
 @pytest.mark.parametrize("fault", ["twice", "stale_first", "unframed"])
-def test_an_answer_to_another_request_reaches_nobody(fault):
+def test_a_reply_to_another_request_is_not_passed_on(fault):
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site, 1)
@@ -176,7 +176,7 @@
 
 
 @pytest.mark.parametrize("fault", ["unsigned", "cut"])
-def test_a_spoilt_success_is_never_passed_on(fault):
+def test_an_unsigned_or_truncated_success_is_not_passed_on(fault):
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site, 1)
@@ -187,7 +187,7 @@
     run(test())
 
 
-def test_an_address_used_again_by_another_upstream_runs_nothing():
+def test_a_request_does_not_run_at_an_address_reused_by_another_upstream():
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site, 1)
@@ -199,7 +199,7 @@
     run(test())
 
 
-def test_a_caller_that_leaves_cancels_the_work():
+def test_a_caller_that_disconnects_cancels_the_upstream_call():
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site, 1)
@@ -216,7 +216,7 @@
     run(test())
 
 
-def test_a_kept_connection_serves_many_and_pipelined_requests_in_order():
+def test_a_persistent_connection_answers_pipelined_requests_in_order():
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site, 1)
@@ -256,7 +256,9 @@
         (b"GET /one/x HTTP/1.1\r\nHost: shop", 408),
     ],
 )
-def test_bad_input_gets_a_clear_refusal(data, status):
+def test_invalid_input_gets_its_error_status_and_reaches_no_upstream(
+    data, status
+):
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site, 1)
@@ -270,7 +272,7 @@
     run(test())
 
 
-def test_a_chunked_body_reaches_the_upstream_whole():
+def test_a_chunked_body_reaches_the_upstream_with_a_content_length():
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site, 1)
@@ -289,7 +291,7 @@
     run(test())
 
 
-def test_before_a_configuration_requests_are_refused_and_not_denied():
+def test_requests_get_503_and_not_404_before_a_configuration_is_read():
     async def test():
         async with harness.Site() as site:
             await site.start(ready=False)
@@ -306,7 +308,7 @@
     run(test())
 
 
-def test_a_new_configuration_is_in_force_soon_and_an_older_one_never():
+def test_a_newer_configuration_is_applied_and_an_older_one_is_not():
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site, 1)
@@ -322,7 +324,7 @@
     run(test())
 
 
-def test_a_leaving_upstream_gets_nothing_after_it_said_so():
+def test_a_draining_upstream_gets_no_new_requests():
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site)
@@ -353,7 +355,7 @@
     run(test())
 
 
-def test_a_silent_store_stops_nothing_and_is_noticed():
+def test_requests_are_served_while_the_store_is_silent():
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site, 1)
@@ -369,7 +371,7 @@
     run(test())
 
 
-def test_a_split_keeps_its_weights():
+def test_a_traffic_split_keeps_its_weights():
     async def test():
         async with harness.Site() as site:
             await site.add_upstream("i-0", "a")
@@ -391,7 +393,7 @@
     run(test())
 
 
-def test_a_planned_stop_finishes_what_is_in_progress():
+def test_a_planned_stop_finishes_requests_in_progress():
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site, 1)
@@ -410,7 +412,7 @@
     run(test())
 
 
-def test_a_changed_settings_file_is_taken_and_a_bad_one_changes_nothing(
+def test_a_reload_applies_valid_settings_and_ignores_invalid_ones(
     tmp_path,
 ):
     async def test():
--- a/hyssoptack/gateway/gathererservice.py
+++ b/hyssoptack/gateway/gathererservice.py
@@ -1,8 +1,8 @@
-"""Calls that this instance makes for queries of other failure domains.
+"""Makes calls that instances of other failure domains relay to this one.
 
-It makes those that it is asked for, once each, and tells their outcomes: the
-answers together once no more come in, each later one when it comes. Whether a
-call is made again, and when it is given up, is for the asking instance.
+Each call is made once. Answers are reported together once no more arrive, and
+each later answer as it arrives. The requesting instance decides on retries and
+timeouts of calls.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 from hyssoptack.policy import records
 
 RELAYED_RANK = sys.maxsize
-"""Urgency of relayed calls where an upstream is scarce: queries of its own
+"""Rank of relayed calls for scarce upstreams: queries of the upstream's own
 domain go first."""
 
 Send = collections.abc.Callable[[str, gatewaymessage.Message], None]
@@ -34,7 +34,7 @@
 
 
 class GathererService:
-    """All calls that this instance makes for others."""
+    """Tracks the relayed calls that this instance makes."""
 
     def __init__(
         self,
@@ -45,15 +45,16 @@
         is_stale: collections.abc.Callable[[], bool],
         suspicions: quarantine.SuspectRegistry,
     ):
-        """Makes the calls of one instance, of which there are none yet.
+        """Creates a service without any calls.
 
         Args:
-            believed: The upstreams, what they have shown, and connections.
-            own_address: Where this instance takes messages.
+            view: Upstreams, their load balancer state and connection pools.
+            own_address: Address at which this instance receives messages.
             send: Sends a message to an address.
-            limit_count: Returns how many connections an upstream may get.
-            is_stale: Whether messages may be old, as this process stood still.
-            suspicions: Which requests crash upstreams.
+            limit_count: Returns the connection limit for an upstream.
+            is_stale: Returns whether received messages may date from a stall
+                of this process.
+            suspicions: Registry of requests that crash upstreams.
         """
         self.view = view
         self.own_address = own_address
@@ -64,11 +65,11 @@
         self.active_gathers: dict[tuple[str, int], GatherTask] = {}
 
     def accept(self, ask: gatewaymessage.RelayRequest, ready: bool) -> None:
-        """Makes calls, or says at once that it makes none.
+        """Makes the calls of a relay request, or declines them at once.
 
         Args:
-            ask: The calls.
-            ready: Whether this instance takes new work.
+            ask: The relay request.
+            ready: Whether this instance accepts new work.
         """
         key = ask.sender_address, ask.ask_id
         if key in self.active_gathers:
@@ -84,14 +85,14 @@
         gather.start()
 
     def on_cancel(self, cancel: gatewaymessage.RelayCancel) -> None:
-        """Ends the calls of a query that nobody waits for any more."""
+        """Cancels the calls of a query that has ended."""
         gather = self.active_gathers.get((cancel.sender_address, cancel.ask_id))
         if gather is not None:
             gather.end()
 
 
 class GatherTask:
-    """The calls of one ask."""
+    """The calls of one relay request."""
 
     def __init__(
         self, service: GathererService, ask: gatewaymessage.RelayRequest
@@ -117,13 +118,13 @@
         )
 
     def decline(self, reason: str) -> None:
-        """Says that no call was made, nor will be."""
+        """Reports all calls as not run."""
         for each in self._ask.calls:
             self._unsent.append(_not_run(each.call_id, reason))
         self._flush()
 
     def start(self) -> None:
-        """Makes the calls."""
+        """Makes the calls and schedules the first report."""
         for each in self._ask.calls:
             upstream = self._service.view.load_balancer.usable_upstream(
                 each.upstream_id, RELAYED_RANK, self._started_ms
@@ -171,7 +172,8 @@
         call_outcome = headers.call_outcome(outcome, is_part=True)
         load_balancer = self._service.view.load_balancer
         load_balancer.end_call(upstream_id)
-        # The asking instance learns from the call as well.
+        # The requesting instance records the outcome in its own load balancer
+        # as well.
         callfeedback.record_outcome(
             load_balancer,
             self._ask.route_name,
@@ -184,7 +186,8 @@
         if is_answered:
             self._hedge_timing.record_answer(now_ms)
         self._unsent.append(self._relayed_outcome(call_id, call_outcome))
-        # What failed may be sent again, and what is late is waited for.
+        # Failures are reported at once because they may be retried, and late
+        # answers because the requesting instance waits for them.
         if not self._open_upstream_ids or not is_answered or self._reported:
             self._flush_soon()
         else:
@@ -214,7 +217,7 @@
             ended=call_outcome.upstream_exited,
         )
 
-    # Telling.
+    # Reports to the requesting instance.
 
     def _schedule_report(self) -> None:
         if self._reported:
@@ -236,12 +239,12 @@
         )
 
     def _report(self, dried_up: bool) -> None:
-        """Tells what is there, or at least that this instance lives."""
+        """Reports the answers so far; an empty report shows liveness."""
         self._reported = True
         self._flush(dried_up, alive=True)
 
     def _flush_soon(self) -> None:
-        """Tells what is there with what else this turn of the loop brings."""
+        """Schedules a report of all outcomes of this event loop turn."""
         if not self._flush_scheduled:
             self._flush_scheduled = True
             loop = asyncio.get_running_loop()
@@ -263,7 +266,7 @@
             self.end()
 
     def end(self) -> None:
-        """Cancels the calls that are still out."""
+        """Cancels the open calls and removes the task."""
         for timer in (self._timer, self._end_timer):
             if timer is not None:
                 timer.cancel()
--- a/hyssoptack/gateway/inbound.py
+++ b/hyssoptack/gateway/inbound.py
@@ -1,4 +1,4 @@
-"""A request as it was received, from a caller or from a neighbour."""
+"""Requests received from callers or from neighbours."""
 
 import dataclasses
 import functools
@@ -11,30 +11,31 @@
 
 
 class Exchange(typing.Protocol):
-    """A request to be answered once, by whomever it came.
+    """A received request that must be answered exactly once.
 
     Attributes:
         request: The request.
-        on_abandoned: Called when nobody waits for the answer any more.
+        on_abandoned: Called when the sender no longer waits for the answer.
     """
 
     request: message.Request
     on_abandoned: typing.Callable[[], None] | None
 
     def answer(self, reply: message.Reply) -> None:
-        """Writes the answer."""
+        """Sends the answer to the sender of the request."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Request:
-    """A request to be served, with what was found of it.
+    """A request to be served, with its metadata and route.
 
     Attributes:
-        exchange: Where it is answered.
-        metadata: What it says of itself.
-        route_match: Its route.
-        caller_spent_ms: What its caller had spent when it was sent.
-        transit_margin_ms: Kept back from its goal for the way.
+        exchange: The exchange that answers the request.
+        metadata: Request id, host and deadline from the request's headers.
+        route_match: The matching route and its services.
+        caller_spent_ms: Time that the caller had spent on earlier attempts
+            before it sent this request.
+        transit_margin_ms: Part of the latency goal reserved for transit.
     """
 
     exchange: Exchange
@@ -45,14 +46,14 @@
 
     @property
     def reserved_ms(self) -> float:
-        """Time to the goal that is used up on the way and by earlier tries."""
+        """Part of the latency goal used by transit and earlier attempts."""
         return self.caller_spent_ms + self.transit_margin_ms
 
     def goal_at_ms(self, now_ms: float) -> float:
-        """Returns when an answer should leave.
+        """Returns the time at which the answer should be sent.
 
-        One that can't be in time any more is better whole than soon: it is
-        given as long as one that can.
+        An answer that can no longer be in time should rather be complete, so
+        its goal is not reduced by the reserved time.
         """
         goal_ms = self.route_match.route.latency_goal_ms
         due_ms = self.exchange.request.received_ms + goal_ms
@@ -61,12 +62,12 @@
 
     @property
     def request_id(self) -> str:
-        """The caller's id of it, for the log."""
+        """The caller's request id as text, for the log."""
         return self.metadata.request_id.decode("latin-1")
 
     @functools.cached_property
     def fingerprint(self) -> str:
-        """Names its content; costs a hash."""
+        """Hash that identifies the request's content, computed on first use."""
         request = self.exchange.request
         return fingerprint.compute(
             request.method, self.metadata.host, request.target, request.body
--- a/hyssoptack/gateway/listeners.py
+++ b/hyssoptack/gateway/listeners.py
@@ -1,4 +1,4 @@
-"""The ports of one gateway: for callers, the balancer, and readings."""
+"""Listening sockets for callers, readiness checks and metrics."""
 
 import asyncio
 import socket
@@ -9,24 +9,25 @@
 from hyssoptack.http1 import httpserver
 
 FIRST_VIEWS_WAIT_MS = 100.0
-"""Longest that callers wait for the first configuration and list after the
-start: both are there after 20 ms where the store answers. A refusal meanwhile
-would cost a caller its only other try."""
+"""Maximum time after the start that callers wait for the first configuration
+and upstream list. Both arrive within 20 ms if the store answers. A refusal
+during that time would use up the caller's only retry."""
 
 FIRST_VIEWS_CHECK_S = 0.005
+"""Interval of checks for the first configuration and upstream list."""
 
 
 class Listeners:
-    """The servers that listen."""
+    """The listening servers of one gateway."""
 
     def __init__(self) -> None:
         self._servers: list[asyncio.Server] = []
 
     async def listen(self, address: str, server: httpserver.Server) -> None:
-        """Opens a port and accepts what comes.
+        """Opens a port and accepts connections.
 
         Raises:
-            OSError: The address can't be listened on.
+            OSError: The address can't be bound.
         """
         await self._accept(earlyport.listening_socket(address), server)
 
@@ -36,14 +37,14 @@
         server: httpserver.Server,
         view: replicatedview.ReplicatedView,
     ) -> None:
-        """Accepts callers once there is something to serve them from.
+        """Accepts callers once the view is complete or the wait has expired.
 
-        A store that is down does not keep them waiting: they are refused then.
+        If the store is down, callers are accepted after the wait and refused.
 
         Args:
-            port: The callers' port, open already.
-            server: What serves them.
-            believed: What they are served from.
+            port: The listening socket for callers.
+            server: The HTTP server for callers.
+            view: The instance's view of configuration and upstreams.
         """
         limit_ms = clock.now_ms() + FIRST_VIEWS_WAIT_MS
         while not view.is_complete and clock.now_ms() < limit_ms:
@@ -60,6 +61,6 @@
         self._servers.append(opened)
 
     def close(self) -> None:
-        """Accepts nothing any more."""
+        """Closes all listening sockets."""
         for each in self._servers:
             each.close()
--- a/hyssoptack/gateway/metrics.py
+++ b/hyssoptack/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of a gateway, by aioprometheus."""
+"""Prometheus metrics of a gateway, collected with aioprometheus."""
 
 import collections
 
@@ -10,12 +10,12 @@
 
 
 MAX_UNCOUNTED_CALL_COUNT = 4_000
-"""Calls that wait to be counted at the most, where nobody reads the page: about
-100 queries over 36 shards, 0.4 MB."""
+"""Maximum number of buffered calls if the metrics page is not read: about 100
+queries over 36 shards, 0.4 MB."""
 
 
 class Metrics:
-    """The collectors of one gateway; updated on its event loop."""
+    """The metric collectors of one gateway, updated on its event loop."""
 
     def __init__(self) -> None:
         self._calls: collections.Counter[tuple[str, str]] = (
@@ -33,19 +33,19 @@
         )
         self.extra_calls = self._counter(
             "hyssoptack_extra_calls_total",
-            "Calls beyond the first of a part, by service and cause.",
+            "Calls after the first call of a part, by service and cause.",
         )
         self.missing_parts = self._counter(
             "hyssoptack_parts_left_out_total",
-            "Shards that answers were given without, by route.",
+            "Shards missing from answers, by route.",
         )
         self.requests_at_attempt_limit = self._counter(
             "hyssoptack_requests_at_attempt_limit_total",
-            "Requests of which a part took all attempts allowed, by route.",
+            "Requests with a part that used all its attempts, by route.",
         )
         self.upstream_exits = self._counter(
             "hyssoptack_upstreams_ended_total",
-            "Upstreams that ended with calls of ours in hand, by service.",
+            "Upstreams that exited during calls of this gateway, by service.",
         )
         self.suspicion_events = self._counter(
             "hyssoptack_suspicions_total",
@@ -57,11 +57,11 @@
         )
         self.call_ms = self._histogram(
             "hyssoptack_upstream_call_ms",
-            "Time of an answered call, by service.",
+            "Duration of an answered call, by service.",
         )
         self.instance_facts = aioprometheus.Gauge(
             "hyssoptack_gateway",
-            "Facts of this instance, by name.",
+            "Gauges of this instance, by name.",
             registry=self._registry,
         )
 
@@ -76,15 +76,15 @@
     def record_call(
         self, service: str, outcome: str, answered_ms: float | None
     ) -> None:
-        """Counts a call; it shows on the next page.
+        """Buffers a call, which is counted when the metrics are next rendered.
 
-        A query makes dozens of calls while its caller waits, and the library
-        takes some 40 us to count one: a fifth of what a call costs besides.
+        A query makes dozens of calls while its caller waits, and aioprometheus
+        takes about 40 us to count one: a fifth of the call's other cost.
 
         Args:
             service: The service called.
-            outcome: What became of the call.
-            answered_ms: How long it took, if it was answered.
+            outcome: The outcome of the call.
+            answered_ms: Duration of the call, or None if it was not answered.
         """
         self._calls[service, outcome] += 1
         if answered_ms is not None:
@@ -101,7 +101,7 @@
         self._call_ms.clear()
 
     def render_text(self) -> bytes:
-        """Returns the page of metrics as text."""
+        """Returns the metrics in the Prometheus text format."""
         self._count_calls()
         content, _ = aioprometheus.render(self._registry, ["text/plain"])
         return content
--- a/hyssoptack/gateway/querydelegation.py
+++ b/hyssoptack/gateway/querydelegation.py
@@ -1,10 +1,11 @@
-"""Hands queries over to neighbours, and runs those that neighbours hand over.
-
-`policy.delegation` decides; here are the messages. A query that was handed over
-is answered by the neighbour's whole answer. It comes back, to be run here, when
-the neighbour declines, can't be reached, or does not say in time that it has
-begun. One that began may have used up the route's attempts: when it is lost,
-the query fails at once, and its caller may try again with all of them.
+"""Delegates queries to neighbours and accepts queries that they delegate.
+
+`policy.delegation` selects the neighbour; this module exchanges the messages.
+The neighbour's complete answer is the answer to a delegated query. The query is
+taken back and run on this instance if the neighbour declines, is unreachable,
+or does not report in time that it has started. Once started, the query may have
+used all attempts of its route. If it is lost after that, it fails at once, and
+the caller may retry it with all attempts.
 """
 
 import asyncio
@@ -28,27 +29,28 @@
 Send = collections.abc.Callable[[str, gatewaymessage.Message], None]
 
 STALL_CHECK_PERIOD_S = 0.1
-"""How often an instance that runs others' queries looks whether it stood still;
-20 such wakings cost 1 ms of processor."""
+"""Interval at which an instance checks whether its event loop has stalled; 20
+checks cost 1 ms of processor time."""
 
 STALL_MS = 300.0
-"""An instance that ran nothing for so long takes no query that may have waited
-as long: its sender has run it by then."""
+"""Stall of the event loop after which an instance declines queries that may
+have waited during the stall. Their senders have run those queries by then."""
 
 RESUME_WINDOW_MS = 100.0
-"""After such a stop, for so long messages may still be those that waited: what
-lies in a link is read within some tens of milliseconds."""
+"""Time after a stall during which received messages may date from the stall.
+Messages buffered in a link are read within some tens of milliseconds."""
 
 
 @dataclasses.dataclass(kw_only=True)
 class PeerExchange:
-    """A query that a neighbour handed over, as an exchange to be answered.
+    """The exchange of a query that a neighbour has delegated.
 
     Attributes:
         request: The request as the neighbour's caller sent it.
-        send_reply: Sends the answer back.
-        on_abandoned: Called when the neighbour wants no answer any more.
-        on_commit: Called when the neighbour will not take it back.
+        send_reply: Sends the answer to the neighbour.
+        on_abandoned: Called when the neighbour cancels the query.
+        on_commit: Called when the neighbour confirms that it will not take the
+            query back.
     """
 
     request: message.Request
@@ -57,27 +59,29 @@
     on_commit: collections.abc.Callable[[], None] | None = None
 
     def answer(self, reply: message.Reply) -> None:
-        """Sends the answer to the neighbour."""
+        """Sends the answer to the neighbour and clears the callbacks."""
         self.on_abandoned = self.on_commit = None
         self.send_reply(reply)
 
 
 class _State(enum.Enum):
-    """How far a query that was handed over has come."""
+    """The state of a delegated query, as the neighbour last reported it."""
 
     SENT = "sent"
     BEGUN = "begun"
 
 
 RunLocally = collections.abc.Callable[[inbound.Request, bool], None]
-"""Runs a query here; told whether a neighbour may have run some of it."""
+"""Runs a query on this instance; the flag says whether a neighbour may have run
+part of it."""
 
 
 CanRerunLocally = collections.abc.Callable[[inbound.Request], bool]
+"""Returns whether a query that a neighbour may have started can run here."""
 
 
 class Delegator:
-    """Queries of this instance at neighbours, and of neighbours here."""
+    """Tracks the queries that this instance delegates and accepts."""
 
     def __init__(
         self,
@@ -87,14 +91,15 @@
         run_locally: RunLocally,
         can_rerun_locally: CanRerunLocally,
     ):
-        """Makes the queries of one instance, of which there are none yet.
+        """Creates a delegator without any queries.
 
         Args:
-            known: Chooses whom queries are handed to.
-            own_address: Where this instance takes messages.
+            selector: Selects the neighbour that a query is delegated to.
+            own_address: Address at which this instance receives messages.
             send: Sends a message to an address.
-            run_here: Runs a query here.
-            can_take_back: Whether one that may have begun could be run here.
+            run_locally: Runs a query on this instance.
+            can_rerun_locally: Returns whether a query that a neighbour may have
+                started can run on this instance.
         """
         self.can_rerun_locally = can_rerun_locally
         self.selector = selector
@@ -108,7 +113,12 @@
         self._resumed_ms = -math.inf
 
     def try_delegate(self, query: inbound.Request, version: int) -> bool:
-        """Hands a query over if that is better; tells whether it did."""
+        """Delegates a query if a neighbour is better; returns whether it did.
+
+        Args:
+            query: The query.
+            version: Configuration version under which the query must run.
+        """
         now_ms = clock.now_ms()
         route = query.route_match.route
         if not route.is_rerunnable:
@@ -129,10 +139,10 @@
         delegated.start(version)
         return True
 
-    # What neighbours hand over.
+    # Queries received from neighbours.
 
     async def watch_stalls(self) -> None:
-        """Notes that this process runs, for as long as it does."""
+        """Records stalls of the event loop until cancelled."""
         while True:
             now_ms = clock.now_ms()
             if now_ms - self._last_tick_ms >= STALL_MS:
@@ -141,9 +151,10 @@
             await asyncio.sleep(STALL_CHECK_PERIOD_S)
 
     def messages_may_be_stale(self) -> bool:
-        """Whether messages may be old: this process stood still until now.
+        """Returns whether received messages may date from a recent stall.
 
-        After a stop the loop runs this watch before it reads messages.
+        After a stall the event loop runs `watch_stalls` before it reads
+        messages, so its last tick alone does not show the stall.
         """
         now_ms = clock.now_ms()
         stalled = now_ms - self._last_tick_ms >= STALL_MS
@@ -152,14 +163,15 @@
     def accept(
         self, ask: gatewaymessage.DelegationRequest, can_serve: bool
     ) -> PeerExchange | None:
-        """Takes a neighbour's query, or declines it.
+        """Accepts or declines a neighbour's query and reports which to it.
 
         Args:
-            ask: The query.
-            can_serve: Whether this instance can serve it as its sender would.
+            ask: The neighbour's request.
+            can_serve: Whether this instance is ready and has the configuration
+                version of the sender.
 
         Returns:
-            The exchange to be answered; None where there is none to begin.
+            The exchange to answer, or None if no new query is to be started.
         """
         now_ms = clock.now_ms()
         key = ask.sender_address, ask.ask_id
@@ -172,7 +184,8 @@
         self.send(ask.sender_address, status)
         if already_running:
             if not ask.fresh:
-                # Only a sender that has heard of the beginning asks so.
+                # A sender repeats the request only after it has received the
+                # report that the query has started.
                 self._on_commit(key)
             return None
         request = message.Request(
@@ -224,10 +237,10 @@
         if exchange is not None and exchange.on_commit is not None:
             exchange.on_commit()
 
-    # What comes back.
+    # Queries delegated to neighbours.
 
     def on_message(self, each: gatewaymessage.Message) -> None:
-        """Takes a neighbour's word on a query."""
+        """Handles a message about a delegated or accepted query."""
         match each:
             case gatewaymessage.DelegationStatus(ask_id=ask_id, begun=begun):
                 if (delegated := self.pending.get(ask_id)) is not None:
@@ -254,21 +267,21 @@
                     exchange.on_abandoned()
 
     def on_undelivered(self, each: gatewaymessage.Message) -> None:
-        """Takes that a message did not reach its neighbour."""
+        """Handles a delegation request that could not be delivered."""
         match each:
             case gatewaymessage.DelegationRequest(ask_id=ask_id):
                 if (delegated := self.pending.get(ask_id)) is not None:
                     delegated.on_undelivered()
 
     def on_link_lost(self, address: str) -> None:
-        """Takes that the connection to a neighbour has ended."""
+        """Handles the loss of the connection to a neighbour."""
         for each in tuple(self.pending.values()):
             if each.address == address:
                 each.on_lost("link_lost")
 
 
 class DelegatedQuery:
-    """One query that a neighbour was asked to run."""
+    """A query of this instance that is delegated to a neighbour."""
 
     def __init__(
         self,
@@ -287,7 +300,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self, version: int) -> None:
-        """Sends the query to the neighbour."""
+        """Sends the query to the neighbour and starts the accept timeout."""
         self._delegator.pending[self._ask_id] = self
         self._delegator.selector.begin_delegation(self._peer.address)
         self._query.exchange.on_abandoned = self._on_caller_left
@@ -296,7 +309,7 @@
 
     @property
     def address(self) -> str:
-        """Where the neighbour takes messages."""
+        """Address at which the neighbour receives messages."""
         return self._peer.address
 
     def _send_request(self, version: int, fresh: bool) -> None:
@@ -325,7 +338,7 @@
         self._timer = loop.call_later(wait_ms / message.MS_PER_S, function)
 
     def _on_accept_timeout(self) -> None:
-        """Takes the query back, or waits on where it could not be run here."""
+        """Takes the query back, or waits if it can't be rerun here."""
         now_ms = clock.now_ms()
         if now_ms < self._goal_at_ms and not self._delegator.can_rerun_locally(
             self._query
@@ -337,7 +350,8 @@
                 ask_id=self._ask_id,
                 to_goal_ms=round(self._goal_at_ms - now_ms),
             )
-            # Asked again, a neighbour that has run it would run it once more.
+            # The request is not repeated: a neighbour that has already answered
+            # would run the query again.
             self._start_timer(
                 self._goal_at_ms - now_ms, self._on_accept_timeout
             )
@@ -346,14 +360,14 @@
         self._take_back("not_begun", may_have_run=True)
 
     def _check_liveness(self) -> None:
-        """Asks whether the neighbour still runs the query."""
+        """Checks whether the neighbour still runs the query."""
         self._send_request(version=0, fresh=False)
         self._start_timer(
             delegation.ACCEPT_TIMEOUT_MS, lambda: self.on_lost("silent")
         )
 
     def on_status(self, begun: bool) -> None:
-        """Takes whether the neighbour runs the query."""
+        """Handles the neighbour's report on whether it runs the query."""
         match self._state, begun:
             case _State.SENT, True:
                 self._state = _State.BEGUN
@@ -377,7 +391,7 @@
                 self.on_lost("forgotten")
 
     def on_undelivered(self) -> None:
-        """Takes that the last ask did not reach the neighbour."""
+        """Handles a request message that could not be delivered."""
         match self._state:
             case _State.SENT:
                 self._take_back("unreachable", may_have_run=False)
@@ -385,7 +399,7 @@
                 self.on_lost("unreachable")
 
     def on_lost(self, reason: str) -> None:
-        """Takes that the neighbour is gone with the query, or may be."""
+        """Takes back or fails the query, as the neighbour may have lost it."""
         if self._state is _State.SENT:
             self._take_back(reason, may_have_run=True)
             return
@@ -401,7 +415,7 @@
         )
 
     def on_answer(self, answer: gatewaymessage.DelegationAnswer) -> None:
-        """Passes the neighbour's answer on."""
+        """Sends the neighbour's answer to the caller."""
         self._delegator.selector.record_answer(self._peer.address)
         route_name = self._query.route_match.route.name
         self._delegator.selector.record_reply_size(
@@ -414,7 +428,8 @@
         request = self._query.exchange.request
         self._query.exchange.answer(reply)
         if headers.has_missing_parts(reply):
-            # Given at the goal: the rest is what the way back took.
+            # A partial answer is sent at the goal, so any remaining delay is
+            # the time that it took to travel back.
             late_ms = clock.now_ms() - self._goal_at_ms
             self._delegator.selector.hop_delays.record(
                 self._hop_delay_ms + late_ms
@@ -428,7 +443,7 @@
         )
 
     def _take_back(self, reason: str, may_have_run: bool) -> None:
-        """Runs the query here, as the neighbour won't."""
+        """Records the neighbour's failure and runs the query here."""
         self._delegator.selector.record_failure(
             self._peer.address, clock.now_ms()
         )
--- a/hyssoptack/gateway/querydelegation_test.py
+++ b/hyssoptack/gateway/querydelegation_test.py
@@ -1,4 +1,4 @@
-"""Queries that neighbours run: answered, taken back, cancelled, declined."""
+"""Tests of queries delegated to neighbours."""
 
 import asyncio
 import dataclasses
@@ -14,7 +14,10 @@
 
 
 async def _start_pair(site):
-    """A narrow instance and a wide one, over four shards of one upstream."""
+    """Starts instances with a narrow and a wide link over four shards.
+
+    Each shard has one upstream.
+    """
     for index in range(4):
         body = bytes([index]) * 16 + bytes([200 - index]) * 16
         await site.add_upstream(f"i-{index}", f"s{index}", body)
@@ -23,7 +26,7 @@
     return narrow
 
 
-def test_a_wider_neighbour_answers_and_the_caller_sees_no_difference():
+def test_a_neighbour_with_a_wider_link_answers_the_whole_query():
     async def test():
         async with harness.Site() as site:
             narrow = await _start_pair(site)
@@ -33,14 +36,14 @@
             assert first.headers["x-missing-parts"] == "0"
             assert first.body[:16] == bytes([200]) * 16
             assert sum(s.run_counts[b"r1"] for s in site.services.values()) == 4
-            # Nothing was gathered over the narrow link.
+            # No replies were gathered over the narrow link.
             assert narrow._pools.opened_count < wide._pools.opened_count
             assert not narrow._delegating.pending
 
     asyncio.run(test())
 
 
-def test_a_neighbour_that_is_gone_costs_no_answer():
+def test_a_killed_neighbour_causes_no_failed_or_partial_answers():
     async def test():
         async with harness.Site() as site:
             await _start_pair(site)
@@ -71,7 +74,7 @@
     asyncio.run(test())
 
 
-def test_a_stopping_neighbour_declines_and_finishes_what_it_began():
+def test_a_stopping_neighbour_declines_new_queries_and_finishes_started_ones():
     async def test():
         async with harness.Site() as site:
             await _start_pair(site)
@@ -91,7 +94,7 @@
     asyncio.run(test())
 
 
-def test_a_caller_that_leaves_ends_the_work_at_the_neighbour():
+def test_a_caller_that_disconnects_cancels_the_query_at_the_neighbour():
     async def test():
         async with harness.Site() as site:
             await _start_pair(site)
@@ -113,11 +116,11 @@
     asyncio.run(test())
 
 
-def test_a_neighbour_that_stands_still_is_not_waited_for():
+def test_a_query_is_taken_back_from_a_neighbour_that_does_not_accept_in_time():
     async def test():
         async with harness.Site() as site:
             narrow = await _start_pair(site)
-            # It takes messages and says nothing: a frozen process.
+            # A frozen process receives messages without answering.
             site.gateways["wide"]._peering.on_message = lambda _: None
             for each in site.services.values():
                 each.behaviour.delay_ms = 20.0
@@ -126,7 +129,7 @@
             took_s = asyncio.get_running_loop().time() - started_s
             assert response.status == 200
             assert took_s * 1_000 < delegation.ACCEPT_TIMEOUT_MS + 150.0
-            # It is left alone from then on.
+            # No further queries are delegated to it.
             assert (
                 narrow._delegating.selector.choose(
                     delegation.Query(
@@ -140,9 +143,9 @@
     asyncio.run(test())
 
 
-def test_a_query_that_can_not_be_paid_for_here_stays_with_a_slow_neighbour():
-    # After all instances had lost power, queries taken back from neighbours
-    # that were starting too failed, as nothing was left for extra calls.
+def test_a_query_stays_with_a_slow_neighbour_without_budget_to_rerun_it():
+    # When all instances restart after a power loss, neighbours accept late.
+    # Queries taken back from them failed, as no extra call budget was left.
     async def test():
         async with harness.Site() as site:
             narrow = await _start_pair(site)
@@ -165,7 +168,7 @@
             wide.on_message = deliver_late
             response = await site.get("/all/x", "r1", name="narrow")
             assert response.status == 200
-            # Asked again after its answer, it would run the query once more.
+            # A request repeated after the answer would run the query again.
             assert received_types.count(gatewaymessage.DelegationRequest) == 1
             runs = [s.run_counts[b"r1"] for s in site.services.values()]
             assert runs == [1, 1, 1, 1]
@@ -187,7 +190,7 @@
     )
 
 
-def test_who_stood_still_takes_no_query_that_may_have_waited_as_long():
+def test_queries_that_may_have_waited_through_a_stall_are_declined():
     sent = []
     delegator = querydelegation.Delegator(
         delegation.DelegateSelector(0.0, random.Random(1)),
@@ -203,13 +206,13 @@
     exchange = delegator.accept(_delegation_request(), can_serve=True)
     assert exchange is not None
     assert sent[-1].begun
-    # Asked again, it says that it runs, and begins nothing.
+    # A repeated request is reported as running and not started again.
     assert delegator.accept(_delegation_request(), can_serve=False) is None
     assert sent[-1].begun
 
 
-def test_messages_that_waited_are_declined_though_the_watch_has_run():
-    # After a stop the loop runs its timers first, and reads messages then.
+def test_queries_are_declined_after_a_stall_though_the_watch_has_run():
+    # After a stall the event loop runs its timers before it reads messages.
     sent = []
     delegator = querydelegation.Delegator(
         delegation.DelegateSelector(0.0, random.Random(1)),
@@ -230,7 +233,7 @@
     assert [each.begun for each in sent] == [False]
 
 
-def test_an_answer_that_can_not_be_in_time_is_given_time_to_be_whole():
+def test_a_late_answer_is_not_shortened_by_the_reserved_time():
     route = types.SimpleNamespace(latency_goal_ms=150.0)
     query = inbound.Request(
         exchange=types.SimpleNamespace(
@@ -245,9 +248,9 @@
     assert query.goal_at_ms(1_140.0) == 1_150.0
 
 
-def test_a_neighbour_that_is_late_is_let_finish():
-    # Taken back at the goal, 4 requests of a day ran on three upstreams of a
-    # shard where their routes allow two.
+def test_a_query_started_by_a_late_neighbour_is_not_taken_back():
+    # Queries taken back at the goal could run on three upstreams of a shard
+    # where their routes allow two (4 requests of a day).
     async def test():
         async with harness.Site() as site:
             await _start_pair(site)
@@ -261,7 +264,7 @@
     asyncio.run(test())
 
 
-def test_a_neighbour_lost_on_the_way_ends_the_query_at_once():
+def test_losing_a_neighbour_that_runs_a_query_fails_the_query_at_once():
     async def test():
         async with harness.Site() as site:
             await _start_pair(site)
--- a/hyssoptack/gateway/requesthandler.py
+++ b/hyssoptack/gateway/requesthandler.py
@@ -1,4 +1,4 @@
-"""Serves callers' requests: routes them, runs their plans, writes answers."""
+"""Handles requests: matches routes, then runs or delegates each request."""
 
 import dataclasses
 import http
@@ -26,12 +26,12 @@
 
 
 def log_unreadable_request(status: int, reason: str) -> None:
-    """Logs a request that was refused before its id was known."""
+    """Logs a request that was rejected before its id could be read."""
     log.write(log.Event.REQUEST_UNREADABLE, status=status, reason=reason)
 
 
 class RequestHandler:
-    """Serves requests from the beliefs of one instance."""
+    """Handles the requests of one instance, using its replicated view."""
 
     def __init__(
         self,
@@ -52,14 +52,15 @@
         self.call_relay: callrelay.CallRelay | None = None
 
     def handle(self, exchange: httpserver.Exchange) -> None:
-        """Serves a caller's request."""
+        """Handles a request received from a caller."""
         self._serve(exchange, None)
 
     def serve_delegated(
         self, ask: gatewaymessage.DelegationRequest, ready: bool
     ) -> None:
-        """Serves a neighbour's query, or declines it."""
-        # With another configuration it might run as its sender may not.
+        """Accepts or declines a query that a neighbour delegates."""
+        # Under another configuration version the query could run in a way
+        # that its sender's configuration does not allow.
         willing = ready and ask.version == self._view.version
         exchange = self.delegator.accept(ask, willing)
         if exchange is not None:
@@ -127,15 +128,16 @@
         """Runs a request on this instance.
 
         Args:
-            query: The request.
-            may_have_run: Whether a neighbour may have run some of it.
+            query: The request to run.
+            may_have_run: Whether a neighbour may have run part of the request.
         """
         requestrun.RequestRun(self, query, may_have_run=may_have_run).start()
 
     def can_rerun_locally(self, query: inbound.Request) -> bool:
-        """Whether a query that a neighbour may have begun could be run here.
+        """Returns whether the extra call budget allows rerunning a query here.
 
-        Each part of it would be an extra call.
+        A neighbour may have started the query, so each part counts as an extra
+        call.
         """
         services = query.route_match.services
         now_ms = clock.now_ms()
@@ -170,17 +172,17 @@
         )
 
     def record_lateness(self, late_ms: float) -> None:
-        """Takes how long after the goal's time an answer was written."""
+        """Records how long after its latency goal an answer was written."""
         self._caller_latency.answer_delay.record(late_ms)
 
     def record_reply(self, route_name: str, reply: message.Reply) -> None:
-        """Takes an upstream's reply: its size decides who gathers."""
+        """Records the size of an upstream's reply, used to select delegates."""
         if self.delegator is not None:
             size_bytes = message.reply_size_bytes(reply)
             self.delegator.selector.record_reply_size(route_name, size_bytes)
 
     def retry_delay_ms(self, reason: str) -> float:
-        """Returns when a caller that is refused should come back."""
+        """Returns how long a refused caller should wait before it retries."""
         if not self._plan_context.mechanisms.comeback_by_cause:
             return retrydelay.OVERLOADED_RETRY_MS
         detector = self._plan_context.partition_detector
@@ -194,34 +196,34 @@
         return retrydelay.retry_delay_ms(refusal, self._random)
 
     def can_relay_to(self, failure_domain: str) -> bool:
-        """Whether calls into a failure domain are for others to make."""
+        """Returns whether calls to a failure domain may be relayed."""
         return self.call_relay is not None and (
             failure_domain != self._failure_domain
         )
 
     def on_partition(self) -> None:
-        """Ends what waits for other failure domains."""
+        """Abandons calls to other failure domains in all active requests."""
         for each in tuple(self.active_runs):
             each.on_partition()
 
     def on_quarantined(self, fingerprint: str) -> None:
-        """Ends what is found to crash the upstreams that run it."""
+        """Fails active requests that have a newly quarantined fingerprint."""
         for each in tuple(self.active_runs):
             if each.fingerprint == fingerprint:
                 each.on_quarantined()
 
     @property
     def view(self) -> replicatedview.ReplicatedView:
-        """What requests are served from."""
+        """The instance's view of configuration and upstreams."""
         return self._view
 
     @property
     def plan_context(self) -> plancontext.PlanContext:
-        """What plans draw on."""
+        """The shared state that call plans use."""
         return self._plan_context
 
     def connection_limit_count(self, upstream: traffic.Upstream) -> int:
-        """Returns how many connections to an upstream this instance may use."""
+        """Returns this instance's connection limit for an upstream."""
         configuration = self._view.route_table.configuration
         service = (
             configuration.services.get(upstream.service)
--- a/hyssoptack/gateway/requestrun.py
+++ b/hyssoptack/gateway/requestrun.py
@@ -1,4 +1,4 @@
-"""One request in progress: carries out what its plan decides."""
+"""Runs one request by executing the commands of its call plan."""
 
 import asyncio
 import http
@@ -23,12 +23,12 @@
     from hyssoptack.gateway import requesthandler
 
 TIMER_LATE_MS = 3.0
-"""A timer that fires this late was held up by this process: answers may wait in
-its sockets, and are read before time is said to have passed."""
+"""A timer that fires later than this was delayed by this process. Replies may
+already wait in its sockets, so they are read before the plan times out."""
 
 
 class RequestRun:
-    """One request in progress."""
+    """A request in progress, from its first calls to its answer."""
 
     def __init__(
         self,
@@ -38,13 +38,14 @@
         may_have_run: bool = False,
         awaits_grant: bool = False,
     ):
-        """Makes a request's run, which is yet to be started.
+        """Creates the run without starting it.
 
         Args:
-            owner: What it is served from.
-            query: The request.
-            may_have_run: Whether a neighbour may have run some of it.
-            awaits_grant: Whether its sender may still take it back.
+            handler: The request handler of this instance.
+            query: The request to run.
+            may_have_run: Whether a neighbour may have run part of the request.
+            awaits_grant: Whether the neighbour that delegated the request may
+                still take it back.
         """
         exchange, metadata, route_match = (
             query.exchange,
@@ -89,14 +90,14 @@
                 self._top_count = top_count
             case _:
                 self._top_count = None
-        # A gatherer reads records, which a reply to HEAD has none of.
+        # A gatherer needs records, and replies to HEAD have no body.
         is_head = exchange.request.method == b"HEAD"
         self._may_relay = self._top_count is not None and not is_head
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due_ms = 0.0
 
     def start(self) -> None:
-        """Sends the first calls."""
+        """Starts the plan and sends the first calls."""
         self._handler.active_runs.add(self)
         self._exchange.on_abandoned = self._on_caller_left
         self._execute(self._plan.start(self._now_ms))
@@ -117,7 +118,7 @@
             self._schedule_timer()
 
     def _send_all(self, sends: list[callcommand.Send]) -> None:
-        """Makes calls from here, or lets instances beside the upstreams."""
+        """Sends calls directly or relays them to the upstreams' domains."""
         local_sends: list[callcommand.Send] = []
         relayed_sends: dict[str, list[callcommand.Send]] = {}
         for each in sends:
@@ -134,20 +135,22 @@
                 relayed_sends.setdefault(domain, []).append(each)
             else:
                 local_sends.append(each)
-        # Those on the longer way first: opening 18 connections takes 2 ms.
+        # Relayed calls go first because they travel further, and opening 18
+        # connections for local calls takes 2 ms.
         for domain, calls in relayed_sends.items():
             self._relay(domain, calls)
         for each in local_sends:
             self._send(each)
 
     def _should_relay(self, each: callcommand.Send) -> bool:
-        """Whether a call is made by an instance beside its upstream.
-
-        Only where the own failure domain has none: a call that crosses to get
-        out of the way of load was chosen at the price of a call from here.
-        With 3.5 times the usual load and all shards in each domain, relaying
-        those sent 1.8 times the bytes across, and 47 in 100 requests were
-        served in time instead of 53.
+        """Returns whether an instance in the upstream's domain makes the call.
+
+        Calls are relayed only if the service has no upstream in this instance's
+        failure domain. A call that crosses domains to avoid load was selected
+        at the cost of a direct call. Relaying those calls as well, at 3.5 times
+        the usual load with all shards in each domain, sent 1.8 times the bytes
+        across domains, and 47 in 100 requests were served in time instead of
+        53.
         """
         return (
             self._may_relay
@@ -246,11 +249,11 @@
         outcomes: dict[int, callcommand.Outcome],
         waiting: tuple[int, ...],
     ) -> None:
-        """Takes outcomes of calls that another instance has made.
+        """Records outcomes of calls that another instance made.
 
         Args:
-            outcomes: The outcomes by call.
-            waiting: Calls that wait for their upstreams.
+            outcomes: The outcomes by call id.
+            waiting: Ids of calls that still wait for their upstreams.
         """
         self._now_ms = clock.now_ms()
         commands: list[callcommand.Command] = []
@@ -278,7 +281,8 @@
     def _on_timer(self) -> None:
         self._now_ms = clock.now_ms()
         if self._now_ms - self._timer_due_ms > TIMER_LATE_MS:
-            # The loop runs timers before it reads sockets.
+            # The event loop runs timers before it reads sockets; the new timer
+            # lets it read the replies that have arrived.
             self._timer_due_ms = self._now_ms
             self._start_timer(0.0)
             return
@@ -287,22 +291,26 @@
         self._execute(self._plan.on_timeout(self._now_ms))
 
     def on_attempts_granted(self) -> None:
-        """Takes that the sender will not take the request back."""
+        """Lets the plan use all attempts of a delegated request.
+
+        Called when the neighbour that delegated the request has confirmed that
+        it will not take the request back.
+        """
         self._now_ms = clock.now_ms()
         self._execute(self._plan.on_attempts_granted(self._now_ms))
 
     def on_partition(self) -> None:
-        """Gives up on other failure domains."""
+        """Abandons calls to other failure domains, which are unreachable."""
         self._now_ms = clock.now_ms()
         self._execute(self._plan.on_partition(self._now_ms))
 
     def on_quarantined(self) -> None:
-        """Gives up a request that was found to crash upstreams."""
+        """Fails the request because its fingerprint is quarantined."""
         self._now_ms = clock.now_ms()
         self._execute(self._plan.on_quarantined(self._now_ms))
 
     def _on_caller_left(self) -> None:
-        """Cancels everything: nobody waits for the answer."""
+        """Cancels all calls, because the caller has disconnected."""
         self._now_ms = clock.now_ms()
         self._execute(self._plan.on_caller_left(self._now_ms))
         self._end(0, "caller_left")
@@ -339,7 +347,7 @@
         self._end(reply.status, detail)
 
     def _record_lateness(self, result: callcommand.Result) -> None:
-        """Notes how late an answer is that was given at the goal."""
+        """Records the delay of a partial answer sent at the latency goal."""
         decided_at_ms, goal_at_ms = self._now_ms, self._plan_request.goal_at_ms
         match result:
             case callcommand.Answer(replies=replies, part_count=part_count) if (
@@ -389,7 +397,7 @@
         )
 
     def _target_fields(self) -> dict[str, str]:
-        """Returns where to find a request under which upstreams ended."""
+        """Returns log fields for a request during which upstreams exited."""
         if not self._plan.caution.crash_count:
             return {}
         return calltrace.target_fields(
--- a/hyssoptack/gateway/statuspages.py
+++ b/hyssoptack/gateway/statuspages.py
@@ -1,4 +1,4 @@
-"""What an instance says of itself: whether it is ready, and its metrics."""
+"""The readiness and metrics endpoints of an instance."""
 
 import collections.abc
 
@@ -10,11 +10,11 @@
 from hyssoptack.platform import headers
 
 GaugeSource = collections.abc.Callable[[float], dict[str, float]]
-"""Returns facts of the instance by name, at a time."""
+"""Returns gauge values by name for a time in milliseconds."""
 
 
 class StatusPages:
-    """The pages of one instance."""
+    """Answers readiness checks and metrics requests for one instance."""
 
     def __init__(
         self,
@@ -22,12 +22,12 @@
         is_ready: collections.abc.Callable[[], bool],
         read_gauges: GaugeSource,
     ):
-        """Makes the pages.
+        """Creates the endpoints.
 
         Args:
-            counted: The instance's metrics.
-            is_ready: Whether it takes callers.
-            facts: Returns what else the page of metrics shows.
+            collectors: The instance's metrics.
+            is_ready: Returns whether the instance accepts callers.
+            read_gauges: Returns the instance's gauges for the metrics page.
         """
         self._metrics = collectors
         self._is_ready = is_ready
@@ -35,7 +35,7 @@
         self._last_logged_ready = False
 
     def answer_readiness(self, exchange: httpserver.Exchange) -> None:
-        """Tells the balancer whether to send callers."""
+        """Answers the load balancer's readiness check."""
         if exchange.request.path != headers.READINESS_PATH:
             exchange.answer(message.problem_reply(404, "unknown_path"))
             return
@@ -48,7 +48,7 @@
         exchange.answer(reply)
 
     def answer_metrics(self, exchange: httpserver.Exchange) -> None:
-        """Shows the metrics, at any path."""
+        """Answers with the metrics page, whatever the path."""
         for name, value in self._read_gauges(clock.now_ms()).items():
             self._metrics.instance_facts.set({"name": name}, value)
         page = self._metrics.render_text()
