--- a/hyssoptack/gateway/callrelay.py
+++ b/hyssoptack/gateway/callrelay.py
@@ -19,6 +19,7 @@
 from hyssoptack.policy import gatherers
 
 Send = collections.abc.Callable[[str, gatewaymessage.Message], None]
+"""Sends a message to the instance at an address."""
 
 KINDS_BY_NAME = {each.value: each for each in callcommand.OutcomeKind}
 """Outcome kinds by their name in messages."""
--- a/hyssoptack/gateway/callrelay_test.py
+++ b/hyssoptack/gateway/callrelay_test.py
@@ -174,7 +174,7 @@
     asyncio.run(test())
 
 
-def test_batches_from_another_sender_are_ignored():
+def test_foreign_and_repeated_batches_are_ignored():
     async def test():
         async with harness.Site() as site:
             north = await _start_north_and_south(site)
--- a/hyssoptack/gateway/gathererservice.py
+++ b/hyssoptack/gateway/gathererservice.py
@@ -30,7 +30,10 @@
 domain go first."""
 
 Send = collections.abc.Callable[[str, gatewaymessage.Message], None]
+"""Sends a message to the instance at an address."""
+
 LimitCount = collections.abc.Callable[[traffic.Upstream], int]
+"""Returns this instance's connection limit for an upstream."""
 
 
 class GathererService:
@@ -133,7 +136,7 @@
                 reason = callresult.NOT_LISTED_AT_GATHERER
                 self._unsent.append(_not_run(each.call_id, reason))
             else:
-                self._call(each.call_id, upstream)
+                self._make_call(each.call_id, upstream)
         loop = asyncio.get_running_loop()
         self._end_timer = loop.call_later(
             max(0.0, self._ask.remaining_ms) / message.MS_PER_S, self.end
@@ -142,7 +145,7 @@
             self._flush_soon()
         self._schedule_report()
 
-    def _call(self, call_id: int, upstream: traffic.Upstream) -> None:
+    def _make_call(self, call_id: int, upstream: traffic.Upstream) -> None:
         self._open_upstream_ids[call_id] = upstream.upstream_id
         self._service.view.load_balancer.begin_call(
             upstream.upstream_id, self._started_ms
--- a/hyssoptack/gateway/metrics.py
+++ b/hyssoptack/gateway/metrics.py
@@ -7,7 +7,7 @@
 LATENCY_BUCKETS_MS = [
     2, 5, 10, 20, 30, 45, 60, 80, 100, 150, 200, 300, 500, 1000, 2500, 10000,
 ]  # fmt: skip
-
+"""Upper bounds of the buckets of all duration histograms."""
 
 MAX_UNCOUNTED_CALL_COUNT = 4_000
 """Maximum number of buffered calls if the metrics page is not read: about 100
--- a/hyssoptack/gateway/querydelegation.py
+++ b/hyssoptack/gateway/querydelegation.py
@@ -27,6 +27,7 @@
 from hyssoptack.policy import delegation
 
 Send = collections.abc.Callable[[str, gatewaymessage.Message], None]
+"""Sends a message to the instance at an address."""
 
 STALL_CHECK_PERIOD_S = 0.1
 """Interval at which an instance checks whether its event loop has stalled; 20
@@ -184,8 +185,8 @@
         self.send(ask.sender_address, status)
         if already_running:
             if not ask.fresh:
-                # A sender repeats the request only after it has received the
-                # report that the query has started.
+                # A sender sends a request that is not fresh only after it has
+                # received the report that the query has started.
                 self._on_commit(key)
             return None
         request = message.Request(
@@ -212,12 +213,12 @@
         route_name = ask.route_name
         exchange = PeerExchange(
             request=request,
-            send_reply=lambda reply: self._reply(key, route_name, reply),
+            send_reply=lambda reply: self._send_answer(key, route_name, reply),
         )
         self._accepted[key] = exchange
         return exchange
 
-    def _reply(
+    def _send_answer(
         self, key: tuple[str, int], route_name: str, reply: message.Reply
     ) -> None:
         self._accepted.pop(key, None)
@@ -239,21 +240,21 @@
 
     # Queries delegated to neighbours.
 
-    def on_message(self, each: gatewaymessage.Message) -> None:
+    def on_message(self, received: gatewaymessage.Message) -> None:
         """Handles a message about a delegated or accepted query."""
-        match each:
+        match received:
             case gatewaymessage.DelegationStatus(ask_id=ask_id, begun=begun):
                 if (delegated := self.pending.get(ask_id)) is not None:
                     delegated.on_status(begun)
             case gatewaymessage.DelegationAnswer(ask_id=ask_id):
                 if (delegated := self.pending.get(ask_id)) is not None:
-                    delegated.on_answer(each)
+                    delegated.on_answer(received)
                 else:
                     log.write(
                         log.Event.QUERY_ANSWER_UNUSED,
-                        neighbour_address=each.sender_address,
+                        neighbour_address=received.sender_address,
                         ask_id=ask_id,
-                        status=each.status,
+                        status=received.status,
                     )
             case gatewaymessage.DelegationCommit(
                 sender_address=address, ask_id=ask_id
@@ -266,9 +267,9 @@
                 if exchange is not None and exchange.on_abandoned is not None:
                     exchange.on_abandoned()
 
-    def on_undelivered(self, each: gatewaymessage.Message) -> None:
+    def on_undelivered(self, undelivered: gatewaymessage.Message) -> None:
         """Handles a delegation request that could not be delivered."""
-        match each:
+        match undelivered:
             case gatewaymessage.DelegationRequest(ask_id=ask_id):
                 if (delegated := self.pending.get(ask_id)) is not None:
                     delegated.on_undelivered()
--- a/hyssoptack/gateway/querydelegation_test.py
+++ b/hyssoptack/gateway/querydelegation_test.py
@@ -250,7 +250,7 @@
 
 def test_a_query_started_by_a_late_neighbour_is_not_taken_back():
     # Queries taken back at the goal could run on three upstreams of a shard
-    # where their routes allow two (4 requests of a day).
+    # where their routes allow two (4 requests a day).
     async def test():
         async with harness.Site() as site:
             await _start_pair(site)
--- a/hyssoptack/gateway/requesthandler.py
+++ b/hyssoptack/gateway/requesthandler.py
@@ -61,8 +61,8 @@
         """Accepts or declines a query that a neighbour delegates."""
         # Under another configuration version the query could run in a way
         # that its sender's configuration does not allow.
-        willing = ready and ask.version == self._view.version
-        exchange = self.delegator.accept(ask, willing)
+        can_serve = ready and ask.version == self._view.version
+        exchange = self.delegator.accept(ask, can_serve)
         if exchange is not None:
             self._serve(exchange, ask)
 
@@ -117,9 +117,9 @@
             )
             timed = dataclasses.replace(timed, caller_spent_ms=spent_ms)
         version = self._view.version
-        prepared = self._plan_context.suspicions
+        suspicions = self._plan_context.suspicions
         keep_local = self.delegator is None or (
-            prepared.has_entries and prepared.is_tracked(timed.fingerprint)
+            suspicions.has_entries and suspicions.is_tracked(timed.fingerprint)
         )
         if keep_local or not self.delegator.try_delegate(timed, version):
             self.run_locally(timed, may_have_run=False)
--- a/hyssoptack/gateway/requestrun.py
+++ b/hyssoptack/gateway/requestrun.py
@@ -103,7 +103,7 @@
         self._execute(self._plan.start(self._now_ms))
 
     def _execute(self, commands: list[callcommand.Command]) -> None:
-        self._send_all(
+        self._send_calls(
             [each for each in commands if isinstance(each, callcommand.Send)]
         )
         for command in commands:
@@ -117,7 +117,7 @@
         if not self._plan.finished:
             self._schedule_timer()
 
-    def _send_all(self, sends: list[callcommand.Send]) -> None:
+    def _send_calls(self, sends: list[callcommand.Send]) -> None:
         """Sends calls directly or relays them to the upstreams' domains."""
         local_sends: list[callcommand.Send] = []
         relayed_sends: dict[str, list[callcommand.Send]] = {}
@@ -142,7 +142,7 @@
         for each in local_sends:
             self._send(each)
 
-    def _should_relay(self, each: callcommand.Send) -> bool:
+    def _should_relay(self, command: callcommand.Send) -> bool:
         """Returns whether an instance in the upstream's domain makes the call.
 
         Calls are relayed only if the service has no upstream in this instance's
@@ -154,9 +154,9 @@
         """
         return (
             self._may_relay
-            and each.cross_domain_only
-            and not each.is_probe
-            and self._handler.can_relay_to(each.upstream.failure_domain)
+            and command.cross_domain_only
+            and not command.is_probe
+            and self._handler.can_relay_to(command.upstream.failure_domain)
         )
 
     def _relay(self, domain: str, calls: list[callcommand.Send]) -> None:
