--- a/hyssoptack/gateway/gateway_test.py
+++ b/hyssoptack/gateway/gateway_test.py
@@ -355,7 +355,7 @@
     run(test())
 
 
-def test_requests_are_served_while_the_store_is_silent():
+def test_a_silent_store_stops_no_request_and_is_read_again_once_it_answers():
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site, 1)
