--- a/hyssoptack/gateway/querydelegation_test.py
+++ b/hyssoptack/gateway/querydelegation_test.py
@@ -1,4 +1,4 @@
-"""Queries that neighbours run: answered, taken back, cancelled, declined."""
+"""Tests of queries delegated to neighbours."""
 
 import asyncio
 import dataclasses
@@ -13,8 +13,11 @@
 from hyssoptack.policy import delegation
 
 
-async def _pair(site):
-    """A narrow instance and a wide one, over four shards of one upstream."""
+async def _start_pair(site):
+    """Starts instances with a narrow and a wide link over four shards.
+
+    Each shard has one upstream.
+    """
     for index in range(4):
         body = bytes([index]) * 16 + bytes([200 - index]) * 16
         await site.add_upstream(f"i-{index}", f"s{index}", body)
@@ -23,32 +26,32 @@
     return narrow
 
 
-def test_a_wider_neighbour_answers_and_the_caller_sees_no_difference():
+def test_a_neighbour_with_a_wider_link_answers_the_whole_query():
     async def test():
         async with harness.Site() as site:
-            narrow = await _pair(site)
+            narrow = await _start_pair(site)
             first = await site.get("/all/x", "r1", name="narrow")
             wide = site.gateways["wide"]
             assert first.status == 200
             assert first.headers["x-missing-parts"] == "0"
             assert first.body[:16] == bytes([200]) * 16
             assert sum(s.run_counts[b"r1"] for s in site.services.values()) == 4
-            # Nothing was gathered over the narrow link.
+            # No replies were gathered over the narrow link.
             assert narrow._pools.opened_count < wide._pools.opened_count
             assert not narrow._delegating.pending
 
     asyncio.run(test())
 
 
-def test_a_neighbour_that_is_gone_costs_no_answer():
+def test_a_killed_neighbour_causes_no_failed_or_partial_answers():
     async def test():
         async with harness.Site() as site:
-            await _pair(site)
+            await _start_pair(site)
             site.kill("wide")
             for number in range(5):
-                got = await site.get("/all/x", f"r{number}", name="narrow")
-                assert got.status == 200
-                assert got.headers["x-missing-parts"] == "0"
+                response = await site.get("/all/x", f"r{number}", name="narrow")
+                assert response.status == 200
+                assert response.headers["x-missing-parts"] == "0"
 
     asyncio.run(test())
 
@@ -56,33 +59,33 @@
 def test_a_neighbour_with_another_configuration_declines():
     async def test():
         async with harness.Site() as site:
-            narrow = await _pair(site)
+            narrow = await _start_pair(site)
             table = site.gateways["wide"].view
-            held = table.route_table
+            original_table = table.route_table
             table.route_table = types.SimpleNamespace(
                 configuration=types.SimpleNamespace(version=999)
             )
-            got = await site.get("/all/x", "r1", name="narrow")
-            table.route_table = held
-            assert got.status == 200
+            response = await site.get("/all/x", "r1", name="narrow")
+            table.route_table = original_table
+            assert response.status == 200
             assert sum(s.run_counts[b"r1"] for s in site.services.values()) == 4
             assert not narrow._delegating.pending
 
     asyncio.run(test())
 
 
-def test_a_stopping_neighbour_declines_and_finishes_what_it_began():
+def test_a_stopping_neighbour_declines_new_queries_and_finishes_started_ones():
     async def test():
         async with harness.Site() as site:
-            await _pair(site)
+            await _start_pair(site)
             for each in site.services.values():
                 each.behaviour.delay_ms = 150.0
             begun = asyncio.create_task(site.get("/all/x", "r1", name="narrow"))
             await asyncio.sleep(0.05)
             site.gateways["wide"].stop()
             later = await site.get("/all/x", "r2", name="narrow")
-            got = await begun
-            assert (got.status, later.status) == (200, 200)
+            response = await begun
+            assert (response.status, later.status) == (200, 200)
             for name in ("r1", "r2"):
                 key = name.encode()
                 runs = [s.run_counts[key] for s in site.services.values()]
@@ -91,10 +94,10 @@
     asyncio.run(test())
 
 
-def test_a_caller_that_leaves_ends_the_work_at_the_neighbour():
+def test_a_caller_that_disconnects_cancels_the_query_at_the_neighbour():
     async def test():
         async with harness.Site() as site:
-            await _pair(site)
+            await _start_pair(site)
             for each in site.services.values():
                 each.behaviour.never = True
             address = site.settings["narrow"].callers_address
@@ -113,20 +116,20 @@
     asyncio.run(test())
 
 
-def test_a_neighbour_that_stands_still_is_not_waited_for():
+def test_a_query_is_taken_back_from_a_neighbour_that_does_not_accept_in_time():
     async def test():
         async with harness.Site() as site:
-            narrow = await _pair(site)
-            # It takes messages and says nothing: a frozen process.
+            narrow = await _start_pair(site)
+            # A frozen process receives messages without answering.
             site.gateways["wide"]._peering.on_message = lambda _: None
             for each in site.services.values():
                 each.behaviour.delay_ms = 20.0
             started_s = asyncio.get_running_loop().time()
-            got = await site.get("/all/x", "r1", name="narrow")
+            response = await site.get("/all/x", "r1", name="narrow")
             took_s = asyncio.get_running_loop().time() - started_s
-            assert got.status == 200
+            assert response.status == 200
             assert took_s * 1_000 < delegation.ACCEPT_TIMEOUT_MS + 150.0
-            # It is left alone from then on.
+            # No further queries are delegated to it.
             assert (
                 narrow._delegating.selector.choose(
                     delegation.Query(
@@ -140,40 +143,40 @@
     asyncio.run(test())
 
 
-def test_a_query_that_can_not_be_paid_for_here_stays_with_a_slow_neighbour():
-    # After all instances had lost power, queries taken back from neighbours
-    # that were starting too failed, as nothing was left for extra calls.
+def test_a_query_stays_with_a_slow_neighbour_without_budget_to_rerun_it():
+    # When all instances restart after a power loss, neighbours accept late.
+    # Queries taken back from them failed, as no extra call budget was left.
     async def test():
         async with harness.Site() as site:
-            narrow = await _pair(site)
-            none = dataclasses.replace(
+            narrow = await _start_pair(site)
+            empty_share = dataclasses.replace(
                 narrow._extra_calls.share, slack_count=0.0
             )
-            narrow._extra_calls.share = none
-            narrow._extra_calls.gather_share = none
+            narrow._extra_calls.share = empty_share
+            narrow._extra_calls.gather_share = empty_share
             for each in narrow._extra_calls._services.values():
                 each.slack_count = 0.0
             wide = site.gateways["wide"]._peering
-            take = wide.on_message
+            deliver = wide.on_message
             loop = asyncio.get_running_loop()
-            asked = []
+            received_types = []
 
-            def late(each):
-                asked.append(type(each))
-                loop.call_later(0.1, take, each)
+            def deliver_late(each):
+                received_types.append(type(each))
+                loop.call_later(0.1, deliver, each)
 
-            wide.on_message = late
-            got = await site.get("/all/x", "r1", name="narrow")
-            assert got.status == 200
-            # Asked again after its answer, it would run the query once more.
-            assert asked.count(gatewaymessage.DelegationRequest) == 1
+            wide.on_message = deliver_late
+            response = await site.get("/all/x", "r1", name="narrow")
+            assert response.status == 200
+            # A request repeated after the answer would run the query again.
+            assert received_types.count(gatewaymessage.DelegationRequest) == 1
             runs = [s.run_counts[b"r1"] for s in site.services.values()]
             assert runs == [1, 1, 1, 1]
 
     asyncio.run(test())
 
 
-def _ask():
+def _delegation_request():
     return gatewaymessage.DelegationRequest(
         sender_address="n:1",
         ask_id=3,
@@ -187,50 +190,50 @@
     )
 
 
-def test_who_stood_still_takes_no_query_that_may_have_waited_as_long():
+def test_queries_that_may_have_waited_through_a_stall_are_declined():
     sent = []
-    held = querydelegation.Delegator(
+    delegator = querydelegation.Delegator(
         delegation.DelegateSelector(0.0, random.Random(1)),
         "w:1",
         lambda _, each: sent.append(each),
         None,
         None,
     )
-    held._ticked_ms -= 2 * querydelegation.STALL_MS
-    assert held.accept(_ask(), can_serve=True) is None
+    delegator._last_tick_ms -= 2 * querydelegation.STALL_MS
+    assert delegator.accept(_delegation_request(), can_serve=True) is None
     assert [each.begun for each in sent] == [False]
-    held._ticked_ms += 2 * querydelegation.STALL_MS
-    exchange = held.accept(_ask(), can_serve=True)
+    delegator._last_tick_ms += 2 * querydelegation.STALL_MS
+    exchange = delegator.accept(_delegation_request(), can_serve=True)
     assert exchange is not None
     assert sent[-1].begun
-    # Asked again, it says that it runs, and begins nothing.
-    assert held.accept(_ask(), can_serve=False) is None
+    # A repeated request is reported as running and not started again.
+    assert delegator.accept(_delegation_request(), can_serve=False) is None
     assert sent[-1].begun
 
 
-def test_messages_that_waited_are_declined_though_the_watch_has_run():
-    # After a stop the loop runs its timers first, and reads messages then.
+def test_queries_are_declined_after_a_stall_though_the_watch_has_run():
+    # After a stall the event loop runs its timers before it reads messages.
     sent = []
-    held = querydelegation.Delegator(
+    delegator = querydelegation.Delegator(
         delegation.DelegateSelector(0.0, random.Random(1)),
         "w:1",
         lambda _, each: sent.append(each),
         None,
         None,
     )
-    held._ticked_ms -= 2 * querydelegation.STALL_MS
+    delegator._last_tick_ms -= 2 * querydelegation.STALL_MS
 
-    async def wake():
-        watch = asyncio.create_task(held.watch_stalls())
+    async def run_watch():
+        watch = asyncio.create_task(delegator.watch_stalls())
         await asyncio.sleep(0.01)
         watch.cancel()
 
-    asyncio.run(wake())
-    assert held.accept(_ask(), can_serve=True) is None
+    asyncio.run(run_watch())
+    assert delegator.accept(_delegation_request(), can_serve=True) is None
     assert [each.begun for each in sent] == [False]
 
 
-def test_an_answer_that_can_not_be_in_time_is_given_time_to_be_whole():
+def test_a_late_answer_is_not_shortened_by_the_reserved_time():
     route = types.SimpleNamespace(latency_goal_ms=150.0)
     query = inbound.Request(
         exchange=types.SimpleNamespace(
@@ -245,34 +248,34 @@
     assert query.goal_at_ms(1_140.0) == 1_150.0
 
 
-def test_a_neighbour_that_is_late_is_let_finish():
-    # Taken back at the goal, 4 requests of a day ran on three upstreams of a
-    # shard where their routes allow two.
+def test_a_query_started_by_a_late_neighbour_is_not_taken_back():
+    # Queries taken back at the goal could run on three upstreams of a shard
+    # where their routes allow two (4 requests a day).
     async def test():
         async with harness.Site() as site:
-            await _pair(site)
+            await _start_pair(site)
             for each in site.services.values():
                 each.behaviour.delay_ms = 700.0
-            got = await site.get("/all/x", "r1", name="narrow")
-            assert got.status == 200
+            response = await site.get("/all/x", "r1", name="narrow")
+            assert response.status == 200
             runs = [s.run_counts[b"r1"] for s in site.services.values()]
             assert runs == [1, 1, 1, 1]
 
     asyncio.run(test())
 
 
-def test_a_neighbour_lost_on_the_way_ends_the_query_at_once():
+def test_losing_a_neighbour_that_runs_a_query_fails_the_query_at_once():
     async def test():
         async with harness.Site() as site:
-            await _pair(site)
+            await _start_pair(site)
             for each in site.services.values():
                 each.behaviour.delay_ms = 700.0
             begun = asyncio.create_task(site.get("/all/x", "r1", name="narrow"))
             await asyncio.sleep(0.1)
             site.kill("wide")
             async with asyncio.timeout(0.7):
-                got = await begun
-            assert got.status == 502
+                response = await begun
+            assert response.status == 502
             runs = [s.run_counts[b"r1"] for s in site.services.values()]
             assert runs == [1, 1, 1, 1]
 
