--- a/hyssoptack/__init__.py
+++ b/hyssoptack/__init__.py
@@ -1,6 +1,6 @@
-"""A query tier between callers and very many shards.
+"""A query tier between callers and a very large number of shards.
 
-The package is a library with thin daemons around it. `core` holds the immutable
-records, `policy` the decisions (pure functions of records and the time), and
-the other packages the tasks that own sockets and state.
+The package is a library with thin daemons on top. `core` holds the immutable
+records, `policy` holds the decisions (pure functions of records and the time),
+and the other packages hold the tasks that own sockets and state.
 """
--- a/hyssoptack/platform/__init__.py
+++ b/hyssoptack/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter: everything that knows the users' platform by its names."""
+"""Adapter to the platform: its header names, store keys and data formats."""
--- a/hyssoptack/platform/ablation.py
+++ b/hyssoptack/platform/ablation.py
@@ -1,8 +1,8 @@
-"""`python -m hyssoptack.platform.ablation`: what each mechanism is worth.
+"""`python -m hyssoptack.platform.ablation`: measures each mechanism's effect.
 
-Plays days of the users' bench with all mechanisms at work, and with each one
-switched off alone, and prints a table of the differences. Each variant is
-played from a checkout of its own, so that this one can be edited meanwhile.
+Runs days of the users' bench with all mechanisms enabled and with each one
+disabled alone, and prints a table of the differences in score. Each variant
+runs from its own checkout, so that the current one can be edited during a run.
 """
 
 import concurrent.futures
@@ -17,14 +17,20 @@
 from hyssoptack.core import mechanism
 
 TEMPLATE = "deploy/gateway.yaml.in"
-_WORTH = re.compile(r"^worth (-?[0-9.]+) = ", re.MULTILINE)
-_BROKEN = re.compile(r"^rules broken: (.*)$", re.MULTILINE)
-_SHARED = shutil.ignore_patterns(".git", ".venv", "journal", "__pycache__")
+_WORTH_LINE = re.compile(r"^worth (-?[0-9.]+) = ", re.MULTILINE)
+_BROKEN_LINE = re.compile(r"^rules broken: (.*)$", re.MULTILINE)
+_NOT_COPIED = shutil.ignore_patterns(".git", ".venv", "journal", "__pycache__")
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Play:
-    """One day played with one mechanism switched off; empty for none."""
+class BenchRun:
+    """A bench day to run with at most one mechanism disabled.
+
+    Attributes:
+        without: The disabled mechanism; empty for none.
+        site: Path of the site file.
+        day: Name of one of the site's days.
+    """
 
     without: str
     site: str
@@ -32,20 +38,26 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Played:
-    """What came of it; `worth` is None where the day could not be played."""
+class RunResult:
+    """The result of one run.
+
+    Attributes:
+        play: The run.
+        worth: The bench's score; None where the run failed.
+        broken: The rules that the run broke, as printed by the bench.
+    """
 
-    play: Play
+    play: BenchRun
     worth: float | None
     broken: str = ""
 
 
-def _prepare(folder: pathlib.Path, without: str) -> pathlib.Path:
-    """Makes the checkout of a variant; returns where it lies."""
+def _create_checkout(folder: pathlib.Path, without: str) -> pathlib.Path:
+    """Creates the checkout of a variant and returns its path."""
     tree = folder / (without or "all")
     if tree.exists():
         return tree
-    shutil.copytree(".", tree, ignore=_SHARED)
+    shutil.copytree(".", tree, ignore=_NOT_COPIED)
     subprocess.run(["git", "init", "-q"], cwd=tree, check=True)
     if without:
         template = tree / TEMPLATE
@@ -55,27 +67,30 @@
     return tree
 
 
-def _run(bench: str, folder: pathlib.Path, play: Play) -> Played:
+def _run_day(bench: str, folder: pathlib.Path, play: BenchRun) -> RunResult:
+    """Runs one bench day in its variant's checkout."""
     tree = folder / (play.without or "all")
     why = f"ablation: without {play.without or 'nothing'}"
-    done = subprocess.run(
+    process = subprocess.run(
         [bench, "run", play.site, play.day, "--why", why],
         cwd=tree,
         capture_output=True,
         text=True,
         check=False,
     )
-    found = _WORTH.search(done.stdout)
-    broken = _BROKEN.search(done.stdout)
-    return Played(
+    found = _WORTH_LINE.search(process.stdout)
+    broken = _BROKEN_LINE.search(process.stdout)
+    return RunResult(
         play=play,
         worth=float(found.group(1)) if found else None,
         broken=broken.group(1) if broken else "",
     )
 
 
-def _table(played: list[Played], days: list[tuple[str, str]]) -> str:
-    """Returns the table: worth with all, and the change without each."""
+def _markdown_table(
+    played: list[RunResult], days: list[tuple[str, str]]
+) -> str:
+    """Formats a Markdown table: the score, and the change without each."""
     worths = {
         (each.play.without, each.play.site, each.play.day): each
         for each in played
@@ -105,27 +120,29 @@
 def ablation(
     bench: str, folder: pathlib.Path, *days: str, jobs: int = 4
 ) -> None:
-    """Plays days with each mechanism off, and prints what it changes.
+    """Runs days with each mechanism disabled and prints the changes in score.
 
     Args:
-        bench: The bench's program.
-        folder: Where checkouts are made; kept, with their journals.
+        bench: Path of the bench's executable.
+        folder: Directory for the checkouts; they and their journals are kept.
         days: `SITE:DAY`, each a site file and the name of one of its days.
-        jobs: Days played at a time.
+        jobs: Number of days that run at the same time.
     """
-    chosen = [
+    site_days = [
         (each.rpartition(":")[0], each.rpartition(":")[2]) for each in days
     ]
     plays = [
-        Play(without=name, site=site, day=day)
+        BenchRun(without=name, site=site, day=day)
         for name in ("", *mechanism.NAMES)
-        for site, day in chosen
+        for site, day in site_days
     ]
     for name in ("", *mechanism.NAMES):
-        _prepare(folder, name)
+        _create_checkout(folder, name)
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
-        played = list(pool.map(lambda each: _run(bench, folder, each), plays))
-    print(_table(played, chosen))
+        played = list(
+            pool.map(lambda each: _run_day(bench, folder, each), plays)
+        )
+    print(_markdown_table(played, site_days))
 
 
 if __name__ == "__main__":
--- a/hyssoptack/platform/boot.py
+++ b/hyssoptack/platform/boot.py
@@ -1,4 +1,4 @@
-"""Where the platform leaves a process's settings."""
+"""Finds the settings file that the platform provides for a process."""
 
 import os
 
@@ -6,5 +6,5 @@
 
 
 def settings_path() -> str:
-    """Returns the settings file's path, or nothing outside the platform."""
+    """Returns the settings file's path; empty outside the platform."""
     return os.environ.get(_SETTINGS_VARIABLE, "")
--- a/hyssoptack/platform/headers.py
+++ b/hyssoptack/platform/headers.py
@@ -1,6 +1,6 @@
-"""Reads and writes the headers that the platform gives a meaning to.
+"""Reads and writes the headers that the platform defines.
 
-The names of headers and of the readiness path appear nowhere else.
+The names of these headers and the readiness path appear in no other module.
 """
 
 import dataclasses
@@ -14,28 +14,29 @@
 REQUEST_ID = b"x-request-id"
 
 _DEADLINE = b"x-request-deadline"
-_EXPECTED = b"x-expected-instance"
-# The upstream's signature under its reply.
+_EXPECTED_INSTANCE = b"x-expected-instance"
+# The signature that an upstream puts on its reply.
 _SIGNATURE = b"x-server-stamp"
-_SIGNATURES = b"X-Part-Stamps"
-_MISSING = b"X-Missing-Parts"
-_NOT_RUN = b"x-not-executed"
+_PART_SIGNATURES = b"X-Part-Stamps"
+_MISSING_PARTS = b"X-Missing-Parts"
+_NOT_EXECUTED = b"x-not-executed"
 
-_OWN_HEADERS = frozenset((_DEADLINE, _EXPECTED, b"expect"))
+_OWN_HEADERS = frozenset((_DEADLINE, _EXPECTED_INSTANCE, b"expect"))
 
 STATUS_MISDIRECTED = 421
 STATUS_BAD_GATEWAY = 502
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
-"""With these a caller is told that its request has not run."""
+"""Statuses that tell a caller that its request was not executed."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RequestMetadata:
-    """What a request says of itself besides its content.
+    """The request id, deadline and host from a request's headers.
 
     Attributes:
-        request_id: Names this attempt of the caller.
-        deadline_ms: How long the caller waits; None where it does not say.
+        request_id: Identifies this attempt of the caller.
+        deadline_ms: How long the caller waits; None where the header is absent
+            or no number.
         host: The host, without a port.
     """
 
@@ -45,7 +46,7 @@
 
 
 def read_metadata(request: message.Request) -> RequestMetadata | str:
-    """Reads a request's facts, or says what is wrong with them."""
+    """Returns a request's metadata, or the reason for which it is invalid."""
     ids = request.values(REQUEST_ID)
     hosts = request.values(b"host")
     if len(ids) != 1 or not ids[0]:
@@ -64,11 +65,12 @@
 
 
 def request_id_text(request: message.Request) -> str:
-    """Returns the caller's id of a request, for the log."""
+    """Returns the caller's request id as text, for the log."""
     return request.value(REQUEST_ID).decode("latin-1")
 
 
 def _deadline(request: message.Request) -> float | None:
+    """Returns the deadline in ms; None where it is absent or no number."""
     try:
         return max(0.0, float(request.value(_DEADLINE)))
     except ValueError:
@@ -77,11 +79,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ForwardedRequest:
-    """What all calls of one request have in common on the wire.
+    """The bytes that all upstream calls of one request share.
 
     Attributes:
-        head: Its head, but for the headers that differ from call to call.
-        body: Its body.
+        head: The request's head, without the headers that differ per call.
+        body: The request's body.
     """
 
     head: bytes
@@ -89,7 +91,7 @@
 
 
 def forwarded_request(request: message.Request) -> ForwardedRequest:
-    """Returns what goes to each upstream that a request is sent to."""
+    """Builds the bytes that every upstream call of a request shares."""
     head = message.request_head(
         request.method,
         request.target,
@@ -102,7 +104,7 @@
 def upstream_request(
     common: ForwardedRequest, upstream: traffic.Upstream, remaining_ms: float
 ) -> bytes:
-    """Returns a request as it goes to one upstream."""
+    """Serializes a request for one upstream."""
     return b"%sX-Request-Deadline: %d\r\nX-Expected-Instance: %s\r\n\r\n%s" % (
         common.head,
         max(1, remaining_ms),
@@ -114,11 +116,11 @@
 def call_outcome(
     seen: httpclient.Outcome, is_part: bool
 ) -> callcommand.Outcome:
-    """Reads what became of a call.
+    """Classifies the outcome of an upstream call.
 
     Args:
-        seen: What the connection saw of it.
-        is_part: Whether its reply is to be part of a merged answer.
+        seen: The outcome as the connection reports it.
+        is_part: Whether the reply is meant as part of a merged answer.
     """
     match seen:
         case httpclient.BrokenCall(reason=reason, sent=False):
@@ -141,14 +143,14 @@
 
 
 def reply_outcome(reply: message.Reply) -> callcommand.Outcome:
-    """Reads what an upstream's reply says about the request.
+    """Classifies an upstream's complete reply.
 
     Args:
-        reply: A whole reply.
+        reply: A complete reply.
 
     Returns:
-        Its meaning. Only an explicit word of the upstream, or another
-        upstream's at its address, says that the request has not run.
+        The outcome. A request counts as not executed only if the upstream's
+        header says so, or if another upstream replied at its address.
     """
     if reply.status == STATUS_MISDIRECTED:
         return callcommand.Outcome(
@@ -156,7 +158,7 @@
             reply=reply,
             reason="other_upstream",
         )
-    if reply.value(_NOT_RUN):
+    if reply.value(_NOT_EXECUTED):
         return callcommand.Outcome(
             kind=callcommand.OutcomeKind.SHED,
             reply=reply,
@@ -168,22 +170,23 @@
         return _failed("encoded_reply")
     if success and not signed:
         return _failed("unsigned_success")
-    passable = signed and reply.status not in NOT_RUN_STATUSES
-    if success or (passable and 400 <= reply.status < 500):
+    forwardable = signed and reply.status not in NOT_RUN_STATUSES
+    if success or (forwardable and 400 <= reply.status < 500):
         return callcommand.Outcome(
             kind=callcommand.OutcomeKind.ANSWERED, reply=reply
         )
     return callcommand.Outcome(
         kind=callcommand.OutcomeKind.FAILED,
-        reply=reply if passable else None,
+        reply=reply if forwardable else None,
         reason=f"status_{reply.status}",
     )
 
 
 def part_outcome(reply: message.Reply) -> callcommand.Outcome:
-    """Reads a reply that is to be part of a merged answer.
+    """Classifies a reply that is meant as part of a merged answer.
 
-    A failure is no part, even where it would do as an answer of its own.
+    A reply with any status but 200 counts as failed here, also where it would
+    be a valid answer to a request for a single service.
     """
     read = reply_outcome(reply)
     if read.kind is callcommand.OutcomeKind.ANSWERED and reply.status != 200:
@@ -192,21 +195,21 @@
 
 
 def has_missing_parts(reply: message.Reply) -> bool:
-    """Whether a merged answer leaves shards out."""
-    return reply.value(_MISSING.lower()) not in (b"", b"0")
+    """Returns whether a merged answer lacks the results of some shards."""
+    return reply.value(_MISSING_PARTS.lower()) not in (b"", b"0")
 
 
 def signature(reply: message.Reply) -> bytes:
-    """Returns the upstream's signature under a reply."""
+    """Returns the upstream's signature of a reply; empty if unsigned."""
     return reply.value(_SIGNATURE)
 
 
 def relayed_part(signed: bytes, body: bytes) -> message.Reply:
-    """Returns a part whose reply another instance has read.
+    """Builds the reply for a part that another instance received.
 
     Args:
         signed: The upstream's signature.
-        body: Its records, or the greatest of them.
+        body: The part's records, or only the greatest of them.
     """
     return message.Reply(status=200, headers=((_SIGNATURE, signed),), body=body)
 
@@ -218,7 +221,7 @@
 
 
 def single_reply(reply: message.Reply) -> message.Reply:
-    """Returns an upstream's reply as the caller gets it."""
+    """Returns an upstream's reply as it is forwarded to the caller."""
     headers = message.end_to_end_headers(reply.headers, frozenset())
     return message.Reply(
         status=reply.status, headers=tuple(headers), body=reply.body
@@ -231,15 +234,15 @@
     part_count: int,
     body: bytes,
 ) -> message.Reply:
-    """Returns the answer that merges the replies of several shards."""
+    """Builds the caller's answer from the merged replies of several shards."""
     signatures = b", ".join(each.value(_SIGNATURE) for each in parts)
     return message.Reply(
         status=200,
         headers=(
             (b"X-Request-Id", request_id),
             (b"Content-Type", b"application/octet-stream"),
-            (_SIGNATURES, signatures),
-            (_MISSING, b"%d" % (part_count - len(parts))),
+            (_PART_SIGNATURES, signatures),
+            (_MISSING_PARTS, b"%d" % (part_count - len(parts))),
         ),
         body=body,
     )
--- a/hyssoptack/platform/headers_test.py
+++ b/hyssoptack/platform/headers_test.py
@@ -1,4 +1,4 @@
-"""What upstreams' replies mean, and what callers and upstreams are sent."""
+"""Tests of reply classification and of forwarded headers."""
 
 import pytest
 
@@ -34,18 +34,20 @@
         (reply(421), callcommand.OutcomeKind.NOT_RUN),
     ],
 )
-def test_only_an_explicit_word_says_that_nothing_ran(given, kind):
+def test_replies_are_classified_by_status_signature_and_headers(given, kind):
     assert headers.reply_outcome(given).kind is kind
 
 
-def test_a_failure_is_no_part_of_a_merged_answer():
+def test_a_signed_404_is_a_failed_part_of_a_merged_answer():
     given = reply(404, SIGNED)
     assert headers.part_outcome(given).kind is callcommand.OutcomeKind.FAILED
 
 
 @pytest.mark.parametrize("status", [429, 503])
-def test_a_failure_that_ran_is_not_passed_on_as_a_promise(status):
-    # The caller would take it for "not run".
+def test_an_executed_failure_is_not_forwarded_with_a_not_executed_status(
+    status,
+):
+    # The caller would read these statuses as "not executed".
     assert headers.reply_outcome(reply(status, SIGNED)).reply is None
 
 
@@ -64,11 +66,11 @@
 ID = (b"X-Request-Id", b"r1")
 
 
-def test_facts_of_a_request_are_read():
-    facts = headers.read_metadata(
+def test_metadata_of_a_request_is_read():
+    metadata = headers.read_metadata(
         request(HOST, ID, (b"X-Request-Deadline", b"250"))
     )
-    assert facts == headers.RequestMetadata(
+    assert metadata == headers.RequestMetadata(
         request_id=b"r1", deadline_ms=250.0, host="shop.example"
     )
 
@@ -83,18 +85,18 @@
         request(HOST, ID, target=b"http://other/"),
     ],
 )
-def test_ambiguous_requests_are_refused(given):
+def test_requests_with_invalid_metadata_are_rejected(given):
     assert isinstance(headers.read_metadata(given), str)
 
 
-def test_a_deadline_that_is_no_number_is_none():
-    facts = headers.read_metadata(
+def test_a_deadline_that_is_not_a_number_is_ignored():
+    metadata = headers.read_metadata(
         request(HOST, ID, (b"X-Request-Deadline", b"soon"))
     )
-    assert facts.deadline_ms is None
+    assert metadata.deadline_ms is None
 
 
-def test_a_request_goes_on_without_what_concerns_one_connection():
+def test_hop_by_hop_and_forged_headers_are_not_forwarded():
     given = request(
         HOST,
         ID,
--- a/hyssoptack/platform/keyvalue.py
+++ b/hyssoptack/platform/keyvalue.py
@@ -1,7 +1,7 @@
 """Client of the platform's key-value store, on the product's HTTP client.
 
-A write whose answer is lost may or may not have happened, and may still happen
-later; the client never repeats one by itself.
+A write whose answer is lost may have been applied, or may still be applied
+later, so the client never retries a write by itself.
 """
 
 import asyncio
@@ -24,25 +24,25 @@
 T = typing.TypeVar("T")
 
 CALL_TIMEOUT_MS = 1_000.0
-"""Longest wait for an answer: the store takes 4 ms, and some 200 ms when slow;
-a second is a silent connection."""
+"""Timeout of one call. The store answers in 4 ms, and in some 200 ms when slow;
+a connection without an answer after a second is taken for dead."""
 
 WATCH_MARGIN_MS = 700.0
-"""Added to a watch's own time for the same reasons."""
+"""Added to the wait of a watch to get its timeout, for the same reasons."""
 
 STALL_THRESHOLD_MS = 300.0
-"""An answer handled this long after its timeout was kept waiting by a stop of
-the whole process, not by the network."""
+"""An answer handled this long after its timeout was delayed by a pause of the
+whole process, not by the network."""
 
 _ERA = b"store-era"
 
 CONNECTION_LIMIT_COUNT = 6
 PAGE_LIMIT_COUNT = 400
-"""Most pages of one range: 200,000 items, far over what is kept there."""
+"""Most pages of one range read: 200,000 items, far more than are stored."""
 
 
 class FailureKind(enum.Enum):
-    """Why a call brought nothing."""
+    """Why a call to the store failed."""
 
     UNREACHABLE = "unreachable"
     BUSY = "busy"
@@ -54,14 +54,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Failure:
-    """A call that brought nothing."""
+    """A failed call to the store.
+
+    Attributes:
+        kind: The class of the failure.
+        detail: Text for the log.
+    """
 
     kind: FailureKind
     detail: str
 
 
 class Item(msgspec.Struct):
-    """A key and its value, or the key's removal."""
+    """A key with its value, or the removal of a key."""
 
     key: str
     value: bytes = b""
@@ -72,8 +77,10 @@
 class Listing(msgspec.Struct):
     """Items under a prefix.
 
-    `store_revision` is the store's own at the time of the first page, `era`
-    the store's, as in `core.position`.
+    Attributes:
+        items: The items of all pages.
+        store_revision: The whole store's revision when the first page was read.
+        era: The store's era, as in `core.position`.
     """
 
     items: list[Item]
@@ -82,19 +89,25 @@
 
     @property
     def position(self) -> position.Position:
-        """Where in the store's history this was read."""
+        """The position in the store's history at which this was read."""
         return position.Position(self.era, self.store_revision)
 
 
 class _Page(msgspec.Struct):
     items: list[Item]
-    # The whole store's revision, not that of any item.
+    # The revision of the whole store, not of an item.
     current_rev: int
     has_more: bool = False
 
 
 class Changes(msgspec.Struct):
-    """What a watch saw, and the revision to go on from."""
+    """The changes that a watch returned.
+
+    Attributes:
+        events: The changed items.
+        current_rev: The store's revision to continue the watch from.
+        era: The store's era, as in `core.position`.
+    """
 
     events: list[Item]
     current_rev: int
@@ -102,7 +115,7 @@
 
     @property
     def position(self) -> position.Position:
-        """Up to where in the store's history this reaches."""
+        """The position in the store's history up to which changes are included."""
         return position.Position(self.era, self.current_rev)
 
 
@@ -133,7 +146,7 @@
 _LEASE = msgspec.json.Decoder(_Lease)
 _ENCODER = msgspec.json.Encoder()
 
-_TROUBLES = {
+_FAILURE_KINDS = {
     404: FailureKind.NO_LEASE,
     410: FailureKind.COMPACTED,
     412: FailureKind.CONFLICT,
@@ -143,7 +156,7 @@
 
 
 class Client:
-    """Calls to the store; all run on the event loop."""
+    """Asynchronous client of the store; all calls run on the event loop."""
 
     def __init__(self, address: str, pools: pool.Pools):
         self._pools = pools
@@ -151,7 +164,7 @@
         self.set_address(address)
 
     def set_address(self, address: str) -> None:
-        """Calls the store at another address from now on."""
+        """Sends all further calls to the given address."""
         self._host = address.encode()
         self._store = traffic.Upstream(
             upstream_id=f"store {address}",
@@ -169,15 +182,16 @@
         allow_stale: bool = False,
         timeout_ms: float = CALL_TIMEOUT_MS,
     ) -> expression.Result[Listing, Failure]:
-        """Reads all items under a prefix; pages are not one snapshot.
+        """Reads all items under a prefix; the pages are not one snapshot.
 
         Args:
             prefix: Start of the keys.
-            allow_stale: Whether an answer some seconds old will do.
-            timeout_ms: Longest wait for each page.
+            allow_stale: Whether the store may answer with data some seconds
+                old.
+            timeout_ms: Timeout of the call for each page.
 
         Returns:
-            The items, or what went wrong.
+            The items, or the failure.
         """
         items: list[Item] = []
         read_at: position.Position | None = None
@@ -188,7 +202,7 @@
             result = await self._call("GET", "kv-range", query, timeout_ms)
             match result:
                 case expression.Result(tag="ok", ok=reply):
-                    page = _decoded(_PAGE, reply.body)
+                    page = _decode(_PAGE, reply.body)
                 case expression.Result(error=failure):
                     return expression.Error(failure)
             if isinstance(page, Failure):
@@ -211,7 +225,7 @@
     async def watch(
         self, prefix: str, after_revision: int, wait_ms: float
     ) -> expression.Result[Changes, Failure]:
-        """Waits until something under a prefix changes, or the time is over."""
+        """Waits until an item under a prefix changes, for at most `wait_ms`."""
         query = {
             "prefix": prefix,
             "after": str(after_revision),
@@ -220,7 +234,7 @@
         result = await self._call(
             "GET", "kv-watch", query, wait_ms + WATCH_MARGIN_MS
         )
-        changes = _read(result, _CHANGES)
+        changes = _decode_result(result, _CHANGES)
         if changes.is_ok():
             changes.ok.era = _era(result.ok)
         return changes
@@ -228,10 +242,10 @@
     async def grant_lease(
         self, ttl_ms: float
     ) -> expression.Result[int, Failure]:
-        """Takes a lease; returns its number."""
+        """Requests a lease and returns its number."""
         body = _ENCODER.encode({"ttl_ms": int(ttl_ms)})
         result = await self._call("POST", "kv-lease", {}, body=body)
-        return _read(result, _LEASE).map(lambda found: found.lease)
+        return _decode_result(result, _LEASE).map(lambda found: found.lease)
 
     async def renew_lease(
         self, lease: int
@@ -242,30 +256,30 @@
     async def put(
         self, key: str, value: bytes, lease: int
     ) -> expression.Result[message.Reply, Failure]:
-        """Writes a key that goes with a lease."""
+        """Writes a key that is removed when the lease expires."""
         return await self.put_all({key: value}, lease)
 
     async def put_all(
         self, values: dict[str, bytes], lease: int
     ) -> expression.Result[message.Reply, Failure]:
-        """Writes up to 32 keys that go with a lease."""
+        """Writes up to 32 keys that are removed when the lease expires."""
         writes = [
             _Write(key=key, value=value, lease=lease)
             for key, value in values.items()
         ]
-        return await self._change(
+        return await self._commit(
             _Transaction(expect=[], writes=writes, deletes=[])
         )
 
     async def delete(
         self, keys: collections.abc.Sequence[str]
     ) -> expression.Result[message.Reply, Failure]:
-        """Removes up to 32 keys."""
-        return await self._change(
+        """Deletes up to 32 keys."""
+        return await self._commit(
             _Transaction(expect=[], writes=[], deletes=[*keys])
         )
 
-    async def _change(
+    async def _commit(
         self, change: _Transaction
     ) -> expression.Result[message.Reply, Failure]:
         body = _ENCODER.encode(change)
@@ -287,18 +301,18 @@
         outcome = await self._exchange(method, path, timeout_ms, body)
         took_ms = clock.now_ms() - started_ms
         if took_ms > timeout_ms + STALL_THRESHOLD_MS:
-            # The process was stopped meanwhile: what came is as old as that.
+            # The process was paused during the call: the answer is outdated.
             outcome = httpclient.BrokenCall(reason="answer_too_old", sent=True)
         match outcome:
             case message.Reply(status=200):
                 return expression.Ok(outcome)
             case message.Reply(status=status):
-                trouble = _TROUBLES.get(status, FailureKind.REFUSED)
+                kind = _FAILURE_KINDS.get(status, FailureKind.REFUSED)
                 detail = f"{method} {name}: status {status}"
             case httpclient.BrokenCall(reason=reason):
-                trouble = FailureKind.UNREACHABLE
+                kind = FailureKind.UNREACHABLE
                 detail = f"{method} {name}: {reason}"
-        return expression.Error(Failure(kind=trouble, detail=detail))
+        return expression.Error(Failure(kind=kind, detail=detail))
 
     async def _exchange(
         self, method: str, path: str, timeout_ms: float, body: bytes
@@ -337,23 +351,24 @@
 
 
 def _era(reply: message.Reply) -> int:
-    """Returns the store's era; 0 where it tells none."""
-    told = reply.value(_ERA)
-    return int(told) if told.isdigit() else 0
+    """Returns the store's era; 0 where the reply has none."""
+    era_text = reply.value(_ERA)
+    return int(era_text) if era_text.isdigit() else 0
 
 
 _ERA_CHANGED = Failure(
-    kind=FailureKind.COMPACTED, detail="the store changed its era meanwhile"
+    kind=FailureKind.COMPACTED,
+    detail="the store's era changed between two pages",
 )
 
 
-def _read(
+def _decode_result(
     result: expression.Result[message.Reply, Failure],
     decoder: msgspec.json.Decoder[T],
 ) -> expression.Result[T, Failure]:
     match result:
         case expression.Result(tag="ok", ok=reply):
-            found = _decoded(decoder, reply.body)
+            found = _decode(decoder, reply.body)
             if isinstance(found, Failure):
                 return expression.Error(found)
             return expression.Ok(found)
@@ -361,7 +376,7 @@
             return expression.Error(failure)
 
 
-def _decoded(decoder: msgspec.json.Decoder[T], body: bytes) -> T | Failure:
+def _decode(decoder: msgspec.json.Decoder[T], body: bytes) -> T | Failure:
     try:
         return decoder.decode(body)
     except msgspec.DecodeError as error:
--- a/hyssoptack/platform/storeformat.py
+++ b/hyssoptack/platform/storeformat.py
@@ -1,6 +1,6 @@
-"""Reads what the platform's store holds into the product's records.
+"""Decodes values of the platform's store into the product's records.
 
-The names of the fields below are the platform's; they appear nowhere else.
+The field names below are the platform's; they appear in no other module.
 """
 
 import typing
@@ -12,13 +12,13 @@
 from hyssoptack.http1 import message
 
 OPERATOR_PREFIX = "op/"
-"""All that operators write: instances read it in one."""
+"""Prefix of all keys that operators write; instances read it in one call."""
 
 CONFIGURATION_KEY = OPERATOR_PREFIX + "config"
 _EVACUATION_PREFIX = OPERATOR_PREFIX + "evacuate/"
 UPSTREAM_PREFIX = "servers/"
 OWN_PREFIX = "hyssoptack/"
-"""All that instances of ours store: they read it in one."""
+"""Prefix of all keys that instances write; they read it in one call."""
 
 PEER_PREFIX = OWN_PREFIX + "peers/"
 BLOCKED_PREFIX = OWN_PREFIX + "blocked/"
@@ -52,9 +52,9 @@
 
 class _Service(msgspec.Struct):
     name: str
-    # Counted over all callers of one upstream, not for each caller.
+    # Limit for one upstream over all its callers, not for each caller.
     max_connections: int
-    # Left out where a cold upstream bears any number of requests.
+    # Absent where a cold upstream may get any number of requests.
     warmup_s: float = 0.0
     warmup_per_s: float = 0.0
 
@@ -80,8 +80,8 @@
     slots: int
     state: typing.Literal["ready", "draining"]
     warmup_remaining_ms: float = 0.0
-    # Unix time of its start, in ms: tells two starts under one id apart. 0
-    # where the entry does not say; ids are then new at each start.
+    # Unix time of its start, in ms: distinguishes two starts under one id. 0
+    # where the entry has none; ids are then new at each start.
     born: int = 0
 
 
@@ -92,13 +92,13 @@
 def parse_configuration(
     data: bytes,
 ) -> expression.Result[traffic.Configuration, str]:
-    """Reads a configuration.
+    """Decodes a configuration.
 
     Args:
         data: The stored value.
 
     Returns:
-        The configuration, or what is wrong with the value.
+        The configuration, or an error text.
     """
     try:
         raw = _CONFIGURATION.decode(data)
@@ -143,7 +143,7 @@
         return traffic.Split(shares=shares)
     if raw.service:
         return traffic.OneService(service=raw.service)
-    raise ValueError(f"route {raw.name} names no service")
+    raise ValueError(f"route {raw.name} has no service")
 
 
 def _service(raw: _Service) -> traffic.Service:
@@ -167,23 +167,25 @@
 def parse_upstream(
     key: str, data: bytes
 ) -> expression.Result[traffic.Upstream, str]:
-    """Reads one entry of the list of upstreams.
+    """Decodes one entry of the list of upstreams.
 
     Args:
-        key: The entry's key; the upstream's id stands nowhere else.
+        key: The entry's key; the value does not hold the upstream's id.
         data: The stored value.
 
     Returns:
-        The upstream, or what is wrong with the entry.
+        The upstream, or an error text.
     """
     try:
         raw = _SERVER.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         return expression.Error(f"unreadable entry: {error}")
     listed_id = key.removeprefix(UPSTREAM_PREFIX)
-    if not _is_plain(listed_id):
-        # It goes into a header of each call.
-        return expression.Error("unreadable entry: its id is no plain word")
+    if not _is_visible_ascii(listed_id):
+        # The id is sent in a header of each call.
+        return expression.Error(
+            "unreadable entry: id must be printable ASCII without spaces"
+        )
     if traffic.split_address(raw.address) is None:
         return expression.Error(
             f"unreadable entry: expected HOST:PORT: {raw.address!r}"
@@ -205,8 +207,9 @@
 def evacuated_domain(key: str) -> str | None:
     """Returns the failure domain that a key evacuates; None for other keys."""
     domain = key.removeprefix(_EVACUATION_PREFIX)
-    return domain if domain != key and _is_plain(domain) else None
+    return domain if domain != key and _is_visible_ascii(domain) else None
 
 
-def _is_plain(name: str) -> bool:
+def _is_visible_ascii(name: str) -> bool:
+    """Returns whether a name is visible ASCII only, and not empty."""
     return bool(name) and all(ord(each) in _VISIBLE_ASCII for each in name)
--- a/hyssoptack/platform/storeformat_test.py
+++ b/hyssoptack/platform/storeformat_test.py
@@ -1,4 +1,4 @@
-"""Reading the platform's records."""
+"""Tests of decoding the platform's store values."""
 
 import json
 
@@ -50,7 +50,7 @@
         ),
     ],
 )
-def test_each_kind_of_target_is_read(fields, target):
+def test_each_kind_of_target_is_decoded(fields, target):
     found = storeformat.parse_configuration(stored({**ROUTE, **fields})).ok
     (route,) = found.routes
     assert route.target == target
@@ -69,11 +69,11 @@
         stored(version="x"),
     ],
 )
-def test_what_is_no_configuration_is_an_error_value(data):
+def test_an_invalid_configuration_is_an_error_value(data):
     assert "unreadable" in storeformat.parse_configuration(data).error
 
 
-def test_unknown_fields_are_left_out():
+def test_unknown_fields_are_ignored():
     data = stored({**ROUTE, "service": "one", "new": 1}, newer=True)
     assert storeformat.parse_configuration(data).is_ok()
 
@@ -93,7 +93,7 @@
     return json.dumps(ENTRY | changes).encode()
 
 
-def test_an_upstreams_entry_is_read():
+def test_an_upstream_entry_is_decoded():
     found = storeformat.parse_upstream("servers/i-1", entry()).ok
     assert found.upstream_id == found.expected_id == "i-1"
     assert found.draining
@@ -131,5 +131,5 @@
         ("servers/i-1\r\nX-Forged: 1", entry()),
     ],
 )
-def test_another_writers_entry_names_no_upstream(key, data):
+def test_an_invalid_upstream_entry_is_an_error_value(key, data):
     assert "unreadable" in storeformat.parse_upstream(key, data).error
