--- a/hyssoptack/http1/__init__.py
+++ b/hyssoptack/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 over asyncio, both directions, parsed by httptools."""
+"""HTTP/1.1 server and client over asyncio, parsed by httptools."""
--- a/hyssoptack/http1/httpclient.py
+++ b/hyssoptack/http1/httpclient.py
@@ -1,8 +1,8 @@
-"""The upstreams' side of HTTP/1.1: a connection that carries one call a time.
+"""HTTP/1.1 client: upstream connections that carry one call at a time.
 
-A reply is taken whole. What the connection saw decides what the caller may
-assume: before the first byte left, the request has not run; after it, it may
-have, unless a whole reply says otherwise.
+A reply is delivered only when it is complete. Until the first byte of a
+request has been sent, the request has certainly not been executed. After that
+it may have been, unless a complete reply says that it was not.
 """
 
 import asyncio
@@ -15,21 +15,22 @@
 from hyssoptack.http1 import message
 
 REPLY_LIMIT_BYTES = 16 * 1024 * 1024
-"""Most bytes of one reply; far over what services send, so that a broken one
-can't fill the memory."""
+"""Largest reply body accepted. It is far larger than what services send and
+keeps a faulty service from exhausting the memory."""
 
 INFORMATIONAL_LIMIT = 200
+"""Status codes below this are informational (1xx): the final reply follows."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class BrokenCall:
-    """A call ended without a whole reply.
+    """The outcome of a call that ended without a complete reply.
 
     Attributes:
-        reason: What was seen.
-        sent: Whether a byte of the request may have left.
-        upstream_exited: Whether the upstream was found to have ended.
-        was_only_call: Whether it was the only call that broke off with it.
+        reason: Identifier of the cause, such as `connection_reset`.
+        sent: Whether any byte of the request may have been sent.
+        upstream_exited: Whether the upstream was found to have exited.
+        was_only_call: Whether no other call failed by the same exit.
     """
 
     reason: str
@@ -46,18 +47,18 @@
     """One connection to one upstream."""
 
     def __init__(self, id_header: bytes = b"") -> None:
-        """Makes a connection.
+        """Creates the protocol object.
 
         Args:
-            id_header: The header, in lower case, by which replies name the
-                request that they answer; empty where there is none.
+            id_header: Name, in lower case, of the reply header that holds the
+                id of the answered request; empty where there is none.
         """
         self._id_header = id_header
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._sink: Sink | None = None
         self._request_id = b""
-        self._to_head = False
+        self._is_head = False
         self.reusable = True
         self.lost = False
         self.last_used_ms = clock.now_ms()
@@ -77,7 +78,7 @@
         """Whether a call is in progress."""
         return self._sink is not None
 
-    # Use.
+    # Calls.
 
     def send(
         self, data: bytes, request_id: bytes, is_head: bool, sink: Sink
@@ -85,23 +86,23 @@
         """Sends a request.
 
         Args:
-            data: The whole request.
-            request_id: The id that the reply must carry, if it carries one;
-                empty where replies carry none.
+            data: The complete request.
+            request_id: The id that the reply must have if it has one; empty
+                where replies have none.
             is_head: Whether it is a HEAD request.
-            sink: Takes the outcome, once.
+            sink: Called once, with the outcome.
         """
         if self.lost or self._transport is None:
             sink(BrokenCall(reason="connection_lost", sent=False))
             return
         self._sink = sink
         self._request_id = request_id
-        self._to_head = is_head
+        self._is_head = is_head
         self.last_used_ms = clock.now_ms()
         self._transport.write(data)
 
     def close(self) -> None:
-        """Ends the connection; a call in progress is dropped silently."""
+        """Aborts the connection; a call in progress gets no outcome."""
         self._sink = None
         self.reusable = False
         if self._transport is not None:
@@ -110,13 +111,13 @@
     # Callbacks of the transport.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Takes the transport."""
+        """Stores the transport of the new connection."""
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Parses what came; bytes that no call waits for spoil the connection.
+        """Parses received bytes; closes the connection if no call waits.
 
-        They belong to no request: an answer that came twice, or late.
+        Bytes that no call waits for are a repeated or a late reply.
         """
         if self._sink is None:
             self.close()
@@ -124,38 +125,38 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._break("not_http")
+            self._abort("not_http")
 
     def eof_received(self) -> bool:
-        """Ends a reply that lasts until the connection closes."""
+        """Completes a reply whose body ends with the connection."""
         if self._sink is not None and self._head_done and self._until_close:
             self.reusable = False
             self._complete()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends a call in progress."""
+        """Fails a call in progress and notifies the connection's owner."""
         self.lost = True
         self.reusable = False
-        self._break("connection_closed" if exc is None else "connection_reset")
+        self._abort("connection_closed" if exc is None else "connection_reset")
         if self.on_lost is not None:
             self.on_lost()
 
     # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Starts a reply."""
+        """Resets the reply state for a new reply."""
         if self._sink is None:
-            # A second reply follows the one that was asked for.
+            # A second reply after the one to the request.
             self.reusable = False
         self._reset_reply()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header."""
+        """Stores a header."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Notes how the body is framed."""
+        """Records how the body is delimited; completes replies to HEAD."""
         self._head_done = True
         status = self._parser.get_status_code()
         framed = any(
@@ -164,30 +165,31 @@
         )
         bodyless = status in message.NO_BODY_STATUSES
         self._until_close = not framed and not bodyless
-        if self._to_head and status >= INFORMATIONAL_LIMIT:
-            # The parser would wait for a body that never comes.
+        if self._is_head and status >= INFORMATIONAL_LIMIT:
+            # The parser would wait for a body, but replies to HEAD have none.
             self.reusable = False
             self._complete()
 
     def on_body(self, body: bytes) -> None:
-        """Takes a piece of the body."""
+        """Stores a piece of the body, up to `REPLY_LIMIT_BYTES`."""
         self._body_bytes += len(body)
         if self._body_bytes > REPLY_LIMIT_BYTES:
-            self._break("reply_too_large")
+            self._abort("reply_too_large")
             return
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Takes a whole reply."""
+        """Completes the call, unless the reply is informational (1xx)."""
         if self._parser.get_status_code() < INFORMATIONAL_LIMIT:
             return
         if not self._parser.should_keep_alive():
             self.reusable = False
         self._complete()
 
-    # Outcomes.
+    # Completion of calls.
 
     def _complete(self) -> None:
+        """Delivers the reply, unless it answers another request."""
         if self._sink is None:
             return
         reply = message.Reply(
@@ -195,29 +197,31 @@
             headers=tuple(self._headers),
             body=b"".join(self._body),
         )
-        carried = reply.value(self._id_header)
-        if carried and self._request_id and carried != self._request_id:
-            # A late reply to an earlier call; ours is still to come.
+        reply_id = reply.value(self._id_header)
+        if reply_id and self._request_id and reply_id != self._request_id:
+            # A late reply to an earlier call; this call's reply is still due.
             self.reusable = False
             return
-        self._note_keep_alive(reply)
+        self._read_idle_timeout(reply)
         self.last_used_ms = clock.now_ms()
-        self._finish(reply)
+        self._deliver(reply)
 
-    def _note_keep_alive(self, reply: message.Reply) -> None:
+    def _read_idle_timeout(self, reply: message.Reply) -> None:
+        """Stores the idle timeout that the upstream announces, if any."""
         for each in reply.value(b"keep-alive").split(b","):
             name, _, value = each.strip().partition(b"=")
             if name.lower() == b"timeout" and value.isdigit():
                 self.idle_limit_ms = int(value) * message.MS_PER_S
 
-    def _break(self, reason: str) -> None:
+    def _abort(self, reason: str) -> None:
+        """Aborts the connection and fails a call in progress."""
         self.reusable = False
         if self._transport is not None:
             self._transport.abort()
         if self._sink is not None:
-            self._finish(BrokenCall(reason=reason, sent=True))
+            self._deliver(BrokenCall(reason=reason, sent=True))
 
-    def _finish(self, outcome: Outcome) -> None:
+    def _deliver(self, outcome: Outcome) -> None:
         sink, self._sink = self._sink, None
         if sink is not None:
             sink(outcome)
--- a/hyssoptack/http1/httpserver.py
+++ b/hyssoptack/http1/httpserver.py
@@ -1,9 +1,9 @@
-"""The callers' side of HTTP/1.1: one protocol object a connection.
+"""HTTP/1.1 server: one protocol object per caller connection.
 
-Requests of one connection are served one after the other. A request's body is
-taken whole before it is served: bodies are small and bounded, and a whole body
-can be sent again. A caller that closes its side has left, and the work for it
-is cancelled.
+Requests of one connection are served one after the other. A request is served
+only once its body is complete: bodies are small and bounded, and a complete
+body can be sent again in a retry. A caller that closes its side of the
+connection counts as disconnected, and its requests are cancelled.
 """
 
 import asyncio
@@ -18,24 +18,25 @@
 from hyssoptack.http1 import message
 
 SWEEP_S = 0.25
-"""How often timeouts of callers are looked at; they are seconds long."""
+"""Interval between checks of caller timeouts, which are seconds long."""
 
 BODY_STALL_MS = 10_000.0
-"""Longest pause within a body before the connection is given up: longer than a
-lossy link's retransmissions, shorter than it takes to pile up connections."""
+"""Longest pause within a body before the connection is closed: longer than the
+retransmissions of a lossy link, too short for stalled connections to pile up.
+"""
 
 PIPELINE_LIMIT_COUNT = 8
-"""Requests read ahead on one connection before reading is paused."""
+"""Requests queued on one connection before reading is paused."""
 
 LINGER_S = 0.5
-"""How long a refused caller's further bytes are read and dropped: some round
-trips, in which it can take the refusal in."""
+"""How long bytes are still read and discarded after a refusal: some round
+trips, so that the caller can receive the refusal before the close."""
 
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class Exchange:
-    """One request being served; the handler answers it once."""
+    """A request in progress, which the handler answers once."""
 
     def __init__(
         self, connection: "CallerConnection", request: message.Request
@@ -46,7 +47,7 @@
         self.on_abandoned: collections.abc.Callable[[], None] | None = None
 
     def answer(self, reply: message.Reply) -> None:
-        """Writes the answer; a second one, or one to nobody, is dropped."""
+        """Sends the reply; ignored if already answered or abandoned."""
         if self._answered:
             return
         self._answered = True
@@ -54,7 +55,7 @@
         self._connection.write_reply(self, reply)
 
     def abandon(self) -> None:
-        """Tells the handler that the caller went away."""
+        """Notifies the handler that the caller has disconnected."""
         self._answered = True
         if self.on_abandoned is not None:
             self.on_abandoned()
@@ -65,14 +66,14 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Server:
-    """What the connections of one port share.
+    """State that all connections of one port share.
 
     Attributes:
-        handler: Serves a request.
-        limits: Limits in force; replaced with the configuration.
+        handler: Called with each request to serve.
+        limits: Limits in force; replaced when the configuration changes.
         connections: All open connections.
-        closing: Whether connections are closed after their next answer.
-        on_refused: Told of status and reason when input can't be taken.
+        closing: Whether connections are closed after their next reply.
+        on_refused: Called with status and reason when input is rejected.
     """
 
     handler: Handler
@@ -84,11 +85,11 @@
     closing: bool = False
 
     def new_connection(self) -> "CallerConnection":
-        """Returns the protocol of a new connection."""
+        """Creates the protocol object of a new connection."""
         return CallerConnection(self)
 
     async def sweep(self) -> None:
-        """Closes connections that took too long, while the server runs."""
+        """Periodically closes connections whose caller exceeded a timeout."""
         while True:
             await asyncio.sleep(SWEEP_S)
             now_ms = clock.now_ms()
@@ -96,23 +97,23 @@
                 each.check_timeouts(now_ms)
 
     def close_idle(self) -> None:
-        """Closes the connections on which no request has begun."""
+        """Closes all connections on which no request has begun."""
         for each in tuple(self.connections):
             each.close_if_idle()
 
 
 class CallerConnection(asyncio.Protocol):
-    """One caller's connection."""
+    """Protocol object of one caller's connection."""
 
     def __init__(self, server: Server):
         self._server = server
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
         self.lost = False
-        self._ending = False
-        self._fresh = True
-        self._changed_ms = clock.now_ms()
-        self._waiting: collections.deque[message.Request] = collections.deque()
+        self._closing = False
+        self._is_first = True
+        self._last_activity_ms = clock.now_ms()
+        self._queue: collections.deque[message.Request] = collections.deque()
         self._current: Exchange | None = None
         self._reset_request()
 
@@ -129,30 +130,30 @@
     # Callbacks of the transport.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Takes the transport."""
+        """Stores the transport and registers the connection."""
         self._transport = transport
         self._server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancels what is being served."""
+        """Abandons the request in progress and discards queued ones."""
         self.lost = True
         self._server.connections.discard(self)
-        self._waiting.clear()
+        self._queue.clear()
         current, self._current = self._current, None
         if current is not None:
             current.abandon()
 
     def eof_received(self) -> bool:
-        """Takes the caller's close as its leaving."""
+        """Returns False: a caller that closes its side has disconnected."""
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Parses what came."""
-        if self._ending:
+        """Parses received bytes; refuses input that is not valid HTTP."""
+        if self._closing:
             return
-        self._changed_ms = clock.now_ms()
+        self._last_activity_ms = clock.now_ms()
         if not self._started_ms:
-            self._started_ms = self._changed_ms
+            self._started_ms = self._last_activity_ms
         if not self._in_body:
             self._head_bytes += len(data)
         try:
@@ -161,33 +162,34 @@
             self._refuse(400, "upgrade_not_supported")
         except httptools.HttpParserError:
             self._refuse(400, "malformed_request")
-        if not self._ending and self._in_head:
+        if not self._closing and self._in_head:
             self._check_head()
 
     # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Starts a request."""
+        """Resets the request state for a new request."""
         self._reset_request()
         self._in_head = True
-        self._started_ms = self._changed_ms
+        self._started_ms = self._last_activity_ms
 
     def on_url(self, url: bytes) -> None:
-        """Takes a piece of the target."""
+        """Stores a piece of the request target."""
         self._target += url
         self._check_head()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header."""
+        """Stores a header."""
         self._headers.append((name, value))
         self._head_bytes += len(name) + len(value)
 
     def _check_head(self) -> None:
+        """Refuses an incomplete head of over twice the limit."""
         if self._head_bytes > 2 * self._server.limits.max_header_bytes:
             self._refuse(431, "head_too_large")
 
     def on_headers_complete(self) -> None:
-        """Checks the head before a body is taken."""
+        """Checks the head's size and the Expect header before the body."""
         self._in_head = False
         self._in_body = True
         size = len(self._target) + sum(
@@ -197,17 +199,17 @@
             self._refuse(431, "head_too_large")
             return
         for name, value in self._headers:
-            if name.lower() == b"expect" and not self._ending:
+            if name.lower() == b"expect" and not self._closing:
                 self._expect(value)
 
     def _expect(self, value: bytes) -> None:
         if value.lower() != b"100-continue":
             self._refuse(417, "unknown_expectation")
-        elif self._current is None and not self._waiting:
+        elif self._current is None and not self._queue:
             self._write(_CONTINUE)
 
     def on_body(self, body: bytes) -> None:
-        """Takes a piece of the body."""
+        """Stores a piece of the body, up to the configured limit."""
         self._body_bytes += len(body)
         if self._body_bytes > self._server.limits.max_body_bytes:
             self._refuse(413, "body_too_large")
@@ -215,8 +217,8 @@
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Queues the whole request."""
-        if self._ending:
+        """Queues the complete request."""
+        if self._closing:
             return
         request = message.Request(
             method=self._parser.get_method(),
@@ -225,42 +227,42 @@
             body=b"".join(self._body),
             received_ms=self._started_ms,
             keep_alive=self._parser.should_keep_alive(),
-            is_first=self._fresh,
+            is_first=self._is_first,
         )
-        self._fresh = False
+        self._is_first = False
         self._reset_request()
-        self._waiting.append(request)
-        if len(self._waiting) >= PIPELINE_LIMIT_COUNT and self._transport:
+        self._queue.append(request)
+        if len(self._queue) >= PIPELINE_LIMIT_COUNT and self._transport:
             self._transport.pause_reading()
         self._serve_next()
 
     # Serving.
 
     def _serve_next(self) -> None:
-        if self._current is not None or not self._waiting or self.lost:
+        if self._current is not None or not self._queue or self.lost:
             return
-        self._current = Exchange(self, self._waiting.popleft())
-        if not self._waiting and self._transport:
+        self._current = Exchange(self, self._queue.popleft())
+        if not self._queue and self._transport:
             self._transport.resume_reading()
         self._server.handler(self._current)
 
     def write_reply(self, exchange: Exchange, reply: message.Reply) -> None:
-        """Writes an answer and goes on with the next request."""
+        """Sends a reply, then closes or continues with the next request."""
         if self.lost or exchange is not self._current:
             return
         self._current = None
-        keep = exchange.request.keep_alive and not self._server.closing
-        to_head = exchange.request.method == b"HEAD"
-        self._write(message.reply_bytes(reply, keep, to_head))
-        self._changed_ms = clock.now_ms()
-        if not keep:
+        keep_alive = exchange.request.keep_alive and not self._server.closing
+        is_head = exchange.request.method == b"HEAD"
+        self._write(message.reply_bytes(reply, keep_alive, is_head))
+        self._last_activity_ms = clock.now_ms()
+        if not keep_alive:
             self._end()
         else:
             asyncio.get_running_loop().call_soon(self._serve_next)
 
     def _refuse(self, status: int, reason: str) -> None:
-        """Answers what can't be read, and ends the connection."""
-        if self._ending:
+        """Rejects invalid input with an error reply, and closes."""
+        if self._closing:
             return
         if self._server.on_refused is not None:
             self._server.on_refused(status, reason)
@@ -269,31 +271,31 @@
             self._write(message.reply_bytes(reply, keep_alive=False))
             self._linger()
         else:
-            # The request in progress is answered first; then this ends.
-            self._ending = True
+            # The request in progress is answered first.
+            self._closing = True
 
     def _write(self, data: bytes) -> None:
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(data)
 
     def _linger(self) -> None:
-        """Reads on for a moment, as closing now could destroy the answer."""
-        self._ending = True
+        """Keeps reading for `LINGER_S`: closing now could lose the reply."""
+        self._closing = True
         if self._transport is not None and self._transport.can_write_eof():
             self._transport.write_eof()
         asyncio.get_running_loop().call_later(LINGER_S, self._end)
 
     def _end(self) -> None:
-        self._ending = True
-        self._waiting.clear()
+        self._closing = True
+        self._queue.clear()
         if self._transport is not None:
             self._transport.close()
 
-    # Time.
+    # Timeouts.
 
     def _is_idle(self) -> bool:
-        begun = self._in_head or self._in_body or self._started_ms
-        return self._current is None and not self._waiting and not begun
+        has_begun = self._in_head or self._in_body or self._started_ms
+        return self._current is None and not self._queue and not has_begun
 
     def close_if_idle(self) -> None:
         """Closes the connection if no request has begun on it."""
@@ -301,18 +303,18 @@
             self._end()
 
     def check_timeouts(self, now_ms: float) -> None:
-        """Ends the connection if the caller takes too long."""
-        if self._current is not None or self._waiting:
+        """Closes the connection if the caller exceeded a timeout."""
+        if self._current is not None or self._queue:
             return
-        if self._ending:
+        if self._closing:
             return
         limits = self._server.limits
-        quiet_ms = now_ms - self._changed_ms
+        inactive_ms = now_ms - self._last_activity_ms
         if self._in_body:
-            if quiet_ms > BODY_STALL_MS:
+            if inactive_ms > BODY_STALL_MS:
                 self._refuse(408, "body_timeout")
         elif self._started_ms:
             if now_ms - self._started_ms > limits.header_timeout_ms:
                 self._refuse(408, "head_timeout")
-        elif quiet_ms > limits.idle_timeout_ms:
+        elif inactive_ms > limits.idle_timeout_ms:
             self._end()
--- a/hyssoptack/http1/message.py
+++ b/hyssoptack/http1/message.py
@@ -1,10 +1,10 @@
-"""Requests and replies as immutable records, and how they are written."""
+"""HTTP requests and replies as immutable records, and their encoding."""
 
 import dataclasses
 import http
 
 Header = tuple[bytes, bytes]
-"""A header's name, as it was sent, and its value."""
+"""A header's name, in the case in which it was sent, and its value."""
 
 HOP_BY_HOP = frozenset(
     (
@@ -19,7 +19,7 @@
         b"upgrade",
     )
 )
-"""Headers that concern one connection only (RFC 9110, section 7.6.1)."""
+"""Headers that apply to one connection only (RFC 9110, section 7.6.1)."""
 
 NO_BODY_STATUSES = frozenset((204, 304))
 MS_PER_S = 1000.0
@@ -27,16 +27,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Request:
-    """One whole request.
+    """One complete request.
 
     Attributes:
         method: The method as sent.
         target: Path and query as sent.
         headers: All headers in order.
-        body: The whole body, without its framing.
-        received_ms: When its first byte came.
-        keep_alive: Whether the caller wants to use the connection again.
-        is_first: Whether it is the first of its connection.
+        body: The complete body, without its framing.
+        received_ms: Time at which its first byte was received.
+        keep_alive: Whether the caller wants to keep the connection open.
+        is_first: Whether it is the first request on its connection.
     """
 
     method: bytes
@@ -48,28 +48,28 @@
     is_first: bool = False
 
     def values(self, name: bytes) -> list[bytes]:
-        """Returns every value of a header; `name` is in lower case."""
+        """Returns all values of a header; `name` must be in lower case."""
         return [value for key, value in self.headers if key.lower() == name]
 
     def value(self, name: bytes) -> bytes:
-        """Returns a header's first value, or nothing."""
+        """Returns a header's first value; empty if the header is absent."""
         found = self.values(name)
         return found[0] if found else b""
 
     @property
     def path(self) -> bytes:
-        """The target without its query."""
+        """The request target without its query."""
         return self.target.partition(b"?")[0]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Reply:
-    """One whole reply.
+    """One complete reply.
 
     Attributes:
         status: The status code.
         headers: All headers in order.
-        body: The whole body, without its framing.
+        body: The complete body, without its framing.
     """
 
     status: int
@@ -77,7 +77,7 @@
     body: bytes
 
     def value(self, name: bytes) -> bytes:
-        """Returns a header's first value; `name` is in lower case."""
+        """Returns a header's first value, or empty; `name` is in lower case."""
         for key, value in self.headers:
             if key.lower() == name:
                 return value
@@ -85,11 +85,11 @@
 
 
 FRAMING_BYTES = 60
-"""About what a reply's first line and its framing take."""
+"""Approximate size of a reply's status line and framing."""
 
 
 def reply_size_bytes(reply: Reply) -> int:
-    """Returns about how many bytes a reply took on the wire."""
+    """Returns the approximate size of a reply on the wire."""
     head_bytes = sum(
         len(name) + len(value) + 4 for name, value in reply.headers
     )
@@ -99,36 +99,36 @@
 def end_to_end_headers(
     headers: tuple[Header, ...], without: frozenset[bytes]
 ) -> list[Header]:
-    """Returns the headers that go on to the next hop.
+    """Returns the headers to forward to the next hop.
 
     Args:
-        headers: What came.
-        without: Further names to leave out, in lower case.
+        headers: The received headers.
+        without: Further header names to remove, in lower case.
 
     Returns:
-        The headers but for those of the connection, of framing, and `without`.
+        The headers without those of the connection, of framing, and `without`.
     """
-    named = {
+    connection_headers = {
         each.strip().lower()
         for key, value in headers
         if key.lower() == b"connection"
         for each in value.split(b",")
     }
-    dropped = HOP_BY_HOP | without | named | {b"content-length"}
+    dropped = HOP_BY_HOP | without | connection_headers | {b"content-length"}
     return [each for each in headers if each[0].lower() not in dropped]
 
 
 def request_bytes(
     method: bytes, target: bytes, headers: list[Header], body: bytes
 ) -> bytes:
-    """Returns a request as it goes on the wire."""
+    """Serializes a request."""
     return request_head(method, target, headers, len(body)) + b"\r\n" + body
 
 
 def request_head(
     method: bytes, target: bytes, headers: list[Header], body_bytes: int
 ) -> bytes:
-    """Returns a request's head without the empty line that ends it."""
+    """Serializes a request's head, without the empty line that ends it."""
     lines = [b"%s %s HTTP/1.1" % (method, target)]
     lines.extend(b"%s: %s" % each for each in headers)
     if body_bytes or method in (b"POST", b"PUT", b"PATCH"):
@@ -137,15 +137,15 @@
 
 
 def reply_bytes(reply: Reply, keep_alive: bool, is_head: bool = False) -> bytes:
-    """Returns a reply as it goes on the wire.
+    """Serializes a reply.
 
     Args:
-        reply: The reply; its headers carry no framing.
-        keep_alive: Whether the connection stays open after it.
-        is_head: Whether it answers HEAD, which has no body.
+        reply: The reply; its headers include no framing headers.
+        keep_alive: Whether the connection stays open after the reply.
+        is_head: Whether it answers a HEAD request, so that no body is sent.
 
     Returns:
-        The bytes.
+        The reply's bytes.
     """
     try:
         phrase = http.HTTPStatus(reply.status).phrase
@@ -164,12 +164,12 @@
 def problem_reply(
     status: int, reason: str, retry_after_ms: float | None = None
 ) -> Reply:
-    """Returns a failure of our own.
+    """Builds an error reply that originates in this process.
 
     Args:
         status: The status code.
-        reason: One word for the cause, for callers and logs.
-        retry_after_ms: When to come back, if that makes sense.
+        reason: Identifier of the cause, for callers and logs.
+        retry_after_ms: Delay for the Retry-After header; None omits it.
 
     Returns:
         The reply, with a short body of problem details (RFC 9457).
--- a/hyssoptack/platform/keyvalue.py
+++ b/hyssoptack/platform/keyvalue.py
@@ -115,7 +115,7 @@
 
     @property
     def position(self) -> position.Position:
-        """The position in the store's history up to which changes are included."""
+        """The store's position up to which changes are included."""
         return position.Position(self.era, self.current_rev)
 
 
