--- a/hyssoptack/peers/__init__.py
+++ b/hyssoptack/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between instances: links, codec and gossip."""
+"""Messaging between instances: links, codec and gossip."""
--- a/hyssoptack/peers/codec.py
+++ b/hyssoptack/peers/codec.py
@@ -1,8 +1,8 @@
-"""Frames between instances: a version, and numbered messages.
+"""Encoding of frames between instances: a version and numbered messages.
 
-The encoding is MessagePack by msgspec, compressed where a frame is large. A
-message that can't be read is counted and left out; the others of its frame are
-still taken.
+Frames are encoded as MessagePack by msgspec, and large frames are compressed.
+A message that cannot be decoded is counted and dropped; the other messages of
+its frame are still delivered.
 """
 
 import dataclasses
@@ -15,14 +15,14 @@
 FRAME_LIMIT_BYTES = 4_000_000
 
 COMPRESS_MIN_BYTES = 2_000
-"""From here on frames are compressed: a list of 280 upstreams shrinks from 48
-to some 9 KB, which small machines (7 Mbit/s) need 50 ms less for."""
+"""Size from which frames are compressed. A list of 280 upstreams shrinks from
+48 to some 9 KB, which small machines (7 Mbit/s) send 50 ms faster."""
 
 COMPRESS_LEVEL = 1
-"""The fastest level: lists and configurations repeat themselves a lot."""
+"""The fastest level: lists and configurations are highly repetitive."""
 
-_COMPRESSED_MARK = 0x78
-"""First byte of zlib's format (RFC 1950); no frame begins with it else."""
+_ZLIB_FIRST_BYTE = 0x78
+"""First byte of zlib's format (RFC 1950); no plain frame begins with it."""
 
 _ENCODER = msgspec.msgpack.Encoder()
 _FRAME_DECODER = msgspec.msgpack.Decoder(
@@ -32,12 +32,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DecodedFrame:
-    """What a frame held.
+    """The result of decoding a frame.
 
     Attributes:
-        messages: The messages that could be read.
-        dropped_count: How many could not.
-        reason: Why the first of those could not.
+        messages: The messages that could be decoded.
+        dropped_count: Number of messages that could not be decoded.
+        reason: Error text of the first of these; empty if there are none.
     """
 
     messages: tuple[typing.Any, ...] = ()
@@ -46,41 +46,41 @@
 
 
 def encode_frame(packed: list[tuple[int, msgspec.Raw]]) -> bytes:
-    """Encodes a frame of packed messages."""
+    """Encodes a frame of encoded messages, compressed if it is large."""
     data = _ENCODER.encode((FRAME_VERSION, packed))
     return compress(data) if len(data) >= COMPRESS_MIN_BYTES else data
 
 
 def compress(data: bytes) -> bytes:
-    """Compresses what is sent to many."""
+    """Compresses data with zlib."""
     return zlib.compress(data, COMPRESS_LEVEL)
 
 
 def decompress(data: bytes) -> bytes | None:
-    """Undoes `compress`; None for what is broken or far too large."""
-    unpacker = zlib.decompressobj()
+    """Reverses `compress`; returns None for invalid or oversized data."""
+    decompressor = zlib.decompressobj()
     try:
-        plain = unpacker.decompress(data, FRAME_LIMIT_BYTES)
+        plain = decompressor.decompress(data, FRAME_LIMIT_BYTES)
     except zlib.error:
         return None
-    return plain if unpacker.eof else None
+    return plain if decompressor.eof else None
 
 
 class Codec:
-    """Packs and reads the messages of one kind of daemon."""
+    """Encodes and decodes the messages of one kind of daemon."""
 
     def __init__(self, kinds: dict[int, type]):
-        """Makes a codec.
+        """Creates a codec.
 
         Args:
-            kinds: The messages' types by number.
+            kinds: The message types by number.
         """
         self._kinds = kinds
         self._numbers = {kind: number for number, kind in kinds.items()}
         self._decoders: dict[int, msgspec.msgpack.Decoder] = {}
 
     def encode(self, each: object) -> tuple[int, msgspec.Raw]:
-        """Encodes one message, to be put in a frame."""
+        """Encodes one message for a frame; returns its kind and bytes."""
         return self._numbers[type(each)], msgspec.Raw(_ENCODER.encode(each))
 
     def _decoder(self, number: int) -> msgspec.msgpack.Decoder:
@@ -91,34 +91,36 @@
         return found
 
     def decode(self, data: bytes) -> DecodedFrame:
-        """Decodes a frame; whatever it holds, this never raises."""
+        """Decodes a frame; invalid frames and messages never raise."""
         if len(data) > FRAME_LIMIT_BYTES:
             return DecodedFrame(dropped_count=1, reason="frame too large")
-        if data[:1] == bytes([_COMPRESSED_MARK]):
+        if data[:1] == bytes([_ZLIB_FIRST_BYTE]):
             plain = decompress(data)
             if plain is None:
                 return DecodedFrame(
-                    dropped_count=1, reason="frame can't be expanded"
+                    dropped_count=1, reason="frame cannot be decompressed"
                 )
             data = plain
         try:
             version, packed = _FRAME_DECODER.decode(data)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-            return DecodedFrame(dropped_count=1, reason="frame can't be read")
+            return DecodedFrame(
+                dropped_count=1, reason="frame cannot be decoded"
+            )
         if version != FRAME_VERSION:
             return DecodedFrame(
-                dropped_count=1, reason=f"frame of version {version}"
+                dropped_count=1, reason=f"unsupported frame version {version}"
             )
         messages: list[typing.Any] = []
         reason = ""
         for number, raw in packed:
             if number not in self._kinds:
-                reason = reason or f"kind {number} is not known"
+                reason = reason or f"unknown message kind {number}"
                 continue
             try:
                 messages.append(self._decoder(number).decode(raw))
             except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-                reason = reason or f"message of kind {number} can't be read"
+                reason = reason or f"message of kind {number} cannot be decoded"
         return DecodedFrame(
             messages=tuple(messages),
             dropped_count=len(packed) - len(messages),
--- a/hyssoptack/peers/codec_test.py
+++ b/hyssoptack/peers/codec_test.py
@@ -1,4 +1,4 @@
-"""Fuzzes the peer codec: what can't be read is counted, never raised."""
+"""Fuzz tests of the peer codec: invalid input is counted, never raised."""
 
 import msgspec
 from hypothesis import given
@@ -13,7 +13,7 @@
 _NOTE = message.UpstreamNote(upstream_id="a", draining=True, observer="b")
 
 
-def test_every_kind_has_a_number_and_back():
+def test_every_message_kind_has_one_number():
     numbers = [*message.KINDS, *gatewaymessage.KINDS]
     kinds = [*message.KINDS.values(), *gatewaymessage.KINDS.values()]
     assert len(set(numbers)) == len(numbers) == len(set(kinds))
@@ -23,7 +23,7 @@
 
 
 @given(strategies.binary(max_size=400))
-def test_any_bytes_are_read_or_counted(data):
+def test_arbitrary_bytes_are_decoded_or_counted(data):
     decoded = _CODEC.decode(data)
     assert decoded.messages or decoded.dropped_count or data
 
--- a/hyssoptack/peers/gossip.py
+++ b/hyssoptack/peers/gossip.py
@@ -1,9 +1,10 @@
-"""Spreads heartbeats and configuration between instances.
+"""Gossip: spreads heartbeats and the configuration between instances.
 
-Each period an instance tells a few random peers who it is and which revision
-it has in force. A peer that is behind asks for what it lacks; a new revision is
-told at once. The cost for one instance does not grow with their number, and a
-revision reaches all in a number of rounds that grows with its logarithm
+In each period an instance sends a heartbeat with its member record and its
+configuration revision to a few random peers. A peer with an older revision
+requests the parts that it lacks; a new revision is sent at once. The cost per
+instance does not grow with the number of instances, and a revision reaches all
+of them in a number of rounds that grows with the logarithm of that number
 (Demers et al., "Epidemic Algorithms for Replicated Database Maintenance",
 section 1.4).
 """
@@ -20,7 +21,7 @@
 
 MS_PER_S = 1000.0
 FRESH_COUNT = 6
-ASK_AGAIN_MS = 300.0
+CONFIG_REQUEST_INTERVAL_MS = 300.0
 TOLD_LIMIT_COUNT = 64
 PARTNER_COUNT = 12
 REDRAW_MS = 60_000.0
@@ -30,7 +31,7 @@
 
 
 class Gossip:
-    """Heartbeats and anti-entropy of the configuration."""
+    """Sends and handles heartbeats and configuration offers."""
 
     def __init__(
         self,
@@ -45,12 +46,12 @@
         self._on_config = on_config
         self._random = random.Random()
         self._beat_number = 0
-        self._asked_ms = 0.0
+        self._last_request_ms = 0.0
         self._partners: list[str] = []
-        self._redraw_ms = 0.0
+        self._next_redraw_ms = 0.0
 
     async def run(self) -> None:
-        """Sends heartbeats for as long as the instance runs."""
+        """Sends heartbeats periodically until it is cancelled."""
         period_ms = self._state.settings.peers.period_ms
         while True:
             self.send_heartbeat()
@@ -58,7 +59,7 @@
             await asyncio.sleep(period_ms * jitter / MS_PER_S)
 
     def send_heartbeat(self) -> None:
-        """Sends a heartbeat to a few random peers now."""
+        """Sends a heartbeat to a few random peers."""
         settings = self._state.settings.peers
         self._beat_number += 1
         beat = message.Heartbeat(
@@ -71,7 +72,10 @@
             self._send(address, beat)
 
     def broadcast_heartbeat(self) -> None:
-        """Tells many peers at once, as on leaving; the list tells the rest."""
+        """Sends a heartbeat to many peers, for example when leaving.
+
+        Peers beyond `TOLD_LIMIT_COUNT` learn of it from the instance list.
+        """
         beat = message.Heartbeat(
             sender=self._state.own_member(),
             revision=self._config.revision(),
@@ -83,41 +87,48 @@
             self._send(address, beat)
 
     def _targets(self, count: int) -> list[str]:
-        """Returns addresses of a few of this instance's partners.
+        """Returns the addresses of a few of this instance's partners.
 
-        Partners are drawn anew only now and then: a link to a new peer costs
-        far more than a message on an old one.
+        Partners are redrawn only every `REDRAW_MS` or less: a link to a new
+        peer costs far more than a message on an open one.
         """
         now_ms = clock.now_ms()
         addresses = self._state.peer_addresses
         known = [each for each in self._partners if each in addresses]
-        if now_ms >= self._redraw_ms or len(known) < count:
+        if now_ms >= self._next_redraw_ms or len(known) < count:
             own = self._state.settings.instance_id
             names = [name for name in addresses if name != own]
             drawn = min(PARTNER_COUNT, len(names))
             known = self._partners = self._random.sample(names, drawn)
-            self._redraw_ms = now_ms + REDRAW_MS * self._random.uniform(0.5, 1)
+            self._next_redraw_ms = now_ms + REDRAW_MS * self._random.uniform(
+                0.5, 1
+            )
         if not known:
             return list(self._state.settings.peers.seed_addresses)[:count]
-        chosen = self._random.sample(known, min(count, len(known)))
-        return [addresses[name] for name in chosen]
+        sample = self._random.sample(known, min(count, len(known)))
+        return [addresses[name] for name in sample]
 
     def _fresh(self) -> tuple[member.Member, ...]:
-        """Returns some of the instances that were heard from last."""
-        lately = {each.incarnation: each for each in self._state.recent_senders}
-        chosen = list(lately.values())
-        return tuple(self._random.sample(chosen, min(FRESH_COUNT, len(chosen))))
+        """Returns a random sample of recent senders."""
+        recent = {each.incarnation: each for each in self._state.recent_senders}
+        senders = list(recent.values())
+        return tuple(
+            self._random.sample(senders, min(FRESH_COUNT, len(senders)))
+        )
 
     def on_heartbeat(self, beat: message.Heartbeat) -> None:
-        """Takes a peer's heartbeat."""
+        """Records a heartbeat; requests the configuration if its is newer."""
         now_ms = clock.now_ms()
         self._state.record_message(beat.sender, now_ms)
         for each in beat.fresh:
             if each.incarnation not in self._state.roster.sightings:
                 self._state.record_message(each, now_ms)
         behind = beat.revision > self._config.revision()
-        if behind and now_ms - self._asked_ms > ASK_AGAIN_MS:
-            self._asked_ms = now_ms
+        if (
+            behind
+            and now_ms - self._last_request_ms > CONFIG_REQUEST_INTERVAL_MS
+        ):
+            self._last_request_ms = now_ms
             wanted = message.ConfigWanted(
                 sender=self._state.own_member(),
                 have_digests=self._config.part_digests(),
@@ -129,7 +140,7 @@
         return known or sender.peer_address
 
     def on_config_wanted(self, wanted: message.ConfigWanted) -> None:
-        """Offers a peer the configuration in force."""
+        """Sends a peer the parts of the configuration that it lacks."""
         manifest = self._config.manifest
         if manifest is None:
             return
@@ -141,7 +152,7 @@
         self._send(self._address_of(wanted.sender), offer)
 
     def on_config_offer(self, offer: message.ConfigOffer) -> None:
-        """Takes a configuration from a peer."""
+        """Merges a configuration offered by a peer."""
         taken = self._config.merge_offer(offer.manifest_text, offer.parts)
         if isinstance(taken, configuration.InForce):
             self._on_config(taken)
--- a/hyssoptack/peers/link.py
+++ b/hyssoptack/peers/link.py
@@ -1,8 +1,8 @@
 """Links to other instances: pynng sockets, each owned by one thread.
 
 Every instance pulls on one address and pushes to the addresses of its peers.
-Sending never waits: a peer that is not connected or does not keep up loses the
-message, and the sender is told, so that a query can go another way.
+Sending never blocks: a message to a peer that is not connected or too slow is
+dropped, and the sender is notified so that it can send a query elsewhere.
 """
 
 import asyncio
@@ -27,16 +27,21 @@
 BATCH_LIMIT_COUNT = 64
 
 REDIAL_MIN_MS = 150.0
-"""A try to connect is not given up for another one before this: it may only be
-slow."""
+"""Time before a connection attempt may be replaced by a new one: the attempt
+may only be slow."""
 
 LAST_RECEIVED_LIMIT_COUNT = 1_000
-"""Most peers whose last word is remembered."""
+"""Most peers for which the time of the last message is kept."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class OutgoingMessage:
-    """One message on its way to the thread that owns the sockets."""
+    """A message queued for the thread that owns the sockets.
+
+    Attributes:
+        address: The peer's address.
+        body: The message.
+    """
 
     address: str
     body: typing.Any
@@ -44,7 +49,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReceivedFrame:
-    """A frame's worth of messages, as handed to the event loop."""
+    """A received frame, as passed to the event loop.
+
+    Attributes:
+        decoded: The decoded messages.
+        byte_count: The frame's size on the wire.
+    """
 
     decoded: codec.DecodedFrame
     byte_count: int
@@ -52,7 +62,14 @@
 
 @dataclasses.dataclass(kw_only=True)
 class _Link:
-    """One push socket and whether its pipe is up."""
+    """A push socket and its connection state.
+
+    Attributes:
+        socket: The socket.
+        dialled_ms: Time of the last dial.
+        used_ms: Time of the last send.
+        pipe_count: Number of open connections: 0 while not connected.
+    """
 
     socket: pynng.Push0
     dialled_ms: float
@@ -62,7 +79,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class LinkCounters:
-    """Totals since the start, for metrics and the capacity bench."""
+    """Totals since process start, for metrics and the capacity bench."""
 
     sent_message_count: int = 0
     sent_frame_count: int = 0
@@ -80,7 +97,7 @@
 
 
 class Links:
-    """Sends and receives peer messages for the event loop."""
+    """Sends and receives peer messages on behalf of the event loop."""
 
     def __init__(
         self,
@@ -99,7 +116,7 @@
         self._on_received = on_received
         self._on_undelivered = on_undelivered
         self._on_lost = on_lost
-        self._heard_ms: dict[str, float] = {}
+        self._last_received_ms: dict[str, float] = {}
         self._outbox: queue.SimpleQueue[OutgoingMessage | None] = (
             queue.SimpleQueue()
         )
@@ -128,7 +145,7 @@
             thread.join()
 
     def send(self, address: str, body: typing.Any) -> None:
-        """Hands a message over for sending; never waits."""
+        """Queues a message for sending; never blocks."""
         self._outbox.put(OutgoingMessage(address=address, body=body))
 
     def _receive(self) -> None:
@@ -141,13 +158,14 @@
                 except pynng.exceptions.NNGException:
                     self.counters.unreadable_count += 1
                     continue
-                self._hand_over(data)
+                self._deliver(data)
 
-    def _hand_over(self, data: bytes) -> None:
+    def _deliver(self, data: bytes) -> None:
+        """Decodes a frame and passes it to the event loop."""
         decoded = self._codec.decode(data)
         for each in decoded.messages:
             if address := getattr(each, "sender_address", ""):
-                self._note_heard(address)
+                self._record_received(address)
         self.counters.received_frame_count += 1
         self.counters.received_message_count += len(decoded.messages)
         self.counters.received_bytes += len(data)
@@ -155,13 +173,13 @@
         received = ReceivedFrame(decoded=decoded, byte_count=len(data))
         self._call_soon(self._on_received, received)
 
-    def _note_heard(self, address: str) -> None:
-        """Notes that a peer runs: it has sent something."""
-        # Taken out first, so that the oldest word stands in front.
-        self._heard_ms.pop(address, None)
-        self._heard_ms[address] = clock.now_ms()
-        if len(self._heard_ms) > LAST_RECEIVED_LIMIT_COUNT:
-            del self._heard_ms[next(iter(self._heard_ms))]
+    def _record_received(self, address: str) -> None:
+        """Records the time of the latest message from a peer."""
+        # Removed first, so that the dict is ordered from oldest to newest.
+        self._last_received_ms.pop(address, None)
+        self._last_received_ms[address] = clock.now_ms()
+        if len(self._last_received_ms) > LAST_RECEIVED_LIMIT_COUNT:
+            del self._last_received_ms[next(iter(self._last_received_ms))]
 
     def _call_soon(self, function: collections.abc.Callable, *args) -> None:
         if not self._loop.is_closed():
@@ -180,10 +198,10 @@
             link.socket.close()
 
     def _next_batch(self) -> dict[str, list[typing.Any]] | None:
-        """Waits for a message and takes along all that are ready with it.
+        """Waits for a message and adds those that are already queued.
 
         Returns:
-            Messages by address, or None once stopping.
+            Messages by address, or None when the links are stopped.
         """
         outgoing = self._outbox.get()
         groups: dict[str, list[typing.Any]] = {}
@@ -206,34 +224,38 @@
         address: str,
         group: list[typing.Any],
     ) -> None:
+        """Sends messages to one peer in a single frame, dialling if needed."""
         link = links.get(address)
         if link is None:
             link = links[address] = self._dial(address)
         link.used_ms = clock.now_ms()
-        heard_ms = self._heard_ms.get(address, -math.inf)
+        last_received_ms = self._last_received_ms.get(address, -math.inf)
         waited_ms = link.used_ms - link.dialled_ms
         if (
             link.pipe_count < 1
-            and heard_ms > link.dialled_ms
+            and last_received_ms > link.dialled_ms
             and waited_ms > REDIAL_MIN_MS
         ):
-            # The next try of the dialer may be a second away.
+            # The dialer's own next attempt may be a second away.
             self._redial(link, address)
-        settled = link.used_ms - link.dialled_ms > DIAL_GRACE_MS
-        if settled and link.pipe_count < 1:
-            self._undelivered(address, group)
+        grace_over = link.used_ms - link.dialled_ms > DIAL_GRACE_MS
+        if grace_over and link.pipe_count < 1:
+            self._report_undelivered(address, group)
             return
         data = codec.encode_frame([self._codec.encode(each) for each in group])
         try:
             link.socket.send(data, block=False)
         except pynng.exceptions.NNGException:
-            self._undelivered(address, group)
+            self._report_undelivered(address, group)
             return
         self.counters.sent_frame_count += 1
         self.counters.sent_message_count += len(group)
         self.counters.sent_bytes += len(data)
 
-    def _undelivered(self, address: str, group: list[typing.Any]) -> None:
+    def _report_undelivered(
+        self, address: str, group: list[typing.Any]
+    ) -> None:
+        """Counts undelivered messages and notifies their sender."""
         self.counters.undelivered_count += len(group)
         for each in group:
             self._call_soon(self._on_undelivered, address, each)
@@ -247,21 +269,21 @@
         now_ms = clock.now_ms()
         link = _Link(socket=socket, dialled_ms=now_ms, used_ms=now_ms)
 
-        def added(_pipe: pynng.Pipe) -> None:
+        def on_connected(_pipe: pynng.Pipe) -> None:
             link.pipe_count += 1
 
-        def removed(_pipe: pynng.Pipe) -> None:
+        def on_disconnected(_pipe: pynng.Pipe) -> None:
             link.pipe_count -= 1
             if self._on_lost is not None:
                 self._call_soon(self._on_lost, address)
 
-        socket.add_post_pipe_connect_cb(added)
-        socket.add_post_pipe_remove_cb(removed)
+        socket.add_post_pipe_connect_cb(on_connected)
+        socket.add_post_pipe_remove_cb(on_disconnected)
         socket.dial(f"tcp://{address}", block=False)
         return link
 
     def _redial(self, link: _Link, address: str) -> None:
-        """Dials a peer at once; messages that wait for it are kept."""
+        """Dials a peer again at once; queued messages are kept."""
         for dialer in tuple(link.socket.dialers):
             dialer.close()
         link.dialled_ms = clock.now_ms()
--- a/hyssoptack/peers/link_test.py
+++ b/hyssoptack/peers/link_test.py
@@ -1,4 +1,4 @@
-"""Links between instances that start and end."""
+"""Tests of links to peers that start, stop or do not answer."""
 
 import asyncio
 import dataclasses
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Word:
+class TextMessage:
     """A message that names its sender."""
 
     sender_address: str
@@ -19,7 +19,7 @@
 
 
 def links(address, received):
-    """Returns links that note the texts that they get."""
+    """Returns links that append received texts to a list."""
 
     def on_received(frame):
         received.extend(each.text for each in frame.decoded.messages)
@@ -28,7 +28,7 @@
         address,
         60_000.0,
         asyncio.get_running_loop(),
-        codec.Codec({1: Word}),
+        codec.Codec({1: TextMessage}),
         on_received,
         lambda _address, _body: None,
     )
@@ -40,28 +40,31 @@
             await asyncio.sleep(0.005)
 
 
-def test_a_peer_that_was_dialled_before_it_ran_is_answered_at_once():
-    # After a loss of power wide instances start first; their answers to
-    # others waited up to a second for the next try to connect.
+def test_a_peer_dialled_before_its_start_is_redialled_at_once():
+    # After a power loss, instances with wide links start own_links. Without the
+    # redial their answers to the others wait up to a second for the dialer's
+    # next attempt.
     async def test():
         early = f"127.0.0.1:{ports.free_port()}"
         late = [f"127.0.0.1:{ports.free_port()}" for _ in range(LATE_COUNT)]
-        heard, answered = [], [[] for _ in late]
-        running = [links(early, heard)]
+        received_texts, answered = [], [[] for _ in late]
+        running = [links(early, received_texts)]
         running[0].start()
         for address in late:
             running[0].send(
-                address, Word(sender_address=early, text="too early")
+                address, TextMessage(sender_address=early, text="too early")
             )
         await asyncio.sleep(1.5)
         for address, texts in zip(late, answered, strict=True):
             running.append(links(address, texts))
             running[-1].start()
-            running[-1].send(early, Word(sender_address=address, text="asked"))
-        await until(lambda: len(heard) == LATE_COUNT, 1.0)
+            running[-1].send(
+                early, TextMessage(sender_address=address, text="asked")
+            )
+        await until(lambda: len(received_texts) == LATE_COUNT, 1.0)
         for address in late:
             running[0].send(
-                address, Word(sender_address=early, text="answered")
+                address, TextMessage(sender_address=early, text="answered")
             )
         try:
             await until(lambda: all("answered" in a for a in answered), 0.15)
@@ -73,37 +76,44 @@
     asyncio.run(test())
 
 
-def test_a_link_that_is_being_opened_is_not_dialled_anew_by_each_message():
+def test_a_pending_connection_attempt_is_not_replaced_by_each_message():
     async def test():
-        first = links(f"127.0.0.1:{ports.free_port()}", [])
-        # Takes connections and never speaks.
+        own_links = links(f"127.0.0.1:{ports.free_port()}", [])
+        # Accepts connections and never sends a byte.
         silent = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
         host, port = silent.sockets[0].getsockname()
         address = f"{host}:{port}"
         dials = []
-        redial = first._redial
-        first._redial = lambda *args: (dials.append(1), redial(*args))
-        first.start()
+        redial = own_links._redial
+        own_links._redial = lambda *args: (dials.append(1), redial(*args))
+        own_links.start()
         for _ in range(20):
-            first._note_heard(address)
-            first.send(address, Word(sender_address="", text="again"))
+            own_links._record_received(address)
+            own_links.send(
+                address, TextMessage(sender_address="", text="again")
+            )
             await asyncio.sleep(0.005)
-        first.stop()
+        own_links.stop()
         silent.close()
         assert not dials
 
     asyncio.run(test())
 
 
-def test_a_new_peer_is_remembered_however_many_were_heard_before():
+def test_the_oldest_peer_is_forgotten_when_the_limit_is_exceeded():
     async def test():
-        first = links(f"127.0.0.1:{ports.free_port()}", [])
-        first.start()
+        own_links = links(f"127.0.0.1:{ports.free_port()}", [])
+        own_links.start()
         for number in range(link.LAST_RECEIVED_LIMIT_COUNT + 5):
-            first._note_heard(f"peer-{number}")
-        first.stop()
-        assert len(first._heard_ms) == link.LAST_RECEIVED_LIMIT_COUNT
-        assert f"peer-{link.LAST_RECEIVED_LIMIT_COUNT + 4}" in first._heard_ms
-        assert "peer-0" not in first._heard_ms
+            own_links._record_received(f"peer-{number}")
+        own_links.stop()
+        assert (
+            len(own_links._last_received_ms) == link.LAST_RECEIVED_LIMIT_COUNT
+        )
+        assert (
+            f"peer-{link.LAST_RECEIVED_LIMIT_COUNT + 4}"
+            in own_links._last_received_ms
+        )
+        assert "peer-0" not in own_links._last_received_ms
 
     asyncio.run(test())
