--- a/hyssoptack/events/__init__.py
+++ b/hyssoptack/events/__init__.py
@@ -1,1 +1,1 @@
-"""Numbered log events and how they are written."""
+"""Numbered log events and their writer."""
--- a/hyssoptack/events/log_test.py
+++ b/hyssoptack/events/log_test.py
@@ -1,4 +1,4 @@
-"""Tests that the catalogue of events and the code agree."""
+"""Tests that the catalogue of events in docs/LOGS.md matches the code."""
 
 import pathlib
 import re
@@ -22,12 +22,12 @@
     assert listed == known
 
 
-def test_numbers_are_unique():
+def test_event_numbers_are_unique():
     numbers = [event.number for event in log.Event]
     assert len(numbers) == len(set(numbers))
 
 
-def test_every_event_is_written_somewhere():
+def test_every_event_is_used_in_the_code():
     sources = "".join(
         path.read_text("utf-8")
         for path in (ROOT / "hyssoptack").rglob("*.py")
--- a/hyssoptack/events/writer.py
+++ b/hyssoptack/events/writer.py
@@ -1,7 +1,8 @@
 """Writes log lines to standard output without ever blocking the event loop.
 
-Lines wait in a bounded buffer. When nobody reads standard output the buffer
-fills, further lines are dropped, and how many is said once there is room again.
+Lines are queued in a bounded buffer. When standard output is not read, the
+buffer fills and further lines are dropped; once there is room again, a line
+reports how many.
 """
 
 import collections
@@ -15,14 +16,14 @@
 from hyssoptack.events import log
 
 BUFFER_LIMIT_BYTES = 256 * 1024
-"""About 600 lines: some seconds of a busy instance, and a thousandth of its
-memory."""
+"""Size of the buffer: about 600 lines, which a busy instance writes in some
+seconds, and a thousandth of its memory."""
 
 _encoder = msgspec.json.Encoder(enc_hook=repr)
 
 
 class Writer:
-    """A destination of eliot messages: a bounded buffer before a file."""
+    """A destination of eliot messages with a bounded buffer."""
 
     def __init__(self, descriptor: int, instance_id: str):
         self._descriptor = descriptor
@@ -33,12 +34,13 @@
         os.set_blocking(descriptor, False)
 
     def __call__(self, message: dict[str, object]) -> None:
-        """Takes a message, and writes what the reader takes now."""
-        self._add(message)
+        """Queues a message and writes as much as fits without blocking."""
+        self._enqueue(message)
         self.flush()
 
-    def _add(self, message: dict[str, object]) -> None:
-        line = _encoder.encode(_slim(message, self._instance_id)) + b"\n"
+    def _enqueue(self, message: dict[str, object]) -> None:
+        """Queues a message, or counts it as dropped if the buffer is full."""
+        line = _encoder.encode(_line_fields(message, self._instance_id)) + b"\n"
         if self._size_bytes + len(line) > BUFFER_LIMIT_BYTES:
             self.dropped_count += 1
             return
@@ -46,7 +48,7 @@
         self._size_bytes += len(line)
 
     def flush(self) -> None:
-        """Writes buffered lines until the reader takes no more."""
+        """Writes buffered lines until the descriptor would block."""
         while self._lines:
             line = self._lines.popleft()
             self._size_bytes -= len(line)
@@ -56,23 +58,24 @@
                 self._size_bytes += len(line) - written
                 return
             if not self._lines:
-                self._add_loss()
+                self._add_drop_report()
 
     def _write_some(self, line: bytes) -> int:
-        """Writes what fits; returns how many bytes are done with."""
+        """Writes what fits and returns the number of bytes consumed."""
         try:
             return os.write(self._descriptor, line)
         except BlockingIOError:
             return 0
         except OSError:
-            # Nobody will ever read this: there is nobody to report it to.
+            # The reader is gone for good, so the line is discarded.
             return len(line)
 
-    def _add_loss(self) -> None:
+    def _add_drop_report(self) -> None:
+        """Queues a line with the number of dropped lines, if any."""
         if not self.dropped_count:
             return
         count, self.dropped_count = self.dropped_count, 0
-        self._add(
+        self._enqueue(
             {
                 "message_type": log.message_type(log.Event.LOGS_DROPPED),
                 "timestamp": time.time(),
@@ -81,19 +84,21 @@
         )
 
 
-def _slim(message: dict[str, object], instance_id: str) -> dict[str, object]:
-    """Returns a message without eliot's task fields, which say nothing here."""
-    slim = {"instance": instance_id, **message}
-    slim.pop("task_uuid", None)
-    slim.pop("task_level", None)
-    return slim
+def _line_fields(
+    message: dict[str, object], instance_id: str
+) -> dict[str, object]:
+    """Adds the instance id and removes eliot's task fields, unused here."""
+    fields = {"instance": instance_id, **message}
+    fields.pop("task_uuid", None)
+    fields.pop("task_level", None)
+    return fields
 
 
 _current: Writer | None = None
 
 
 def open_stdout(instance_id: str) -> Writer:
-    """Sends log events to standard output."""
+    """Sends log events to standard output through a `Writer`."""
     global _current
     _current = Writer(sys.stdout.fileno(), instance_id)
     eliot.add_destinations(_current)
@@ -101,6 +106,6 @@
 
 
 def flush() -> None:
-    """Writes what is buffered, as far as the reader takes it."""
+    """Writes buffered lines as far as possible without blocking."""
     if _current is not None:
         _current.flush()
