--- a/hyssoptack/platform/storeformat.py
+++ b/hyssoptack/platform/storeformat.py
@@ -188,7 +188,7 @@
         )
     if traffic.split_address(raw.address) is None:
         return expression.Error(
-            f"unreadable entry: expected HOST:PORT: {raw.address!r}"
+            f"unreadable entry: expected HOST:PORT, got {raw.address!r}"
         )
     return expression.Ok(
         traffic.Upstream(
--- a/hyssoptack/settings/__init__.py
+++ b/hyssoptack/settings/__init__.py
@@ -1,1 +1,1 @@
-"""YAML documents read into checked, frozen settings records."""
+"""Validated, immutable settings records, read from YAML documents."""
--- a/hyssoptack/settings/catalog.py
+++ b/hyssoptack/settings/catalog.py
@@ -1,8 +1,9 @@
-"""The operators' configuration from YAML, and its parts.
+"""Splits the operators' YAML configuration into parts and parses them.
 
-A part is the YAML text of all profiles or of one service. Parts are kept under
-their digests, so a change of one service moves one part, and the head of the
-chain stays far below one value's limit however many services there are.
+A part is the YAML text of all profiles or of one service. Parts are stored
+under their digests, so a change to one service transfers only one part, and
+the head of the chain stays far below the size limit of one stored value for
+any number of services.
 """
 
 import hashlib
@@ -23,7 +24,7 @@
 
 
 def digest_of(text: str) -> str:
-    """Returns the digest that a part is kept under."""
+    """Returns the digest under which a part is stored."""
     return hashlib.sha256(text.encode()).hexdigest()[:32]
 
 
@@ -103,7 +104,7 @@
     shards: list[catalog.Shard],
     upstreams: list[catalog.Upstream],
 ) -> None:
-    """Reports overlaps, gaps, and names that stand twice."""
+    """Reports overlapping ranges, gaps and duplicate upstream ids."""
     ranges = sorted(shard.key_range for shard in shards)
     position = 0
     for each in ranges:
@@ -149,10 +150,10 @@
 def split(
     text: str, file: str
 ) -> tuple[dict[str, str], list[validation.SettingsError]]:
-    """Splits one configuration document into part texts by part name.
+    """Splits a configuration document into part texts by part name.
 
     Returns:
-        The parts and a list of errors in the document's shape or its values.
+        The parts and a list of errors in the document's structure or values.
     """
     document, errors = validation.parse_yaml(text, file)
     if errors:
@@ -186,15 +187,15 @@
 def assemble(
     revision: int, parts: dict[str, str], file: str
 ) -> tuple[catalog.Catalog, list[validation.SettingsError]]:
-    """Builds a catalog from part texts.
+    """Builds and validates a catalog from part texts.
 
     Args:
-        revision: The revision that the parts belong to.
+        revision: Revision of the parts.
         parts: Part texts by part name.
-        file: Where they come from, for errors.
+        file: Origin of the parts, for errors.
 
     Returns:
-        The catalog and a list of errors; usable only when the list is empty.
+        The catalog and a list of errors; valid only when the list is empty.
     """
     errors: list[validation.SettingsError] = []
     profiles: dict[str, catalog.Profile] = {}
--- a/hyssoptack/settings/gateway.py
+++ b/hyssoptack/settings/gateway.py
@@ -1,7 +1,7 @@
-"""Settings of one gateway: a YAML file into a checked frozen record.
+"""Settings of a gateway: reads a YAML file into a validated, frozen record.
 
-JSON is YAML too, and a file that begins as JSON is read as such: the YAML
-library costs a small machine 25 ms of its start.
+JSON is a subset of YAML, and a file that begins like JSON is decoded as JSON:
+loading the YAML library takes 25 ms of the start of a small machine.
 """
 
 import dataclasses
@@ -18,15 +18,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class BudgetSettings:
-    """The budget for extra calls that all instances share.
+    """Budget for extra calls, shared by all instances.
 
-    The defaults are for a platform that names no budget: a tenth, as the users'
-    profiles allowed at the least, and nothing besides.
+    The defaults apply to a platform that specifies no budget: a tenth, the
+    least that the users' profiles allowed, and no slack.
 
     Attributes:
-        ratio: Extra calls allowed for each request for a service.
-        window_ms: The span over which they are counted.
-        slack_count: Extra calls allowed besides, in one span.
+        ratio: Extra calls allowed per request to a service.
+        window_ms: Length of the window in which calls are counted.
+        slack_count: Further extra calls allowed in each window.
     """
 
     ratio: float = 0.1
@@ -39,36 +39,39 @@
     """One gateway's settings.
 
     Attributes:
-        instance_id: This instance's name; unique.
-        failure_domain: Where it runs.
-        failure_domains: All failure domains, with their regions.
-        callers_address: Where callers connect.
-        readiness_address: Where the balancer asks whether to send callers.
-        peer_address: Where peers connect; empty for none.
-        metrics_address: Where metrics are served; empty for none.
-        store_address: The platform's store.
+        instance_id: This instance's unique name.
+        failure_domain: The failure domain in which it runs.
+        failure_domains: Region of each failure domain.
+        callers_address: Address of the port for callers.
+        readiness_address: Address of the readiness probe for the balancer.
+        peer_address: Address of the port for peers; empty for none.
+        metrics_address: Address of the metrics port; empty for none.
+        store_address: Address of the platform's store.
         lease_min_ms: The shortest lease that the store grants.
-        lease_ms: The lease under which this instance is listed. Cuts shorter
-            than it leave it listed; a dead one costs its neighbours a few
-            messages until it ends. With 195 instances and a lease of 10 s
-            renewals are a sixth of all calls to the store.
-        grace_ms: From a stop signal to the kill.
-        leaving_bound_ms: After it an upstream that said that it leaves must
-            get nothing more.
-        configuration_bound_ms: After it a new configuration must be in force.
-        evacuation_bound_ms: After it an evacuated failure domain's upstreams
-            must get nothing more.
-        budget: The budget for extra calls.
-        warmup: What cold upstreams may get.
-        link_mbps: What this instance's network link carries; 0 where that is
-            not known: queries are then never handed to others, or taken.
-        crossing_ratio: What a call into another failure domain must gain to
-            be worth its network price, as a multiple of what calls of its
-            route take. The default was the best of 15 ms, 35 ms and 1.5 times
-            on both users' sites (docs/design/0009-placing.md).
+        lease_ms: Duration of the lease under which this instance is listed.
+            During network cuts shorter than this it stays listed; a dead one
+            costs its neighbours a few messages until the lease expires. With
+            195 instances and a lease of 10 s, renewals are a sixth of all
+            calls to the store.
+        grace_ms: Time from a stop signal to the kill.
+        leaving_bound_ms: Time after which an upstream that has announced that
+            it leaves must get no more requests.
+        configuration_bound_ms: Time after which a new configuration must be
+            in force.
+        evacuation_bound_ms: Time after which the upstreams of an evacuated
+            failure domain must get no more requests.
+        budget: Budget for extra calls.
+        warmup: Limits on requests to cold upstreams.
+        link_mbps: Capacity of this instance's network link in Mbit/s; 0 if
+            unknown: queries are then neither delegated nor accepted.
+        crossing_ratio: Latency that a call into another failure domain must
+            save to justify its network cost, as a multiple of the latency of
+            calls of its route. 1.5 gave better results on both users' sites
+            than fixed savings of 15 ms or 35 ms
+            (docs/design/0009-placing.md).
         trusted_fingerprints: Requests that operators know to be harmless: they
-            are never taken to crash upstreams.
-        mechanisms: What is at work; for experiments only.
+            are never suspected of crashing upstreams.
+        mechanisms: The enabled mechanisms; changed in experiments only.
     """
 
     instance_id: str
@@ -94,7 +97,7 @@
 
     @property
     def propagation_bound_ms(self) -> float:
-        """The time in which any change in the store has to be heeded."""
+        """Time within which any change in the store must take effect."""
         return min(
             self.leaving_bound_ms,
             self.configuration_bound_ms,
@@ -103,13 +106,13 @@
 
 
 def load(path: str) -> expression.Result[GatewaySettings, str]:
-    """Reads and checks a settings file.
+    """Reads and validates a settings file.
 
     Args:
-        path: The file.
+        path: Path of the file.
 
     Returns:
-        The settings, or a line that says what is wrong and where.
+        The settings, or an error text of one line.
     """
     try:
         data = pathlib.Path(path).read_bytes()
@@ -119,16 +122,16 @@
 
 
 def modified_ns(path: str) -> int:
-    """Returns when a file was changed; 0 for one that can't be looked at."""
+    """Returns a file's modification time; 0 if it cannot be read."""
     try:
         return os.stat(path).st_mtime_ns if path else 0
     except OSError:
-        # Being replaced: the next look finds the new one.
+        # The file is being replaced: the next check finds the new one.
         return 0
 
 
 def parse(data: bytes) -> expression.Result[GatewaySettings, str]:
-    """Reads and checks settings, given as YAML."""
+    """Parses and validates settings in YAML or JSON."""
     try:
         if data.lstrip().startswith(b"{"):
             settings = msgspec.json.decode(data, type=GatewaySettings)
@@ -136,10 +139,10 @@
             settings = msgspec.yaml.decode(data, type=GatewaySettings)
     except msgspec.DecodeError as error:
         return expression.Error(str(error))
-    return _checked(settings)
+    return _validated(settings)
 
 
-def _checked(
+def _validated(
     settings: GatewaySettings,
 ) -> expression.Result[GatewaySettings, str]:
     addresses = {
@@ -149,10 +152,12 @@
     }
     for name, address in addresses.items():
         if traffic.split_address(address) is None:
-            return expression.Error(f"{name}: expected HOST:PORT: {address!r}")
+            return expression.Error(
+                f"{name}: expected HOST:PORT, got {address!r}"
+            )
     if settings.failure_domain not in settings.failure_domains:
         return expression.Error(
-            f"failure_domain: {settings.failure_domain!r} is not among "
+            f"failure_domain: {settings.failure_domain!r} is not listed in "
             "failure_domains"
         )
     positive = {
@@ -165,7 +170,9 @@
     }
     for name, value in positive.items():
         if value <= 0:
-            return expression.Error(f"{name}: expected above 0: {value}")
+            return expression.Error(
+                f"{name}: expected a value above 0, got {value}"
+            )
     if min(settings.budget.ratio, settings.crossing_ratio) < 0:
         return expression.Error(
             "budget.ratio, crossing_ratio: expected 0 or more"
--- a/hyssoptack/settings/gateway_test.py
+++ b/hyssoptack/settings/gateway_test.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway: JSON or YAML, defaults, and clear errors."""
+"""Tests of gateway settings: JSON, YAML, defaults and errors."""
 
 import json
 
@@ -6,7 +6,7 @@
 
 from hyssoptack.settings import gateway
 
-LEAST = {
+MINIMAL = {
     "instance_id": "g-1",
     "failure_domain": "north",
     "failure_domains": {"north": "wales"},
@@ -18,22 +18,22 @@
 
 
 def parse(**changes):
-    return gateway.parse(json.dumps(LEAST | changes).encode())
+    return gateway.parse(json.dumps(MINIMAL | changes).encode())
 
 
-def test_the_least_settings_have_defaults_for_the_rest():
+def test_minimal_settings_get_defaults():
     settings = parse().ok
     assert settings.grace_ms == 6_000.0
     assert settings.budget.ratio == 0.1
 
 
-def test_figures_may_be_fractions():
-    # The platform gives seconds; the template makes 6.5 into 6.5e3.
-    data = json.dumps(LEAST).encode()[:-1] + b', "grace_ms": 6.5e3}'
+def test_numbers_in_exponent_notation_are_accepted():
+    # The platform specifies seconds; the template turns 6.5 into 6.5e3.
+    data = json.dumps(MINIMAL).encode()[:-1] + b', "grace_ms": 6.5e3}'
     assert gateway.parse(data).ok.grace_ms == 6_500.0
 
 
-def test_yaml_is_read_as_well():
+def test_yaml_is_accepted():
     data = b"""
 instance_id: g-1
 failure_domain: north
@@ -56,7 +56,7 @@
         ({"budget": {"ratio": -1}}, "budget.ratio"),
     ],
 )
-def test_a_bad_value_is_named(changes, named):
+def test_an_invalid_value_is_named_in_the_error(changes, named):
     assert named in parse(**changes).error
 
 
--- a/hyssoptack/settings/instance.py
+++ b/hyssoptack/settings/instance.py
@@ -1,4 +1,4 @@
-"""Settings of one instance: addresses, domain, platform, limits."""
+"""Settings of an entry instance: addresses, domain, platform, limits."""
 
 import dataclasses
 import pathlib
@@ -10,16 +10,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PlatformSettings:
-    """Where the platform's services are, and how far they are trusted.
+    """Addresses, timeouts and staleness bounds of the platform's services.
 
     Attributes:
-        store_address: The key-value service.
-        instance_list_address: The list of live and leaving instances.
-        timeout_ms: Longest wait for one store answer.
-        watch_ms: Length of one long poll.
-        instance_list_lag_ms: How late the list may be; ownership waits this
-            out.
-        list_period_ms: How often the list is read.
+        store_address: Address of the key-value service.
+        instance_list_address: Address of the service that lists live and
+            leaving instances.
+        timeout_ms: Timeout of one call to the store.
+        watch_ms: Duration of one long poll.
+        instance_list_lag_ms: Longest delay of the instance list; an instance
+            waits this long before it uses its ownership.
+        list_period_ms: Interval between reads of the instance list.
         watcher_count: Instances of each failure domain that watch the store.
     """
 
@@ -34,14 +35,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class FrontSettings:
-    """Limits of the callers' port.
+    """Limits of the port for callers.
 
     Attributes:
         thread_count: Threads that read requests and wait for answers.
-        max_query_count: Queries in flight at the same time.
-        urgent_reserve_count: Of these, kept for urgent lookups.
-        max_action_count: Actions in flight at the same time.
-        body_limit_bytes: The largest body taken.
+        max_query_count: Most queries in flight at the same time.
+        urgent_reserve_count: Number of these reserved for urgent lookups.
+        max_action_count: Most actions in flight at the same time.
+        body_limit_bytes: Size of the largest body accepted.
         client_timeout_ms: Longest wait for a caller's next bytes.
     """
 
@@ -55,14 +56,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PeerSettings:
-    """Gossip between instances.
+    """Settings of the gossip between instances.
 
     Attributes:
         period_ms: Time between heartbeats.
-        fanout_count: Peers told by each heartbeat.
-        suspect_after_ms: Silence after which a peer gets no new sub-queries.
-        link_idle_ms: Unused links are closed after this time.
-        seed_addresses: Peers to ask while the platform can't be reached.
+        fanout_count: Peers to which each heartbeat is sent.
+        suspect_after_ms: Time without a message after which a peer gets no
+            new sub-queries.
+        link_idle_ms: Time after which unused links are closed.
+        seed_addresses: Peers to contact while the platform is unreachable.
     """
 
     period_ms: float
@@ -74,15 +76,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RelaySettings:
-    """Upstream connections.
+    """Settings of the connections to upstreams.
 
     Attributes:
         owner_count: Most instances of a failure domain that share one upstream.
-        column_size_count: Upstreams that are owned together.
-        flush_ms: How long finished replies wait for company before they are
-            sent.
-        queue_limit_count: Most calls that wait for one upstream.
-        claim_max_age_ms: A claim older than this is never sent.
+        column_size_count: Number of upstreams in one unit of ownership.
+        flush_ms: How long finished replies are collected into a batch before
+            they are sent.
+        queue_limit_count: Most calls queued for one upstream.
+        claim_max_age_ms: Age above which a claim is never sent.
     """
 
     owner_count: int
@@ -94,7 +96,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ShutdownSettings:
-    """A planned stop.
+    """Settings of a planned stop.
 
     Attributes:
         balancer_lag_ms: How long new requests may still arrive after the health
@@ -108,7 +110,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class InstanceSettings:
-    """Everything that one instance is told at its start."""
+    """All settings of one instance.
+
+    Attributes:
+        instance_id: The instance's unique name.
+        failure_domain: The failure domain in which it runs.
+        front_address: Address of the port for callers.
+        operator_address: Address of the port for operators.
+        peer_address: Address of the port for peers.
+        log_path: Log file; empty for standard error.
+        platform: The platform's services.
+        front: Limits of the port for callers.
+        peers: Gossip between instances.
+        relay: Connections to upstreams.
+        shutdown: Planned stops.
+    """
 
     instance_id: str
     failure_domain: str
@@ -204,14 +220,14 @@
 def parse(
     text: str, file: str
 ) -> tuple[InstanceSettings, list[validation.SettingsError]]:
-    """Reads instance settings from YAML text.
+    """Parses and validates instance settings from YAML text.
 
     Args:
         text: The document.
-        file: Its name, for errors.
+        file: The document's name, for errors.
 
     Returns:
-        The settings and a list of errors; the settings are usable only when the
+        The settings and a list of errors; the settings are valid only when the
         list is empty.
     """
     document, errors = validation.parse_yaml(text, file)
@@ -238,7 +254,7 @@
 def load(
     path: pathlib.Path,
 ) -> tuple[InstanceSettings | None, list[validation.SettingsError]]:
-    """Reads instance settings from a file.
+    """Reads and validates instance settings from a file.
 
     Returns:
         The settings and no errors, or None and the errors.
--- a/hyssoptack/settings/settings_test.py
+++ b/hyssoptack/settings/settings_test.py
@@ -1,4 +1,4 @@
-"""Tests of checked settings: every error at once, with key and expectation."""
+"""Tests of settings validation: all errors are reported with their keys."""
 
 import pathlib
 
@@ -8,7 +8,7 @@
 from hyssoptack.settings import instance
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
-_GOOD = """
+_VALID = """
 instance_id: plateau-1
 failure_domain: plateau
 front_address: 127.0.0.1:1
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("deployment", ["dakar", "wales"])
-def test_the_shipped_deployments_are_good(deployment):
+def test_the_shipped_deployments_are_valid(deployment):
     path = ROOT / "deploy" / deployment / "catalog.yaml"
     parts, errors = catalog.split(path.read_text("utf-8"), str(path))
     assert not errors
@@ -30,14 +30,14 @@
     assert sum(len(each.upstreams) for each in current.services.values()) == 83
 
 
-def test_good_instance_settings():
-    settings, errors = instance.parse(_GOOD, "x.yaml")
+def test_valid_instance_settings_get_defaults():
+    settings, errors = instance.parse(_VALID, "x.yaml")
     assert not errors
     assert settings.platform.watcher_count == 2
 
 
 def test_all_errors_are_reported_at_once():
-    text = _GOOD.replace("127.0.0.1:4", "localhost:4") + (
+    text = _VALID.replace("127.0.0.1:4", "localhost:4") + (
         "surprise: 1\nfront: {thread_count: many, max_query_count: 90}\n"
     )
     _, errors = instance.parse(text, "x.yaml")
@@ -47,12 +47,12 @@
 
 
 @pytest.mark.parametrize("text", ["[", "3", "", "a: [1", "services: {}"])
-def test_unreadable_documents_are_errors_not_exceptions(text):
+def test_invalid_documents_are_errors_not_exceptions(text):
     assert instance.parse(text, "x.yaml")[1]
     assert catalog.split(text, "x.yaml")[1]
 
 
-def _changed(old: str, new: str) -> list[str]:
+def _errors_after_change(old: str, new: str) -> list[str]:
     text = (ROOT / "deploy/dakar/catalog.yaml").read_text("utf-8")
     assert old in text
     _, errors = catalog.split(text.replace(old, new, 1), "x.yaml")
@@ -61,18 +61,23 @@
 
 def test_ranges_must_fill_the_key_space_without_overlap():
     assert any(
-        "starts at" in each for each in _changed("high: 6553", "high: 7")
+        "starts at" in each
+        for each in _errors_after_change("high: 6553", "high: 7")
     )
 
 
-def test_a_service_must_pick_a_profile_that_exists():
-    errors = _changed("profile: dawn-batch", "profile: dusk")
+def test_a_service_must_name_an_existing_profile():
+    errors = _errors_after_change("profile: dawn-batch", "profile: dusk")
     assert any("one of: dawn-batch" in each for each in errors)
 
 
 def test_units_and_bounds_are_checked():
-    assert _changed("deadline_ms: 400", "deadline_ms: -1")
-    assert _changed("coverage_floor_ratio: 0.9", "coverage_floor_ratio: 90")
-    assert _changed("deadline_ms: 400", "deadline_s: 4")
-    wrong = _changed("deadline_ms: 400", "class: royal, deadline_ms: 400")
+    assert _errors_after_change("deadline_ms: 400", "deadline_ms: -1")
+    assert _errors_after_change(
+        "coverage_floor_ratio: 0.9", "coverage_floor_ratio: 90"
+    )
+    assert _errors_after_change("deadline_ms: 400", "deadline_s: 4")
+    wrong = _errors_after_change(
+        "deadline_ms: 400", "class: royal, deadline_ms: 400"
+    )
     assert any("one of: urgent, browsing" in each for each in wrong)
--- a/hyssoptack/settings/validation.py
+++ b/hyssoptack/settings/validation.py
@@ -1,4 +1,4 @@
-"""Checks a YAML mapping field by field; collects every error."""
+"""Validates a YAML mapping field by field and collects all errors."""
 
 import dataclasses
 import ipaddress
@@ -9,13 +9,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SettingsError:
-    """One thing wrong in a settings file.
+    """One error in a settings file.
 
     Attributes:
-        file: The file or part that was read.
+        file: The file or part in which the error is.
         key: Dotted path of the field.
-        value: What stands there, as text.
-        expected: What should stand there.
+        value: The value found, as text.
+        expected: Description of a valid value.
     """
 
     file: str
@@ -34,7 +34,7 @@
 
 
 def abbreviated(value: object) -> str:
-    """Returns a value as a short text for an error."""
+    """Returns a value as text for an error, cut to a maximum length."""
     if value is _MISSING:
         return "nothing"
     text = repr(value)
@@ -46,7 +46,7 @@
 
 
 class Fields:
-    """The fields of one mapping; errors go to the document's list."""
+    """Reads the fields of one mapping; adds errors to the document's list."""
 
     def __init__(
         self, mapping: object, file: str, path: str, errors: list[SettingsError]
@@ -54,7 +54,7 @@
         self.file = file
         self.path = path
         self.errors = errors
-        self._seen: set[str] = set()
+        self._known_names: set[str] = set()
         if isinstance(mapping, dict):
             self._mapping = mapping
         else:
@@ -62,7 +62,7 @@
             self.error("", mapping, "a mapping of field names to values")
 
     def error(self, name: str, value: object, expected: str) -> None:
-        """Records one error for a field of this mapping."""
+        """Adds an error for a field of this mapping."""
         key = (
             ".".join(part for part in (self.path, name) if part) or "(document)"
         )
@@ -75,8 +75,9 @@
             )
         )
 
-    def _take(self, name: str, default: object) -> object:
-        self._seen.add(name)
+    def _read_field(self, name: str, default: object) -> object:
+        """Returns a field's raw value and marks the field as known."""
+        self._known_names.add(name)
         return self._mapping.get(name, default)
 
     def number(
@@ -90,17 +91,17 @@
         """Reads a number between two bounds.
 
         Args:
-            name: The field; its suffix names the unit.
+            name: Name of the field; its suffix is the unit.
             low: The least value allowed.
             high: The greatest value allowed.
-            default: Used when the field is absent; without one the field is
-                required.
+            default: Value if the field is absent; without a default the field
+                is required.
             whole: Whether only whole numbers are allowed.
 
         Returns:
             The number, or `low` when there was an error.
         """
-        value = self._take(name, default)
+        value = self._read_field(name, default)
         kinds = (int,) if whole else (int, float)
         if (
             isinstance(value, bool)
@@ -126,42 +127,42 @@
         return self.number(name, 0.0, 1.0, default)
 
     def text(self, name: str, default: str = _MISSING) -> str:
-        """Reads a text that is not empty."""
-        value = self._take(name, default)
+        """Reads a string; it may be empty only if there is a default."""
+        value = self._read_field(name, default)
         if not isinstance(value, str) or (not value and default is _MISSING):
-            self.error(name, value, "a text that is not empty")
+            self.error(name, value, "a non-empty string")
             return ""
         return value
 
     def flag(self, name: str, default: bool) -> bool:
-        """Reads true or false."""
-        value = self._take(name, default)
+        """Reads a boolean."""
+        value = self._read_field(name, default)
         if not isinstance(value, bool):
             self.error(name, value, "true or false")
             return default
         return value
 
     def choice(self, name: str, choices: tuple[str, ...], default: str) -> str:
-        """Reads one of a few texts."""
-        value = self._take(name, default)
+        """Reads a string that must be one of the given choices."""
+        value = self._read_field(name, default)
         if value not in choices:
             self.error(name, value, "one of: " + ", ".join(choices))
             return default
         return value
 
     def address(self, name: str) -> str:
-        """Reads an address of the form `IP:port`."""
-        value = self._take(name, _MISSING)
+        """Reads a required address of the form `IP:port`."""
+        value = self._read_field(name, _MISSING)
         if not isinstance(value, str) or not is_address(value):
             self.error(
-                name, value, "an IP number and a port, such as 127.0.0.1:8080"
+                name, value, "an IP address and a port, such as 127.0.0.1:8080"
             )
             return ""
         return value
 
     def addresses(self, name: str) -> tuple[str, ...]:
-        """Reads a list of addresses; an absent one reads as empty."""
-        value = self._take(name, [])
+        """Reads a list of addresses; empty if absent."""
+        value = self._read_field(name, [])
         if not isinstance(value, list) or not all(
             isinstance(each, str) and is_address(each) for each in value
         ):
@@ -170,8 +171,8 @@
         return tuple(value)
 
     def submapping(self, name: str, required: bool = False) -> "Fields":
-        """Opens a mapping within this one; an absent one reads as empty."""
-        value = self._take(name, _MISSING)
+        """Returns the fields of a nested mapping; empty if absent."""
+        value = self._read_field(name, _MISSING)
         if value is _MISSING and not required:
             value = {}
         return Fields(value, self.file, self._path_of(name), self.errors)
@@ -179,8 +180,8 @@
     def named_mappings(
         self, name: str, required: bool = True
     ) -> dict[str, "Fields"]:
-        """Opens a mapping from names to mappings."""
-        value = self._take(name, _MISSING if required else {})
+        """Returns the fields of each mapping in a mapping, by name."""
+        value = self._read_field(name, _MISSING if required else {})
         if not isinstance(value, dict) or not all(
             isinstance(key, str) for key in value
         ):
@@ -194,10 +195,10 @@
         }
 
     def mapping_list(self, name: str) -> list["Fields"]:
-        """Opens a list of mappings."""
-        value = self._take(name, _MISSING)
+        """Returns the fields of each mapping in a list, which is required."""
+        value = self._read_field(name, _MISSING)
         if not isinstance(value, list) or not value:
-            self.error(name, value, "a list of mappings that is not empty")
+            self.error(name, value, "a non-empty list of mappings")
             return []
         return [
             Fields(
@@ -207,14 +208,14 @@
         ]
 
     def reject_unknown(self) -> None:
-        """Reports every field that nothing asked for."""
-        known = ", ".join(sorted(self._seen))
+        """Adds an error for every field that has not been read."""
+        known = ", ".join(sorted(self._known_names))
         for name, value in self._mapping.items():
-            if name not in self._seen:
+            if name not in self._known_names:
                 self.error(
                     str(name),
                     value,
-                    f"no such field; the fields here are: {known}",
+                    f"no such field; known fields: {known}",
                 )
 
     def _path_of(self, name: str) -> str:
@@ -222,7 +223,7 @@
 
 
 def is_address(text: str) -> bool:
-    """Tells whether a text is `IP:port` with an IP number, not a host name."""
+    """Returns whether a text is `IP:port`; host names are not accepted."""
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host)
@@ -235,14 +236,14 @@
     """Parses YAML text.
 
     Returns:
-        The document and no error, or None and one error that names the line.
+        The document and no error, or None and one error with the line.
     """
     try:
         return yaml.safe_load(text), []
     except yaml.YAMLError as error:
         mark = getattr(error, "problem_mark", None)
         place = f"line {mark.line + 1}" if mark else "(document)"
-        problem = getattr(error, "problem", None) or "unreadable text"
+        problem = getattr(error, "problem", None) or "invalid text"
         return None, [
             SettingsError(
                 file=file, key=place, value=problem, expected="valid YAML"
