--- a/hyssoptack/reports/__init__.py
+++ b/hyssoptack/reports/__init__.py
@@ -1,1 +1,1 @@
-"""What operators read: service-level burn and the configuration in force."""
+"""Reports for operators, from log files and the instances' status pages."""
--- a/hyssoptack/reports/burn.py
+++ b/hyssoptack/reports/burn.py
@@ -1,8 +1,8 @@
-"""The service-level burn report: how fast each service uses up its errors.
+"""Burn-rate report: how fast each service consumes its error budget.
 
-A burn rate of 1 uses up exactly what the profile's goal allows; 10 uses it up
-ten times as fast (Beyer et al., "The Site Reliability Workbook", chapter
-"Alerting on SLOs").
+A burn rate of 1 consumes exactly the error budget that the profile's goal
+allows; 10 consumes it ten times as fast (Beyer et al., "The Site Reliability
+Workbook", chapter "Alerting on SLOs").
 """
 
 import dataclasses
@@ -13,28 +13,28 @@
 from hyssoptack.core import catalog
 from hyssoptack.entry import burncounts
 
-_DECODER_TYPE = dict[str, dict[str, burncounts.ServiceCounts]]
+_DOCUMENT_TYPE = dict[str, dict[str, burncounts.ServiceCounts]]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Row:
-    """One service in one window.
+    """The figures of one service in one window.
 
     Attributes:
-        service: The service.
-        profile: Its profile.
+        service: Name of the service.
+        profile: Name of its profile.
         window_s: Length of the window.
-        request_count: All requests.
-        answered_count: Those that got a whole answer.
-        late_count: Answers after the profile's deadline.
-        refused: Refusals by reason.
+        request_count: Number of requests.
+        answered_count: Number of requests that were answered.
+        late_count: Number of answers after the profile's deadline.
+        refused: Number of refusals by reason.
         in_time_ratio: Share of requests answered in time.
-        coverage_mean_ratio: Mean coverage of answers.
-        extra_load_ratio: Extra calls for each first call.
-        p50_ms: Bound of the median latency.
-        p99_ms: Bound of the 99th percentile.
-        burn_rate: Errors over what the goal allows.
-        extra_load_burn_rate: Extra load over its ceiling.
+        coverage_mean_ratio: Mean coverage of the answers.
+        extra_load_ratio: Extra calls per first call.
+        p50_ms: Upper bound of the median latency.
+        p99_ms: Upper bound of the latency's 99th percentile.
+        burn_rate: Error ratio divided by the ratio that the goal allows.
+        extra_load_burn_rate: Extra load divided by its ceiling.
     """
 
     service: str
@@ -56,11 +56,11 @@
 def merge(
     documents: list[object],
 ) -> dict[str, dict[str, burncounts.ServiceCounts]]:
-    """Adds up what several instances answered under `/burn`."""
+    """Adds up the `/burn` documents of several instances."""
     totals: dict[str, dict[str, burncounts.ServiceCounts]] = {}
     for document in documents:
         for service, windows in msgspec.convert(
-            document, _DECODER_TYPE, strict=False
+            document, _DOCUMENT_TYPE, strict=False
         ).items():
             for window, each in windows.items():
                 total = totals.setdefault(service, {}).setdefault(
@@ -71,7 +71,7 @@
 
 
 def _quantile_ms(latency: dict[int, int], ratio: float) -> float:
-    """Returns the bound under which a share of answers lies."""
+    """Returns an upper bound of a latency quantile, from a histogram."""
     total = sum(latency.values())
     if not total:
         return 0.0
@@ -121,7 +121,7 @@
     totals: dict[str, dict[str, burncounts.ServiceCounts]],
     current: catalog.Catalog,
 ) -> list[Row]:
-    """Returns the report's rows, by service and then by window."""
+    """Returns the report's rows, ordered by service and window."""
     result = []
     for service in sorted(totals):
         known = current.services.get(service)
@@ -136,7 +136,7 @@
 
 
 def text(report: list[Row]) -> str:
-    """Returns the report as a table for a terminal."""
+    """Formats the report as a table for a terminal."""
     head = (
         f"{'service':<24}{'window':>8}{'requests':>10}{'in time':>9}"
         f"{'coverage':>10}{'extra':>8}{'p50 ms':>8}{'p99 ms':>8}{'burn':>8}"
@@ -157,7 +157,7 @@
 
 
 def plot(report: list[Row], path: pathlib.Path) -> None:
-    """Draws burn rates by service and window into a picture."""
+    """Plots burn rates by service and window into an image file."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -168,19 +168,22 @@
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(11, 4))
     width = 0.8 / max(1, len(windows))
     for offset, window_s in enumerate(windows):
-        chosen = {
+        rows_by_service = {
             row.service: row for row in report if row.window_s == window_s
         }
-        places = [index + offset * width for index in range(len(services))]
+        positions = [index + offset * width for index in range(len(services))]
         burns = [
-            chosen[name].burn_rate if name in chosen else 0 for name in services
+            rows_by_service[name].burn_rate if name in rows_by_service else 0
+            for name in services
         ]
         extras = [
-            chosen[name].extra_load_burn_rate if name in chosen else 0
+            rows_by_service[name].extra_load_burn_rate
+            if name in rows_by_service
+            else 0
             for name in services
         ]
-        left.bar(places, burns, width, label=f"{window_s:.0f} s")
-        right.bar(places, extras, width, label=f"{window_s:.0f} s")
+        left.bar(positions, burns, width, label=f"{window_s:.0f} s")
+        right.bar(positions, extras, width, label=f"{window_s:.0f} s")
     for axes, title in (
         (left, "Latency goal: burn rate"),
         (right, "Extra load over its ceiling"),
--- a/hyssoptack/reports/calls.py
+++ b/hyssoptack/reports/calls.py
@@ -1,4 +1,4 @@
-"""Calls to upstreams, as the log lines of their requests tell of them."""
+"""Parses the upstream calls in the log lines of requests."""
 
 import dataclasses
 
@@ -11,19 +11,19 @@
     "not_listed_there",
     "upstream_withdrawn",
 )
-"""Outcomes of calls that no upstream has seen."""
+"""Prefixes of the outcomes of calls that reached no upstream."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Call:
-    """A call as `calltrace.Trace.describe` writes it.
+    """A call, parsed from the text of `calltrace.Trace.describe`.
 
     Attributes:
-        upstream_id: Whom it went to.
-        cause: `first`, or what it was made once more for.
-        after_ms: When it was decided on, from the request's arrival.
-        took_ms: From then to its outcome.
-        outcome: What became of it.
+        upstream_id: The called upstream.
+        cause: `first`, or the reason for the extra call.
+        after_ms: Time from the request's arrival to the decision to call.
+        took_ms: Time from that decision to the call's outcome.
+        outcome: Identifier of the outcome.
     """
 
     upstream_id: str
@@ -34,24 +34,24 @@
 
     @property
     def sent(self) -> bool:
-        """Whether an upstream may have seen it."""
+        """Whether the call may have reached its upstream."""
         return not self.outcome.startswith(UNSENT_PREFIXES)
 
     @property
     def answered(self) -> bool:
-        """Whether its answer was used."""
+        """Whether the call's reply was used in the answer."""
         return self.outcome == "answered"
 
 
 def parse(entry: timeline.Entry) -> list[Call]:
-    """Returns the calls of a request's last line."""
+    """Returns the calls in a `request_ended` line."""
     found = []
     for text in entry.fields.get("calls", ()):
-        where, why, after, took, outcome = text.split(" ", 4)
+        target, cause, after, took, outcome = text.split(" ", 4)
         found.append(
             Call(
-                upstream_id=where.partition("@")[0],
-                cause=why,
+                upstream_id=target.partition("@")[0],
+                cause=cause,
                 after_ms=float(after),
                 took_ms=float(took),
                 outcome=outcome,
--- a/hyssoptack/reports/fleet.py
+++ b/hyssoptack/reports/fleet.py
@@ -1,4 +1,4 @@
-"""Reads every instance's operator port, for reports on the whole fleet."""
+"""Queries the operator ports of all instances, for reports on the fleet."""
 
 import concurrent.futures
 import dataclasses
@@ -15,7 +15,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Reading:
-    """What one instance answered; `document` is None when it did not."""
+    """The reply of one instance.
+
+    Attributes:
+        member: The instance.
+        document: The decoded reply; None if there was none or an invalid one.
+        error: Error text; empty if there is a document.
+    """
 
     member: member.Member
     document: dict | None
@@ -33,7 +39,7 @@
             retries=False,
         )
         if response.status != STATUS_OK:
-            text = f"answered {response.status}"
+            text = f"status {response.status}"
             return Reading(member=each, document=None, error=text)
         document = msgspec.json.decode(response.data)
         return Reading(member=each, document=document)
@@ -42,11 +48,11 @@
 
 
 def read(members: tuple[member.Member, ...], path: str) -> list[Reading]:
-    """Reads a path from every instance at once.
+    """Requests a path from all instances in parallel.
 
     Args:
         members: The instances.
-        path: Such as `/status`.
+        path: The path, such as `/status`.
 
     Returns:
         A reading for each instance, in the order of the instances.
--- a/hyssoptack/reports/margins.py
+++ b/hyssoptack/reports/margins.py
@@ -1,7 +1,7 @@
-"""`python -m hyssoptack.reports.margins LOG`: how near limits were to breaking.
+"""`python -m hyssoptack.reports.margins LOG`: how close limits were reached.
 
-Reads the lines of all instances of a deployment, with any prefix, and joins
-them by request: an instance knows only its own calls.
+Reads the log lines of all instances of a deployment, with any prefix, and joins
+them by request, since each instance logs only its own calls.
 """
 
 import collections
@@ -15,19 +15,19 @@
 from hyssoptack.reports import timeline
 
 SHOWN_COUNT = 5
-"""Most requests and services that are named for each limit."""
+"""Most requests and services listed for each limit."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Spread:
-    """How many upstreams of one service a request was sent to.
+    """Number of upstreams of one service to which a request was sent.
 
     Attributes:
-        request_id: The request.
-        service: The service of which it was most.
-        upstream_count: How many.
-        instance_ids: The instances that decided on these calls.
-        taken_back: Whether it was handed over and taken back.
+        request_id: The request's id.
+        service: The service with the most upstreams called.
+        upstream_count: Number of upstreams called.
+        instance_ids: The instances that made these calls.
+        taken_back: Whether the request was delegated and taken back.
     """
 
     request_id: str
@@ -42,10 +42,10 @@
     """The most extra calls to one service in any one window.
 
     Attributes:
-        service: The service.
-        extra_count: The extra calls.
-        request_count: First calls in the same time.
-        end_s: When the window ends, by the instances' time of day.
+        service: Name of the service.
+        extra_count: Number of extra calls.
+        request_count: Number of first calls in the same window.
+        end_s: End of the window, as Unix time of the instances.
     """
 
     service: str
@@ -57,20 +57,20 @@
 def services_by_upstream(
     entries: collections.abc.Iterable[timeline.Entry],
 ) -> dict[str, str]:
-    """Returns the service of each upstream that the entries tell of."""
-    known: dict[str, str] = {}
+    """Returns the service of each upstream named in the entries."""
+    services: dict[str, str] = {}
     for each in entries:
         match each.kind, each.fields.get("came"):
             case "upstreams_changed", dict(came):
-                known.update(came)
+                services.update(came)
         if each.kind == "call_extra":
-            known[each.fields["upstream"]] = each.fields["service"]
-    return known
+            services[each.fields["upstream"]] = each.fields["service"]
+    return services
 
 
 def spreads(entries: list[timeline.Entry]) -> list[Spread]:
-    """Returns each request's spread over upstreams, the widest first."""
-    known = services_by_upstream(entries)
+    """Returns the spread of each request over upstreams, widest first."""
+    services = services_by_upstream(entries)
     taken_back = {
         each.fields["request_id"]
         for each in entries
@@ -82,17 +82,17 @@
             continue
         parts = seen.setdefault(str(each.fields["request_id"]), {})
         for call in calls.parse(each):
-            service = known.get(call.upstream_id, call.upstream_id)
+            service = services.get(call.upstream_id, call.upstream_id)
             if call.sent:
                 upstreams = parts.setdefault(service, {})
                 deciders = upstreams.setdefault(call.upstream_id, set())
                 deciders.add(each.instance_id)
-    found = [
+    result = [
         _widest(request_id, parts, request_id in taken_back)
         for request_id, parts in seen.items()
         if parts
     ]
-    return sorted(found, key=lambda each: -each.upstream_count)
+    return sorted(result, key=lambda each: -each.upstream_count)
 
 
 def _widest(
@@ -109,32 +109,35 @@
 
 
 def windows(entries: list[timeline.Entry], window_s: float) -> list[Window]:
-    """Returns each service's fullest window of extra calls, the fullest first.
+    """Returns the window with the most extra calls of each service.
 
     Args:
         entries: All entries, in order of time.
-        window_s: How long a window is.
+        window_s: Length of the window.
+
+    Returns:
+        A window for each service, the one with the most extra calls first.
     """
-    known = services_by_upstream(entries)
+    services = services_by_upstream(entries)
     extras: dict[str, list[float]] = collections.defaultdict(list)
     firsts: dict[str, list[float]] = collections.defaultdict(list)
     for each in entries:
         if each.kind != "request_ended":
             continue
         for call in calls.parse(each):
-            service = known.get(call.upstream_id, call.upstream_id)
+            service = services.get(call.upstream_id, call.upstream_id)
             if call.cause == "first":
                 firsts[service].append(each.time_s)
             elif call.sent:
                 extras[service].append(each.time_s)
-    found = [
-        _fullest(service, times, firsts[service], window_s)
+    result = [
+        _busiest(service, times, firsts[service], window_s)
         for service, times in extras.items()
     ]
-    return sorted(found, key=lambda each: -each.extra_count)
+    return sorted(result, key=lambda each: -each.extra_count)
 
 
-def _fullest(
+def _busiest(
     service: str, extras: list[float], firsts: list[float], window_s: float
 ) -> Window:
     recent: collections.deque[float] = collections.deque()
@@ -155,16 +158,16 @@
 
 
 def text(entries: list[timeline.Entry], window_s: float) -> str:
-    """Returns the margins for people."""
-    found = spreads(entries)
+    """Formats the margins as text."""
+    result = spreads(entries)
     counts = collections.Counter(
-        (each.upstream_count, each.taken_back) for each in found
+        (each.upstream_count, each.taken_back) for each in result
     )
     rows = ["upstreams of one shard called for one request:"]
     for (upstream_count, taken_back), count in sorted(counts.items()):
-        note = " (handed over and taken back)" if taken_back else ""
+        note = " (delegated and taken back)" if taken_back else ""
         rows.append(f"  {upstream_count}: {count} requests{note}")
-    for each in found[:SHOWN_COUNT]:
+    for each in result[:SHOWN_COUNT]:
         by = ", ".join(each.instance_ids)
         rows.append(
             f"    {each.request_id}: {each.upstream_count} of"
@@ -173,18 +176,18 @@
     rows.append(f"extra calls to one service within {window_s:g} s:")
     for each in windows(entries, window_s)[:SHOWN_COUNT]:
         rows.append(
-            f"  {each.service}: {each.extra_count} beside"
+            f"  {each.service}: {each.extra_count} in addition to"
             f" {each.request_count} first calls, until {each.end_s:.3f} s"
         )
     return "\n".join(rows)
 
 
 def main(log: pathlib.Path, /, *, window_s: float = 10.0) -> None:
-    """Prints how near a deployment's limits were to breaking.
+    """Prints how close a deployment came to its limits.
 
     Args:
-        log: The lines of all instances.
-        window_s: The window in which extra calls are counted.
+        log: Log file with the lines of all instances.
+        window_s: Length of the window in which extra calls are counted.
     """
     with log.open(encoding="utf-8", errors="replace") as lines:
         entries = timeline.read(lines)
--- a/hyssoptack/reports/margins_test.py
+++ b/hyssoptack/reports/margins_test.py
@@ -1,4 +1,4 @@
-"""Margins over the lines of several instances."""
+"""Tests of the margins report over the log lines of several instances."""
 
 from hyssoptack.reports import margins
 from hyssoptack.reports import timeline
@@ -35,19 +35,20 @@
     assert first.upstream_count == 3
     assert first.instance_ids == ("narrow", "wide")
     assert first.taken_back
-    # A refused connection shows an upstream nothing.
+    # A call whose connection was refused does not count: the upstream has not
+    # seen it.
     assert (second.request_id, second.upstream_count) == ("r2", 1)
 
 
-def test_the_fullest_window_is_found():
+def test_the_window_with_the_most_extra_calls_is_found():
     (found, *_) = margins.windows(timeline.read(LINES), 10.0)
     assert (found.service, found.extra_count) == ("s1", 3)
     assert found.request_count == 2
-    (brief, *_) = margins.windows(timeline.read(LINES), 0.05)
-    assert brief.extra_count == 1
+    (short_window, *_) = margins.windows(timeline.read(LINES), 0.05)
+    assert short_window.extra_count == 1
 
 
-def test_the_text_names_the_requests_that_come_nearest():
+def test_the_text_lists_the_requests_with_the_widest_spread():
     text = margins.text(timeline.read(LINES), 10.0)
-    assert "3: 1 requests (handed over and taken back)" in text
+    assert "3: 1 requests (delegated and taken back)" in text
     assert "r1: 3 of s1, by narrow, wide" in text
--- a/hyssoptack/reports/profile.py
+++ b/hyssoptack/reports/profile.py
@@ -1,8 +1,8 @@
 """`python -m hyssoptack.reports.profile LOG`: where requests spend their time.
 
-Reads the lines of all instances of a deployment, with any prefix. For each
-route: how long its requests took, how long their calls took, and what became of
-the calls that were made once more.
+Reads the log lines of all instances of a deployment, with any prefix. Reports
+for each route the latency of its requests and of their calls, and how many of
+the extra calls were useful.
 """
 
 import collections
@@ -17,20 +17,20 @@
 from hyssoptack.reports import timeline
 
 TOP_COUNT = 5
-"""Reasons that are named for each route."""
+"""Most failure reasons listed for each route."""
 
 
 @dataclasses.dataclass(kw_only=True)
 class Route:
-    """What the requests of one route did.
+    """Latencies, failures and extra calls of the requests of one route.
 
     Attributes:
-        took_ms: From arrival to answer, a request each.
-        first_ms: To the first answer of an upstream.
-        last_ms: To the last answer that was used.
-        reasons: How those ended that got no answer, or one without all parts.
-        extras: Calls that were made once more: by cause, how many, how many
-            brought the answer, how many were too late to bring it.
+        took_ms: Time from arrival to answer, one entry per request.
+        first_ms: Time to the first reply of an upstream that was used.
+        last_ms: Time to the last reply of an upstream that was used.
+        reasons: Number of failed or incomplete requests, by reason.
+        extras: Extra calls by cause: number made, number whose reply was used,
+            and number that were needless since another reply was used.
     """
 
     took_ms: list[float] = dataclasses.field(default_factory=list)
@@ -45,18 +45,21 @@
 
 
 def routes(entries: list[timeline.Entry]) -> dict[str, Route]:
-    """Returns what the requests of each route did."""
-    known = margins.services_by_upstream(entries)
+    """Aggregates the requests of each route, by the route's name."""
+    services = margins.services_by_upstream(entries)
     found: dict[str, Route] = {}
     for entry in entries:
         if entry.kind != "request_ended" or "calls" not in entry.fields:
             continue
         route = found.setdefault(str(entry.fields["route"]), Route())
-        _note(route, entry, known)
+        _add_request(route, entry, services)
     return found
 
 
-def _note(route: Route, entry: timeline.Entry, known: dict[str, str]) -> None:
+def _add_request(
+    route: Route, entry: timeline.Entry, services: dict[str, str]
+) -> None:
+    """Adds a request to its route."""
     made = calls.parse(entry)
     route.took_ms.append(entry.fields["took_ms"])
     answers = [each.after_ms + each.took_ms for each in made if each.answered]
@@ -64,18 +67,18 @@
         route.first_ms.append(min(answers))
         route.last_ms.append(max(answers))
     status, reason = entry.fields["status"], entry.fields["reason"]
-    answered, _, asked = str(reason).partition("/")
-    if status != 200 or (asked and answered != asked):
-        route.reasons["parts left out" if asked else str(reason)] += 1
+    answered, _, expected = str(reason).partition("/")
+    if status != 200 or (expected and answered != expected):
+        route.reasons["parts missing" if expected else str(reason)] += 1
     parts: dict[str, list[calls.Call]] = collections.defaultdict(list)
     for each in made:
-        parts[known.get(each.upstream_id, each.upstream_id)].append(each)
+        parts[services.get(each.upstream_id, each.upstream_id)].append(each)
     for part in parts.values():
-        _note_extras(route, part)
+        _add_extra_calls(route, part)
 
 
-def _note_extras(route: Route, part: list[calls.Call]) -> None:
-    """Notes whether the calls that a part was sent once more in paid off."""
+def _add_extra_calls(route: Route, part: list[calls.Call]) -> None:
+    """Adds the extra calls of one part: whether each one's reply was used."""
     used = next((each for each in part if each.answered), None)
     for each in part:
         if each.cause == "first":
@@ -88,7 +91,8 @@
             counts["needless"] += 1
 
 
-def _spread(values: list[float]) -> str:
+def _percentiles(values: list[float]) -> str:
+    """Formats the 50th, 90th and 99th percentiles."""
     if len(values) < 2:
         return "-"
     cuts = statistics.quantiles(values, n=100, method="inclusive")
@@ -96,20 +100,24 @@
 
 
 def text(found: dict[str, Route]) -> str:
-    """Returns the profile for people."""
-    rows = ["times in ms: half, 90 and 99 in 100 of the requests"]
+    """Formats the profile as text."""
+    rows = ["times in ms: 50th, 90th and 99th percentiles of the requests"]
     for name, route in sorted(found.items()):
         rows.append(f"{name}: {len(route.took_ms)} requests")
-        rows.append(f"  first answer of an upstream: {_spread(route.first_ms)}")
-        rows.append(f"  last answer that was used: {_spread(route.last_ms)}")
-        rows.append(f"  answer to the caller: {_spread(route.took_ms)}")
+        rows.append(
+            f"  first reply of an upstream: {_percentiles(route.first_ms)}"
+        )
+        rows.append(
+            f"  last reply that was used: {_percentiles(route.last_ms)}"
+        )
+        rows.append(f"  answer to the caller: {_percentiles(route.took_ms)}")
         for reason, count in route.reasons.most_common(TOP_COUNT):
             rows.append(f"  {reason}: {count}")
-        for why, counts in sorted(route.extras.items()):
+        for cause, counts in sorted(route.extras.items()):
             rows.append(
-                f"  calls made once more ({why}): {counts['made']},"
-                f" of which brought the answer {counts['used']},"
-                f" another did {counts['needless']}"
+                f"  extra calls ({cause}): {counts['made']} made,"
+                f" {counts['used']} used,"
+                f" {counts['needless']} needless"
             )
     return "\n".join(rows)
 
@@ -118,7 +126,7 @@
     """Prints where requests spend their time.
 
     Args:
-        log: The lines of all instances.
+        log: Log file with the lines of all instances.
     """
     with log.open(encoding="utf-8", errors="replace") as lines:
         entries = timeline.read(lines)
--- a/hyssoptack/reports/profile_test.py
+++ b/hyssoptack/reports/profile_test.py
@@ -1,4 +1,4 @@
-"""The profile of requests over the lines of several instances."""
+"""Tests of the request profile over the log lines of several instances."""
 
 from hyssoptack.reports import profile
 from hyssoptack.reports import timeline
@@ -31,16 +31,16 @@
 ]  # fmt: skip
 
 
-def test_times_outcomes_and_extra_calls_of_a_route():
+def test_latencies_failures_and_extra_calls_of_a_route():
     route = profile.routes(timeline.read(LINES))["browse"]
     assert route.first_ms == [11.0, 12.0]
     assert route.last_ms == [50.0, 12.0]
-    assert route.reasons == {"parts left out": 1, "no_retry_budget": 1}
+    assert route.reasons == {"parts missing": 1, "no_retry_budget": 1}
     assert route.extras["hedge"] == {"made": 2, "used": 1, "needless": 1}
     assert route.extras["retry"] == {"made": 1}
 
 
-def test_the_text_names_each_route():
+def test_the_text_lists_each_route_and_its_extra_calls():
     shown = profile.text(profile.routes(timeline.read(LINES)))
     assert "browse: 3 requests" in shown
-    assert "calls made once more (hedge): 2, of which brought" in shown
+    assert "extra calls (hedge): 2 made, 1 used, 1 needless" in shown
--- a/hyssoptack/reports/timeline.py
+++ b/hyssoptack/reports/timeline.py
@@ -1,4 +1,4 @@
-"""Tells the story of one request from the logs of several instances."""
+"""Builds the timeline of one request from the logs of several instances."""
 
 import collections.abc
 import dataclasses
@@ -12,7 +12,7 @@
     "stop_asked",
     "upstreams_changed",
 )
-"""Events that say what an instance believed when it served a request."""
+"""Events that show the state of an instance when it served a request."""
 
 _DECODER = msgspec.json.Decoder(dict[str, object])
 
@@ -22,10 +22,10 @@
     """One log line.
 
     Attributes:
-        time_s: When it was written, by the instance's time of day.
-        instance_id: Who wrote it.
-        kind: The event's name.
-        fields: Everything else.
+        time_s: Time of the line, as Unix time of the instance.
+        instance_id: The instance that logged it.
+        kind: Name of the event.
+        fields: All other fields of the line.
     """
 
     time_s: float
@@ -35,7 +35,7 @@
 
 
 def read(lines: collections.abc.Iterable[str]) -> list[Entry]:
-    """Reads log lines; whatever stands before the JSON is left out."""
+    """Parses log lines, ignoring any text before the JSON object."""
     entries: list[Entry] = []
     for line in lines:
         start = line.find("{")
@@ -44,7 +44,7 @@
         try:
             fields = _DECODER.decode(line[start:].encode())
         except msgspec.DecodeError:
-            # A line cut short, or not of ours.
+            # A truncated line, or one of another program.
             continue
         if "message_type" in fields:
             entries.append(_entry(fields))
@@ -62,15 +62,15 @@
 
 
 def for_request(entries: list[Entry], request_id: str) -> list[Entry]:
-    """Returns what concerns a request, in order of time.
+    """Returns the entries relevant to a request, in order of time.
 
     Args:
         entries: All entries, in order of time.
         request_id: The request's id.
 
     Returns:
-        Its own entries, and before them the last one of each kind that changed
-        what the serving instance believed.
+        The request's own entries, and the latest earlier entry of each of
+        `CONTEXT_KINDS` from each instance that served it.
     """
     own = [
         each for each in entries if each.fields.get("request_id") == request_id
@@ -84,19 +84,19 @@
             break
         if each.instance_id in serving and each.kind in CONTEXT_KINDS:
             last[each.instance_id, each.kind] = each
-    story = [*last.values(), *own]
-    return sorted(story, key=lambda each: each.time_s)
+    relevant = [*last.values(), *own]
+    return sorted(relevant, key=lambda each: each.time_s)
 
 
-def text(story: list[Entry]) -> str:
-    """Returns a story for people: times run from its last entry back."""
-    if not story:
-        return "no line of these logs names the request"
-    end_s = story[-1].time_s
+def text(relevant: list[Entry]) -> str:
+    """Formats a timeline as text, with times relative to its last entry."""
+    if not relevant:
+        return "no log line has this request id"
+    end_s = relevant[-1].time_s
     rows = []
-    for each in story:
-        before_ms = (each.time_s - end_s) * 1000
-        rows.append(f"{before_ms:10.1f} ms  {each.instance_id}  {each.kind}")
+    for each in relevant:
+        offset_ms = (each.time_s - end_s) * 1000
+        rows.append(f"{offset_ms:10.1f} ms  {each.instance_id}  {each.kind}")
         rows.extend(_field_rows(each.fields))
     return "\n".join(rows)
 
--- a/hyssoptack/reports/timeline_test.py
+++ b/hyssoptack/reports/timeline_test.py
@@ -1,4 +1,4 @@
-"""Stories of requests from log lines, with or without a prefix."""
+"""Tests of request timelines from log lines with and without a prefix."""
 
 import json
 
@@ -29,14 +29,14 @@
 ]  # fmt: skip
 
 
-def test_a_story_has_the_requests_lines_and_what_was_believed_then():
-    told = timeline.for_request(timeline.read(LINES), "r1")
-    assert [each.kind for each in told] == [
+def test_a_timeline_has_the_requests_lines_and_the_state_at_that_time():
+    entries = timeline.for_request(timeline.read(LINES), "r1")
+    assert [each.kind for each in entries] == [
         "config_in_force",
         "call_extra",
         "request_ended",
     ]
-    assert told[0].fields["revision"] == 3
+    assert entries[0].fields["revision"] == 3
 
 
 def test_the_text_names_instance_time_and_calls():
@@ -45,7 +45,7 @@
     assert "i-1 first +0 90 cancelled" in text
 
 
-def test_an_unknown_request_is_said_so():
-    assert "no line" in timeline.text(
+def test_an_unknown_request_is_reported():
+    assert "no log line" in timeline.text(
         timeline.for_request(timeline.read(LINES), "r9")
     )
--- a/hyssoptack/scripts/__init__.py
+++ b/hyssoptack/scripts/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: thin mains over the library."""
+"""Command-line entry points; the work is done by the library."""
--- a/hyssoptack/scripts/caller.py
+++ b/hyssoptack/scripts/caller.py
@@ -1,4 +1,4 @@
-"""A caller of the front, by urllib3: for trying it from the command line."""
+"""HTTP client of the front, used by the command line."""
 
 import contextlib
 import dataclasses
@@ -12,7 +12,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Result:
-    """What the front answered."""
+    """The front's reply.
+
+    Attributes:
+        status: The status code; 0 if there was no reply.
+        text: The reply's body, indented if it is JSON, or an error text.
+    """
 
     status: int
     text: str
@@ -27,7 +32,7 @@
             method, url, body=json.dumps(body).encode(), headers=headers
         )
     except urllib3.exceptions.HTTPError as error:
-        return Result(status=0, text=f"no answer: {error}")
+        return Result(status=0, text=f"no reply from the front: {error}")
     document = response.data.decode(errors="replace")
     with contextlib.suppress(json.JSONDecodeError):
         parsed = json.loads(document)
@@ -43,10 +48,10 @@
     deadline_ms: int | None,
     urgent: bool,
 ) -> Result:
-    """Sends a search.
+    """Sends a search to the front.
 
     Returns:
-        The answer, indented; status 0 when there was none.
+        The reply; status 0 if there was none.
     """
     body: dict[str, object] = {"text": text, "limit": limit}
     if deadline_ms is not None:
@@ -60,10 +65,10 @@
 def act(
     front: str, service: str, subject: str, request: object, key: str
 ) -> Result:
-    """Sends a non-idempotent request under an idempotency key.
+    """Sends a non-idempotent request with an idempotency key.
 
     Returns:
-        The outcome, indented; status 0 when there was none.
+        The reply; status 0 if there was none.
     """
     headers = {"Content-Type": "application/json", "Idempotency-Key": key}
     url = f"http://{front}/services/{service}/actions"
--- a/hyssoptack/scripts/explain.py
+++ b/hyssoptack/scripts/explain.py
@@ -1,4 +1,4 @@
-"""`hyssoptack explain`: the story of one request from logs."""
+"""`hyssoptack explain`: the timeline of one request from log files."""
 
 import pathlib
 import sys
@@ -12,20 +12,20 @@
 EXIT_USAGE = 2
 
 application = cyclopts.App(
-    name="explain", help="Tell the story of one request from logs."
+    name="explain", help="Show the timeline of one request from log files."
 )
 
 
 @application.default
 def explain(request_id: str, *logs: pathlib.Path) -> int:
-    """Tells the story of one request.
+    """Shows the timeline of one request.
 
     Args:
-        request_id: The id that the caller sent.
+        request_id: The request id that the caller sent.
         logs: Log files of all instances that may have served it.
 
     Returns:
-        The exit code: 1 when no line names the request.
+        The exit code: 1 if no line has the request id.
     """
     lines: list[str] = []
     for path in logs:
@@ -34,6 +34,6 @@
         except OSError as error:
             print(f"{path}: {error.strerror}", file=sys.stderr)
             return EXIT_USAGE
-    told = timeline.for_request(timeline.read(lines), request_id)
-    print(timeline.text(told))
-    return EXIT_OK if told else EXIT_NOT_FOUND
+    entries = timeline.for_request(timeline.read(lines), request_id)
+    print(timeline.text(entries))
+    return EXIT_OK if entries else EXIT_NOT_FOUND
--- a/hyssoptack/scripts/gateway.py
+++ b/hyssoptack/scripts/gateway.py
@@ -1,15 +1,15 @@
 """`python -m hyssoptack.scripts.gateway [SETTINGS]`: runs one gateway.
 
-The main command line offers the same; this one imports nothing that the daemon
-does not need, as a small machine pays for each import at every start.
+A separate module from the main command line, so that it imports only what the
+daemon needs: each import lengthens every start on a small machine.
 """
 
 import os
 import signal
 import sys
 
-# Before all else is imported: a reload asked for while the process starts must
-# not end it. It reads its settings later anyway.
+# Must precede the other imports: a SIGHUP during the start, for a reload, must
+# not terminate the process. The settings are read later anyway.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 from hyssoptack.gateway import earlyport
@@ -23,7 +23,7 @@
 
 
 if __name__ == "__main__":
-    # Callers may wait from here on, for 0.4 s of imports and more.
+    # From here on callers can connect; they wait for 0.4 s of imports and more.
     _CALLERS_PORT = earlyport.open_callers_port(_settings_path())
 else:
     _CALLERS_PORT = None
@@ -46,7 +46,7 @@
             writer.open_stdout(settings.instance_id)
             daemon.run(settings, path, _CALLERS_PORT)
             writer.flush()
-            # Library threads must not hold up the end of a stopped process.
+            # Exits without waiting for the threads of libraries.
             os._exit(0)
         case expression.Result(error=detail):
             print(f"hyssoptack: {detail}", file=sys.stderr)
--- a/hyssoptack/scripts/main.py
+++ b/hyssoptack/scripts/main.py
@@ -1,4 +1,4 @@
-"""The command line: `hyssoptack entry`, `config`, `report` and the others."""
+"""The main command line: `hyssoptack entry`, `config`, `report` and others."""
 
 import json
 import pathlib
@@ -30,15 +30,15 @@
 
 application = cyclopts.App(
     name="hyssoptack",
-    help="A query tier between callers and very many shards.",
+    help="A query tier between callers and a very large number of shards.",
 )
 config_application = cyclopts.App(
-    name="config", help="Check, compare, apply and follow the configuration."
+    name="config", help="Check, compare, apply and track the configuration."
 )
 upstream_application = cyclopts.App(
-    name="upstream", help="What instances see of upstreams."
+    name="upstream", help="Show upstreams as the instances see them."
 )
-instance_application = cyclopts.App(name="instance", help="The instances.")
+instance_application = cyclopts.App(name="instance", help="Show the instances.")
 report_application = cyclopts.App(name="report", help="Reports for operators.")
 for _each in (
     config_application,
@@ -92,7 +92,7 @@
 ) -> instance.PlatformSettings:
     for address in (store_address, members_address):
         if not validation.is_address(address):
-            _fail(f"{address!r} is not IP:port", EXIT_USAGE)
+            _fail(f"invalid address {address!r}: expected IP:port", EXIT_USAGE)
     return instance.PlatformSettings(
         store_address=store_address,
         instance_list_address=members_address,
@@ -125,7 +125,7 @@
         case expression.Result(tag="ok", ok=listing):
             return listing.members
         case expression.Result(error=detail):
-            _fail(f"the instance list can't be read: {detail}")
+            _fail(f"failed to read the instance list: {detail}")
 
 
 def _head(client: store.StoreClient) -> change.Head:
@@ -133,7 +133,7 @@
         case expression.Result(tag="ok", ok=head):
             return head
         case expression.Result(error=unreachable):
-            _fail(f"the store can't be read: {unreachable.detail}")
+            _fail(f"failed to read the store: {unreachable.detail}")
 
 
 def _parts_in_force(
@@ -144,12 +144,12 @@
         case expression.Result(tag="ok", ok=parts):
             return head, parts
         case expression.Result(error=unreachable):
-            _fail(f"the store can't be read: {unreachable.detail}")
+            _fail(f"failed to read the store: {unreachable.detail}")
 
 
 @application.command
 def entry(settings: pathlib.Path) -> None:
-    """Run an entry instance until SIGTERM; a second SIGTERM hurries it.
+    """Run an entry instance until SIGTERM; a second one cuts the drain short.
 
     Args:
         settings: The instance's YAML file.
@@ -164,7 +164,7 @@
 
 @config_application.command(name="check")
 def config_check(file: pathlib.Path, *, as_json: AsJson = False) -> None:
-    """Check a configuration file; prints every error at once.
+    """Check a configuration file and print all of its errors.
 
     Args:
         file: YAML with profiles and services.
@@ -185,12 +185,12 @@
         print(json.dumps(counts))
     else:
         shown = ", ".join(f"{value} {name}" for name, value in counts.items())
-        print(f"{file}: good: {shown}")
+        print(f"{file}: valid: {shown}")
 
 
 @config_application.command(name="diff")
 def config_diff(file: pathlib.Path, *, store_address: StoreAddress) -> None:
-    """Show what a file would change; exit status 1 when it differs.
+    """Show what a file would change; exit status 1 if it differs.
 
     Args:
         file: YAML with profiles and services.
@@ -211,15 +211,15 @@
     on_revision: int | None = None,
     as_json: AsJson = False,
 ) -> None:
-    """Apply a file as the next revision.
+    """Apply a configuration file as the next revision.
 
     Exit status: 0 applied or unchanged, 1 not applied, 2 errors in the file,
-    3 overtaken by another change, 4 not known (see `config history`).
+    3 overtaken by another change, 4 outcome unknown (see `config history`).
 
     Args:
         file: YAML with profiles and services.
-        author: Who applies it.
-        on_revision: Apply only on top of this revision.
+        author: Author of the change, for the history.
+        on_revision: Apply only if this revision is in force.
     """
     parts = _read_file(file)
     outcome = change.apply(_store(store_address), parts, author, on_revision)
@@ -227,17 +227,17 @@
         case change.Applied(revision=number, changed_parts=names):
             text, code = f"applied revision {number}: {', '.join(names)}", 0
         case change.Unchanged(revision=number):
-            text, code = f"unchanged: revision {number} holds this already", 0
+            text, code = f"unchanged: revision {number} is already identical", 0
         case change.Overtaken(by=by, changed_parts=names):
             text = (
                 f"overtaken by revision {by.revision} of {by.author}; "
-                f"yours differs from it in: {', '.join(names) or 'nothing'}"
+                f"your file differs from it in: {', '.join(names) or 'nothing'}"
             )
             code = EXIT_OVERTAKEN
         case change.NotApplied(detail=detail):
             text, code = f"not applied: {detail}", EXIT_FAILED
         case change.Unsettled(change_id=change_id, detail=detail):
-            text = f"not known: look for change {change_id}: {detail}"
+            text = f"outcome unknown: look for change {change_id}: {detail}"
             code = EXIT_UNSETTLED
     if as_json:
         kind = type(outcome).__name__.lower()
@@ -250,9 +250,9 @@
 
 @config_application.command(name="status")
 def config_status(*, members: MembersAddress, as_json: AsJson = False) -> None:
-    """Show which revision each instance has in force, and for how long.
+    """Show the revision in force at each instance, and for how long.
 
-    Exit status 1 when instances differ or do not answer.
+    Exit status 1 if instances differ or do not answer.
     """
     readings = fleet.read(_members(members), "/status")
     revisions = {
@@ -287,7 +287,7 @@
 def config_history(
     *, store_address: StoreAddress, as_json: AsJson = False
 ) -> None:
-    """Show the latest revisions, the newest first."""
+    """Show the latest revisions, newest first."""
     head = _head(_store(store_address))
     trail = head.manifest.trail if head.manifest else ()
     if as_json:
@@ -302,7 +302,7 @@
 
 @upstream_application.command(name="list")
 def upstream_list(*, members: MembersAddress, as_json: AsJson = False) -> None:
-    """Show the state of each upstream as the instances see it."""
+    """Show the state of each upstream as seen by the instances."""
     seen: dict[str, dict[str, str]] = {}
     for each in fleet.read(_members(members), "/status"):
         for upstream in (each.document or {}).get("upstreams", ()):
@@ -321,7 +321,7 @@
 
 @instance_application.command(name="list")
 def instance_list(*, members: MembersAddress, as_json: AsJson = False) -> None:
-    """Show the instances that the platform lists."""
+    """Show the instances in the platform's instance list."""
     listed = _members(members)
     if as_json:
         print(json.dumps(msgspec.to_builtins(listed)))
@@ -352,10 +352,10 @@
     as_json: AsJson = False,
     plot: pathlib.Path | None = None,
 ) -> None:
-    """Show how fast each service uses up what its profile allows.
+    """Show how fast each service consumes its error budget.
 
     Args:
-        plot: Also draw the report into this PNG file.
+        plot: Also plot the report into this PNG file.
     """
     readings = fleet.read(_members(members), "/burn")
     documents = [
@@ -370,7 +370,7 @@
     for each in readings:
         if each.document is None:
             print(
-                f"left out: {each.member.instance_id}: {each.error}",
+                f"no data from {each.member.instance_id}: {each.error}",
                 file=sys.stderr,
             )
     if plot is not None:
@@ -387,12 +387,12 @@
     deadline_ms: int | None = None,
     urgent: bool = False,
 ) -> None:
-    """Send one search and print the answer.
+    """Send one search request and print the answer.
 
     Args:
         service: The service to search.
         text: The words to search for.
-        limit: The most hits.
+        limit: Maximum number of hits.
         deadline_ms: A deadline shorter than the profile's.
         urgent: Send it as an urgent lookup.
     """
@@ -414,9 +414,9 @@
 
     Args:
         service: The service to act on.
-        subject: What to act on, such as a tail number.
+        subject: The object of the action, such as a tail number.
         request: The request as a JSON object.
-        key: The idempotency key; the same key never runs twice.
+        key: The idempotency key; a request with the same key never runs twice.
     """
     try:
         document = json.loads(request)
