--- a/hyssoptack/events/log_test.py
+++ b/hyssoptack/events/log_test.py
@@ -15,11 +15,11 @@
         (int(number), name, meaning)
         for number, name, meaning in _ROW.findall(text)
     }
-    known = {
+    defined = {
         (event.number, event.name.lower(), event.description)
         for event in log.Event
     }
-    assert listed == known
+    assert listed == defined
 
 
 def test_event_numbers_are_unique():
--- a/hyssoptack/peers/gossip.py
+++ b/hyssoptack/peers/gossip.py
@@ -20,11 +20,20 @@
 from hyssoptack.revisions import configuration
 
 MS_PER_S = 1000.0
-FRESH_COUNT = 6
+RECENT_SENDER_COUNT = 6
+"""Most recent senders that a heartbeat passes on to its receiver."""
+
 CONFIG_REQUEST_INTERVAL_MS = 300.0
-TOLD_LIMIT_COUNT = 64
+"""Least time between two requests for the configuration."""
+
+BROADCAST_LIMIT_COUNT = 64
+"""Most peers to which a heartbeat is broadcast."""
+
 PARTNER_COUNT = 12
-REDRAW_MS = 60_000.0
+"""Peers from which the receivers of heartbeats are drawn."""
+
+PARTNER_REDRAW_MS = 60_000.0
+"""Longest time until the partners are drawn again."""
 
 Send = collections.abc.Callable[[str, message.Message], None]
 OnConfig = collections.abc.Callable[[configuration.InForce], None]
@@ -66,7 +75,7 @@
             sender=self._state.own_member(),
             revision=self._config.revision(),
             beat_number=self._beat_number,
-            fresh=self._fresh(),
+            fresh=self._sample_recent_senders(),
         )
         for address in self._targets(settings.fanout_count):
             self._send(address, beat)
@@ -74,7 +83,7 @@
     def broadcast_heartbeat(self) -> None:
         """Sends a heartbeat to many peers, for example when leaving.
 
-        Peers beyond `TOLD_LIMIT_COUNT` learn of it from the instance list.
+        Peers beyond `BROADCAST_LIMIT_COUNT` learn of it from the instance list.
         """
         beat = message.Heartbeat(
             sender=self._state.own_member(),
@@ -82,42 +91,42 @@
             beat_number=self._beat_number,
         )
         addresses = list(self._state.peer_addresses.values())
-        count = min(TOLD_LIMIT_COUNT, len(addresses))
+        count = min(BROADCAST_LIMIT_COUNT, len(addresses))
         for address in self._random.sample(addresses, count):
             self._send(address, beat)
 
     def _targets(self, count: int) -> list[str]:
         """Returns the addresses of a few of this instance's partners.
 
-        Partners are redrawn only every `REDRAW_MS` or less: a link to a new
-        peer costs far more than a message on an open one.
+        Partners are redrawn only now and then, see `PARTNER_REDRAW_MS`: a link
+        to a new peer costs far more than a message on an open one.
         """
         now_ms = clock.now_ms()
         addresses = self._state.peer_addresses
-        known = [each for each in self._partners if each in addresses]
-        if now_ms >= self._next_redraw_ms or len(known) < count:
+        partners = [each for each in self._partners if each in addresses]
+        if now_ms >= self._next_redraw_ms or len(partners) < count:
             own = self._state.settings.instance_id
             names = [name for name in addresses if name != own]
             drawn = min(PARTNER_COUNT, len(names))
-            known = self._partners = self._random.sample(names, drawn)
-            self._next_redraw_ms = now_ms + REDRAW_MS * self._random.uniform(
-                0.5, 1
+            partners = self._partners = self._random.sample(names, drawn)
+            self._next_redraw_ms = (
+                now_ms + PARTNER_REDRAW_MS * self._random.uniform(0.5, 1)
             )
-        if not known:
+        if not partners:
             return list(self._state.settings.peers.seed_addresses)[:count]
-        sample = self._random.sample(known, min(count, len(known)))
+        sample = self._random.sample(partners, min(count, len(partners)))
         return [addresses[name] for name in sample]
 
-    def _fresh(self) -> tuple[member.Member, ...]:
+    def _sample_recent_senders(self) -> tuple[member.Member, ...]:
         """Returns a random sample of recent senders."""
         recent = {each.incarnation: each for each in self._state.recent_senders}
         senders = list(recent.values())
         return tuple(
-            self._random.sample(senders, min(FRESH_COUNT, len(senders)))
+            self._random.sample(senders, min(RECENT_SENDER_COUNT, len(senders)))
         )
 
     def on_heartbeat(self, beat: message.Heartbeat) -> None:
-        """Records a heartbeat; requests the configuration if its is newer."""
+        """Records a heartbeat; requests the configuration if it is newer."""
         now_ms = clock.now_ms()
         self._state.record_message(beat.sender, now_ms)
         for each in beat.fresh:
@@ -136,8 +145,8 @@
             self._send(self._address_of(beat.sender), wanted)
 
     def _address_of(self, sender: member.Member) -> str:
-        known = self._state.peer_address(sender.instance_id)
-        return known or sender.peer_address
+        address = self._state.peer_address(sender.instance_id)
+        return address or sender.peer_address
 
     def on_config_wanted(self, wanted: message.ConfigWanted) -> None:
         """Sends a peer the parts of the configuration that it lacks."""
@@ -153,6 +162,6 @@
 
     def on_config_offer(self, offer: message.ConfigOffer) -> None:
         """Merges a configuration offered by a peer."""
-        taken = self._config.merge_offer(offer.manifest_text, offer.parts)
-        if isinstance(taken, configuration.InForce):
-            self._on_config(taken)
+        applied = self._config.merge_offer(offer.manifest_text, offer.parts)
+        if isinstance(applied, configuration.InForce):
+            self._on_config(applied)
--- a/hyssoptack/peers/link.py
+++ b/hyssoptack/peers/link.py
@@ -19,12 +19,17 @@
 from hyssoptack.peers import codec
 
 RECEIVE_WAIT_MS = 200
+"""Longest wait of the receiving thread before it checks for a stop."""
+
 SEND_BUFFER_COUNT = 128
 RECEIVE_BUFFER_COUNT = 1024
 DIAL_GRACE_MS = 1_000.0
+"""Time after a dial during which messages are queued without a connection."""
+
 RECONNECT_MIN_MS = 50
 RECONNECT_MAX_MS = 1_000
 BATCH_LIMIT_COUNT = 64
+"""Most messages taken from the queue at once, beside the first."""
 
 REDIAL_MIN_MS = 150.0
 """Time before a connection attempt may be replaced by a new one: the attempt
--- a/hyssoptack/platform/ablation.py
+++ b/hyssoptack/platform/ablation.py
@@ -103,11 +103,11 @@
         changes = []
         for site, day in days:
             each = worths[name, site, day]
-            whole = worths["", site, day].worth
-            if each.worth is None or whole is None:
+            full_worth = worths["", site, day].worth
+            if each.worth is None or full_worth is None:
                 cells.append("not played")
                 continue
-            change = each.worth - whole
+            change = each.worth - full_worth
             changes.append(change if name else each.worth)
             text = f"{change:+.3f}" if name else f"{each.worth:.3f}"
             cells.append(f"{text} {each.broken}".strip())
--- a/hyssoptack/platform/headers.py
+++ b/hyssoptack/platform/headers.py
@@ -119,7 +119,7 @@
     """Classifies the outcome of an upstream call.
 
     Args:
-        seen: The outcome as the connection reports it.
+        seen: The outcome reported by the connection.
         is_part: Whether the reply is meant as part of a merged answer.
     """
     match seen:
--- a/hyssoptack/platform/keyvalue.py
+++ b/hyssoptack/platform/keyvalue.py
@@ -25,7 +25,7 @@
 
 CALL_TIMEOUT_MS = 1_000.0
 """Timeout of one call. The store answers in 4 ms, and in some 200 ms when slow;
-a connection without an answer after a second is taken for dead."""
+a connection without an answer after a second is considered dead."""
 
 WATCH_MARGIN_MS = 700.0
 """Added to the wait of a watch to get its timeout, for the same reasons."""
@@ -37,6 +37,8 @@
 _ERA = b"store-era"
 
 CONNECTION_LIMIT_COUNT = 6
+"""Most connections to the store."""
+
 PAGE_LIMIT_COUNT = 400
 """Most pages of one range read: 200,000 items, far more than are stored."""
 
--- a/hyssoptack/reports/burn.py
+++ b/hyssoptack/reports/burn.py
@@ -75,10 +75,10 @@
     total = sum(latency.values())
     if not total:
         return 0.0
-    seen = 0
+    count = 0
     for index in sorted(latency):
-        seen += latency[index]
-        if seen >= ratio * total:
+        count += latency[index]
+        if count >= ratio * total:
             last = len(burncounts.LATENCY_BOUNDS_MS) - 1
             return float(burncounts.LATENCY_BOUNDS_MS[min(index, last)])
     return float(burncounts.LATENCY_BOUNDS_MS[-1])
@@ -124,10 +124,10 @@
     """Returns the report's rows, ordered by service and window."""
     result = []
     for service in sorted(totals):
-        known = current.services.get(service)
-        if known is None:
+        service_config = current.services.get(service)
+        if service_config is None:
             continue
-        profile = current.profiles[known.profile]
+        profile = current.profiles[service_config.profile]
         for window in sorted(totals[service], key=float):
             result.append(
                 _row(service, profile, window, totals[service][window])
--- a/hyssoptack/reports/margins.py
+++ b/hyssoptack/reports/margins.py
@@ -76,20 +76,20 @@
         for each in entries
         if each.kind == "query_back"
     }
-    seen: dict[str, dict[str, dict[str, set[str]]]] = {}
+    calls_by_request: dict[str, dict[str, dict[str, set[str]]]] = {}
     for each in entries:
         if each.kind != "request_ended":
             continue
-        parts = seen.setdefault(str(each.fields["request_id"]), {})
+        parts = calls_by_request.setdefault(str(each.fields["request_id"]), {})
         for call in calls.parse(each):
             service = services.get(call.upstream_id, call.upstream_id)
             if call.sent:
                 upstreams = parts.setdefault(service, {})
-                deciders = upstreams.setdefault(call.upstream_id, set())
-                deciders.add(each.instance_id)
+                callers = upstreams.setdefault(call.upstream_id, set())
+                callers.add(each.instance_id)
     result = [
         _widest(request_id, parts, request_id in taken_back)
-        for request_id, parts in seen.items()
+        for request_id, parts in calls_by_request.items()
         if parts
     ]
     return sorted(result, key=lambda each: -each.upstream_count)
--- a/hyssoptack/scripts/main.py
+++ b/hyssoptack/scripts/main.py
@@ -302,16 +302,16 @@
 
 @upstream_application.command(name="list")
 def upstream_list(*, members: MembersAddress, as_json: AsJson = False) -> None:
-    """Show the state of each upstream as seen by the instances."""
-    seen: dict[str, dict[str, str]] = {}
+    """Show the state of each upstream as the instances see it."""
+    states_by_upstream: dict[str, dict[str, str]] = {}
     for each in fleet.read(_members(members), "/status"):
         for upstream in (each.document or {}).get("upstreams", ()):
-            states = seen.setdefault(upstream["upstream_id"], {})
+            states = states_by_upstream.setdefault(upstream["upstream_id"], {})
             states[each.member.instance_id] = upstream["state"]
     if as_json:
-        print(json.dumps(seen))
+        print(json.dumps(states_by_upstream))
         return
-    for upstream_id, states in sorted(seen.items()):
+    for upstream_id, states in sorted(states_by_upstream.items()):
         counts: dict[str, int] = {}
         for state in states.values():
             counts[state] = counts.get(state, 0) + 1
