--- a/hyssoptack/events/log.py
+++ b/hyssoptack/events/log.py
@@ -46,7 +46,7 @@
     )
     THAWED = (
         1005,
-        "The process was paused for too long and drops its shares.",
+        "The process was paused for too long; it gives up its owned upstreams.",
     )
     CONFIG_IN_FORCE = (
         2001,
--- a/hyssoptack/peers/link_test.py
+++ b/hyssoptack/peers/link_test.py
@@ -41,7 +41,7 @@
 
 
 def test_a_peer_dialled_before_its_start_is_redialled_at_once():
-    # After a power loss, instances with wide links start own_links. Without the
+    # After a power loss, instances with wide links start first. Without the
     # redial their answers to the others wait up to a second for the dialer's
     # next attempt.
     async def test():
--- a/hyssoptack/scripts/gateway.py
+++ b/hyssoptack/scripts/gateway.py
@@ -23,7 +23,7 @@
 
 
 if __name__ == "__main__":
-    # From here on callers can connect; they wait for 0.4 s of imports and more.
+    # From here on callers can connect; imports take 0.4 s and more.
     _CALLERS_PORT = earlyport.open_callers_port(_settings_path())
 else:
     _CALLERS_PORT = None
--- a/hyssoptack/settings/gateway.py
+++ b/hyssoptack/settings/gateway.py
@@ -49,10 +49,10 @@
         store_address: Address of the platform's store.
         lease_min_ms: The shortest lease that the store grants.
         lease_ms: Duration of the lease under which this instance is listed.
-            During network cuts shorter than this it stays listed; a dead one
-            costs its neighbours a few messages until the lease expires. With
-            195 instances and a lease of 10 s, renewals are a sixth of all
-            calls to the store.
+            During network cuts shorter than this it stays listed. A crashed
+            instance costs its neighbours a few messages until its lease
+            expires. With 195 instances and a lease of 10 s, renewals are a
+            sixth of all calls to the store.
         grace_ms: Time from a stop signal to the kill.
         leaving_bound_ms: Time after which an upstream that has announced that
             it leaves must get no more requests.
