--- a/hyssoptack/gateway/budgetshare.py
+++ b/hyssoptack/gateway/budgetshare.py
@@ -1,4 +1,4 @@
-"""One instance's part of the extra calls that all may make together."""
+"""Computes an instance's share of the site-wide budget of extra calls."""
 
 from hyssoptack.gateway import derivedsettings
 from hyssoptack.policy import readerelection
@@ -6,33 +6,33 @@
 from hyssoptack.settings import gateway
 
 MIN_INSTANCE_COUNT = 12
-"""An instance takes no more of the budget's slack than if there were so many:
-one whose view is small may be cut off from the others."""
+"""Minimum number of instances by which the budget's slack is divided. An
+instance that knows of fewer may be cut off from the others."""
 
 USED_SLACK_RATIO = 0.9
-"""Part of the slack that is used at all: calls arrive later than they are paid
-for, so that a window may hold some of the one before."""
+"""Part of the slack that is used. Calls arrive later than they are charged to
+the budget, so that a window may hold some calls of the one before."""
 
 LINK_WEIGHTED_RATIO = 0.5
-"""Part of the slack for calls of queries that goes by width of links."""
+"""Part of the slack for gather calls that is shared out by link bandwidth."""
 
 USED_EXTRA_RATIO = 0.9
-"""Part of the budget's ratio that is used: the instances' fullest windows
-differ (`policy.windowbudget`)."""
+"""Part of the budget's ratio that is used, as the instances' fullest windows
+are at different times (`policy.windowbudget`)."""
 
 
 def even_share(
     shared: gateway.BudgetSettings, known_count: int
 ) -> windowbudget.BudgetShare:
-    """Returns an instance's part where each has as much.
+    """Returns an instance's share if all instances have equal shares.
 
     Args:
-        shared: What all have together.
-        known_count: Instances that are known; 0 before any list of them, when
-            there may be any number.
+        shared: The budget of all instances together.
+        known_count: Number of known instances; 0 before the first list of
+            instances, when there may be any number.
     """
-    instances_count = max(MIN_INSTANCE_COUNT, known_count)
-    return _share(shared, 1.0 / instances_count if known_count else 0.0)
+    instance_count = max(MIN_INSTANCE_COUNT, known_count)
+    return _share(shared, 1.0 / instance_count if known_count else 0.0)
 
 
 def gather_share(
@@ -41,42 +41,52 @@
     domain_count: int,
     link_ratio: float,
 ) -> windowbudget.BudgetShare:
-    """Returns an instance's part for calls of queries.
+    """Returns an instance's share for the calls of gathered queries.
 
-    Queries are handed to those with wide links, and so is half of the slack,
-    as much in each failure domain. All others need theirs where they have to
-    run what they have handed over.
+    Queries are delegated to instances with high link bandwidth. So half of the
+    slack is shared out by bandwidth, with equal parts for all failure domains.
+    The other instances need their share when they have to run a delegated
+    query themselves.
 
     Args:
-        shared: What all have together.
-        known_count: Instances that are known.
-        domain_count: Failure domains.
-        link_ratio: The instance's link over all of its failure domain.
+        shared: The budget of all instances together.
+        known_count: Number of known instances.
+        domain_count: Number of failure domains.
+        link_ratio: The instance's bandwidth as a part of the total of its
+            failure domain.
     """
     even_ratio = 1.0 / max(MIN_INSTANCE_COUNT, known_count)
-    wide_ratio = min(link_ratio / domain_count, 1.0 / MIN_INSTANCE_COUNT)
+    weighted_ratio = min(link_ratio / domain_count, 1.0 / MIN_INSTANCE_COUNT)
     return _share(
         shared,
         (1.0 - LINK_WEIGHTED_RATIO) * even_ratio
-        + LINK_WEIGHTED_RATIO * wide_ratio,
+        + LINK_WEIGHTED_RATIO * weighted_ratio,
     )
 
 
 def update_shares(
-    book: windowbudget.WindowBudget,
+    budget: windowbudget.WindowBudget,
     settings: gateway.GatewaySettings,
-    readers: readerelection.ReaderElection,
+    reader_election: readerelection.ReaderElection,
 ) -> None:
-    """Gives an instance its parts, from the instances that it knows of."""
-    even = even_share(settings.budget, readers.peak_instance_count)
-    book.share = book.gather_share = even
+    """Updates an instance's shares from the instances that it knows of.
+
+    Args:
+        budget: The instance's budget, which gets the shares.
+        settings: The instance's settings.
+        reader_election: The election, which counts the known instances.
+    """
+    equal_share = even_share(
+        settings.budget, reader_election.peak_instance_count
+    )
+    budget.share = budget.gather_share = equal_share
     own_mbps = derivedsettings.delegation_link_mbps(settings)
-    if own_mbps and readers.peak_neighbour_mbps:
-        book.gather_share = gather_share(
+    if own_mbps and reader_election.peak_neighbour_mbps:
+        budget.gather_share = gather_share(
             settings.budget,
-            readers.peak_instance_count,
+            reader_election.peak_instance_count,
             len(settings.failure_domains),
-            own_mbps / (own_mbps + readers.peak_neighbour_mbps),
+            own_mbps / (own_mbps + reader_election.peak_neighbour_mbps),
         )
 
 
--- a/hyssoptack/gateway/daemon.py
+++ b/hyssoptack/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""The gateway process: opens ports, keeps beliefs, serves, stops cleanly."""
+"""The gateway process: opens its ports, serves requests and stops cleanly."""
 
 import asyncio
 import collections.abc
@@ -60,31 +60,32 @@
         "readiness_address",
     )
 )
-"""Settings that a running instance can't take over."""
+"""Settings that take effect only at a restart."""
 
-TURN_AWAY_MS = 2_600.0
-"""From a stop signal until idle connections are closed: the balancer takes two
-questions, a second apart, to see that an instance is not ready."""
+IDLE_CLOSE_DELAY_MS = 2_600.0
+"""Time from a stop signal until idle connections are closed: the balancer needs
+two probes, a second apart, to see that an instance is not ready."""
 
-END_MARGIN_MS = 400.0
-"""Before the kill, the process ends by itself."""
+KILL_MARGIN_MS = 400.0
+"""Time before the platform's kill at which the process ends by itself."""
 
 DRAIN_CHECK_MS = 50.0
+"""Pause between two checks for unfinished work while the process drains."""
 
 SETTINGS_CHECK_S = 2.0
-"""How often the settings file is looked at: it may change without a signal, and
-nothing in it is needed sooner."""
+"""How often the settings file is checked for changes: it may change without a
+signal, and no setting is needed sooner."""
 
 
 class Gateway:
-    """One running gateway."""
+    """One gateway instance: its servers, peer links, state and tasks."""
 
     def __init__(self, settings: gateway.GatewaySettings, path: str = ""):
-        """Makes a gateway.
+        """Creates a gateway.
 
         Args:
-            settings: Its settings.
-            path: The file that they came from; empty where there is none.
+            settings: The instance's settings.
+            path: Path of the settings file; empty if there is none.
         """
         self._settings = settings
         self._path = path
@@ -111,7 +112,7 @@
         self._extra_calls = windowbudget.WindowBudget(
             budgetshare.even_share(settings.budget, 0), clock.now_ms()
         )
-        self._reach = partitiondetector.PartitionDetector()
+        self._partition_detector = partitiondetector.PartitionDetector()
         self._suspicions = quarantine.SuspectRegistry(
             random.Random(), settings.mechanisms.suspicion
         )
@@ -121,7 +122,7 @@
         self._metrics = metrics.Metrics()
         self._serving = requesthandler.RequestHandler(
             self.view,
-            self._knowledge(),
+            self._plan_context(),
             settings.failure_domain,
             self._metrics,
         )
@@ -129,12 +130,16 @@
             handler=self._serving.handle,
             on_refused=requesthandler.log_unreadable_request,
         )
-        shown = statuspages.StatusPages(
-            self._metrics, self._is_ready, self._facts
+        status_pages = statuspages.StatusPages(
+            self._metrics, self._is_ready, self._gauge_values
         )
-        self._probes = httpserver.Server(handler=shown.answer_readiness)
-        self._readings = httpserver.Server(handler=shown.answer_metrics)
-        # Connections to the store outlast any change of upstreams.
+        self._readiness_server = httpserver.Server(
+            handler=status_pages.answer_readiness
+        )
+        self._metrics_server = httpserver.Server(
+            handler=status_pages.answer_metrics
+        )
+        # Changes to the list of upstreams don't close connections to the store.
         self._store_pools = pool.Pools(headers.REQUEST_ID)
         self._store = keyvalue.Client(settings.store_address, self._store_pools)
         self._peering = peering.Peering(
@@ -142,7 +147,7 @@
             self.view,
             self.reader_election,
             self._on_instances,
-            self._reach.on_neighbour_suspicion,
+            self._partition_detector.on_neighbour_suspicion,
         )
         self._delegating = querydelegation.Delegator(
             delegation.DelegateSelector(
@@ -169,7 +174,7 @@
             self._delegating.messages_may_be_stale,
             self._suspicions,
         )
-        self._suspecting = quarantinesync.QuarantineSync(
+        self._quarantine_sync = quarantinesync.QuarantineSync(
             self._suspicions,
             derivedsettings.own_peer(settings),
             self.reader_election.neighbours,
@@ -178,33 +183,33 @@
             self._serving.on_quarantined,
             self._metrics,
         )
-        self._blocklist = quarantinestore.QuarantineStore(
+        self._quarantine_store = quarantinestore.QuarantineStore(
             self._suspicions, self._store, storeformat.BLOCKED_PREFIX
         )
-        self._pools.on_upstream_exit = self._suspecting.on_upstream_exit
-        self._peering.on_message = self._on_query
+        self._pools.on_upstream_exit = self._quarantine_sync.on_upstream_exit
+        self._peering.on_message = self._on_peer_message
         self._peering.on_undelivered = self._on_undelivered
         self._peering.on_link_lost = self._on_link_lost
-        self._reaching = partitionmonitor.PartitionMonitor(
+        self._partition_monitor = partitionmonitor.PartitionMonitor(
             self.view,
-            self._reach,
+            self._partition_detector,
             settings.failure_domain,
             lambda: self._settings.store_address,
-            self._on_reach,
+            self._on_partition_change,
         )
         self._stop = asyncio.Event()
         self._ports = listeners.Listeners()
 
-    def _knowledge(self) -> plancontext.PlanContext:
+    def _plan_context(self) -> plancontext.PlanContext:
         return plancontext.PlanContext(
             load_balancer=self._placing,
             extra_call_budget=self._extra_calls,
-            partition_detector=self._reach,
+            partition_detector=self._partition_detector,
             mechanisms=self._settings.mechanisms,
             suspicions=self._suspicions,
         )
 
-    def _on_query(self, each: gatewaymessage.Message) -> None:
+    def _on_peer_message(self, each: gatewaymessage.Message) -> None:
         ready = self.view.is_complete and not self._stop.is_set()
         match each:
             case gatewaymessage.DelegationRequest():
@@ -219,7 +224,7 @@
                 gatewaymessage.SuspectsNotice()
                 | gatewaymessage.SuspectsRequest()
             ):
-                self._suspecting.on_message(each)
+                self._quarantine_sync.on_message(each)
             case _:
                 self._delegating.on_message(each)
 
@@ -234,18 +239,18 @@
         self._delegating.on_link_lost(address)
         self._relaying.on_link_lost(address)
 
-    def _on_configuration(self, offered: traffic.Configuration) -> None:
-        self._callers.limits = offered.limits
-        self._warmups.set_services(offered.services)
-        self._extra_calls.gathered_services = offered.shard_services
+    def _on_configuration(self, configuration: traffic.Configuration) -> None:
+        self._callers.limits = configuration.limits
+        self._warmups.set_services(configuration.services)
+        self._extra_calls.gathered_services = configuration.shard_services
 
-    def _on_reach(self) -> None:
-        """Lets callers find another instance while this one is cut off."""
-        away = self._reach.leaves_rotation
+    def _on_partition_change(self) -> None:
+        """Takes the instance out of rotation during a network partition."""
+        away = self._partition_detector.leaves_rotation
         self._callers.closing = away or self._stop.is_set()
-        if not self._reach.is_partitioned:
+        if not self._partition_detector.is_partitioned:
             return
-        if self._reach.detected_locally:
+        if self._partition_detector.detected_locally:
             self._peering.publish_partition()
         self._serving.on_partition()
 
@@ -253,10 +258,10 @@
         return (
             self.view.is_complete
             and not self._stop.is_set()
-            and not self._reach.leaves_rotation
+            and not self._partition_detector.leaves_rotation
         )
 
-    def _facts(self, now_ms: float) -> dict[str, float]:
+    def _gauge_values(self, now_ms: float) -> dict[str, float]:
         return {
             "version": self.view.version,
             "version_age_ms": now_ms - self.view.config_applied_ms,
@@ -272,10 +277,10 @@
         }
 
     async def run(self, callers_port: socket.socket | None = None) -> None:
-        """Serves until a stop signal, then finishes what is in progress.
+        """Serves until a stop signal, then finishes the requests in progress.
 
         Args:
-            callers_port: The callers' port, where it is open already.
+            callers_port: The callers' port, if it is open already.
         """
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(exceptionlog.log_callback_exception)
@@ -286,10 +291,12 @@
             callers_port = earlyport.listening_socket(
                 self._settings.callers_address
             )
-        await self._ports.listen(self._settings.readiness_address, self._probes)
+        await self._ports.listen(
+            self._settings.readiness_address, self._readiness_server
+        )
         if self._settings.metrics_address:
             await self._ports.listen(
-                self._settings.metrics_address, self._readings
+                self._settings.metrics_address, self._metrics_server
             )
         log.write(
             log.Event.STARTED,
@@ -305,67 +312,67 @@
 
     async def _serve_until_stopped(self, callers_port: socket.socket) -> None:
         loop = asyncio.get_running_loop()
-        follower = storewatch.StoreWatcher(
+        watcher = storewatch.StoreWatcher(
             self._settings,
             self.view,
             self._store,
             self._peering,
             self._on_instances,
-            self._blocklist.reconcile,
+            self._quarantine_store.reconcile,
         )
         tasks = [
             loop.create_task(each)
             for each in (
-                follower.poll_upstreams(),
-                follower.watch_configuration(),
-                follower.poll_instances(),
-                follower.maintain_registration(),
-                self._follow_settings(),
+                watcher.poll_upstreams(),
+                watcher.watch_configuration(),
+                watcher.poll_instances(),
+                watcher.maintain_registration(),
+                self._watch_settings_file(),
                 self._delegating.watch_stalls(),
                 self._callers.sweep(),
-                self._probes.sweep(),
+                self._readiness_server.sweep(),
                 self._pools.sweep(),
                 self._store_pools.sweep(),
             )
         ]
-        tasks.extend(loop.create_task(each) for each in self._watches())
+        tasks.extend(loop.create_task(each) for each in self._optional_tasks())
         await self._ports.accept_callers(callers_port, self._callers, self.view)
         stopped = loop.create_task(self._stop.wait())
         done, _ = await asyncio.wait(
             (*tasks, stopped), return_when=asyncio.FIRST_COMPLETED
         )
         for each in done:
-            # A task that fails stops the process; none ends by itself.
+            # A failed task stops the process; no task returns by itself.
             each.result()
 
-    def _watches(self) -> list[collections.abc.Coroutine]:
-        """Returns the tasks of mechanisms that can be switched off."""
-        watches = []
+    def _optional_tasks(self) -> list[collections.abc.Coroutine]:
+        """Returns the tasks of the mechanisms that are switched on."""
+        tasks = []
         if self._settings.mechanisms.told_calls:
-            watches.append(self._peering.publish_calls_periodically())
+            tasks.append(self._peering.publish_calls_periodically())
         if self._settings.mechanisms.suspicion:
-            watches.append(self._suspecting.share_periodically())
+            tasks.append(self._quarantine_sync.share_periodically())
         if self._settings.mechanisms.cut_belief:
-            watches.append(self._reaching.watch())
-        return watches
+            tasks.append(self._partition_monitor.watch())
+        return tasks
 
     def stop(self) -> None:
-        """Begins a planned stop."""
+        """Begins a graceful shutdown."""
         log.write(log.Event.STOP_ASKED, running=len(self._serving.active_runs))
         self._stop.set()
 
-    async def _follow_settings(self) -> None:
-        """Reads the settings file again when it has changed."""
-        changed_ns = gateway.modified_ns(self._path)
+    async def _watch_settings_file(self) -> None:
+        """Reloads the settings file when it has changed."""
+        read_ns = gateway.modified_ns(self._path)
         while True:
             await asyncio.sleep(SETTINGS_CHECK_S)
             seen_ns = gateway.modified_ns(self._path)
-            if seen_ns != changed_ns:
-                changed_ns = seen_ns
+            if seen_ns != read_ns:
+                read_ns = seen_ns
                 self.reload()
 
     def reload(self) -> None:
-        """Reads the settings file again; a bad one changes nothing."""
+        """Reloads the settings file; an invalid file changes nothing."""
         if not self._path:
             return
         match gateway.load(self._path):
@@ -381,9 +388,9 @@
             if getattr(settings, field.name)
             != getattr(self._settings, field.name)
         ]
-        # Ports stay as they were opened; they are the platform's to keep.
-        waiting = [name for name in changed if name in RESTART_FIELDS]
-        log.write(log.Event.RELOADED, changed=changed, at_restart=waiting)
+        # Open ports don't change: the platform assigns them.
+        restart_names = [name for name in changed if name in RESTART_FIELDS]
+        log.write(log.Event.RELOADED, changed=changed, at_restart=restart_names)
         self._settings = settings
         self._store.set_address(settings.store_address)
         self.reader_election.read_timings = readerelection.read_timings(
@@ -404,7 +411,11 @@
         )
 
     def _on_instances(self, far_gatherers: tuple[member.Peer, ...]) -> None:
-        """Takes a new list of instances: shares go by their number."""
+        """Updates everything that depends on the list of instances.
+
+        Args:
+            far_gatherers: Instances of other failure domains that may gather.
+        """
         self._delegating.selector.install(self.reader_election.neighbours())
         self._relaying.selector.install(far_gatherers)
         self._warmups.update_instances(
@@ -422,16 +433,16 @@
         )
 
     def _has_work(self) -> bool:
-        """Whether queries of neighbours run here, or calls of their queries."""
+        """Returns whether requests, or calls for other instances, run here."""
         return bool(self._serving.active_runs or self._gathering.active_gathers)
 
     async def _finish(self) -> None:
-        """Turns callers away, finishes what is in progress, and ends."""
+        """Closes connections to callers, finishes the work and closes ports."""
         started_ms = clock.now_ms()
         self._callers.closing = True
-        end_ms = started_ms + self._settings.grace_ms - END_MARGIN_MS
-        turn_ms = min(started_ms + TURN_AWAY_MS, end_ms)
-        await asyncio.sleep((turn_ms - clock.now_ms()) / message.MS_PER_S)
+        end_ms = started_ms + self._settings.grace_ms - KILL_MARGIN_MS
+        idle_close_ms = min(started_ms + IDLE_CLOSE_DELAY_MS, end_ms)
+        await asyncio.sleep((idle_close_ms - clock.now_ms()) / message.MS_PER_S)
         while clock.now_ms() < end_ms:
             self._callers.close_idle()
             if not self._callers.connections and not self._has_work():
@@ -453,9 +464,9 @@
     """Runs a gateway until it is stopped.
 
     Args:
-        settings: Its settings.
-        path: The file that they came from.
-        callers_port: The callers' port, where it is open already.
+        settings: The instance's settings.
+        path: Path of the settings file.
+        callers_port: The callers' port, if it is open already.
     """
 
     async def main() -> None:
--- a/hyssoptack/gateway/evacuation_test.py
+++ b/hyssoptack/gateway/evacuation_test.py
@@ -1,4 +1,4 @@
-"""Operators evacuate a failure domain: its upstreams get nothing more."""
+"""Upstreams of a failure domain that operators evacuate get no requests."""
 
 import asyncio
 import dataclasses
@@ -9,11 +9,11 @@
 from hyssoptack.platform import storeformat
 
 KEY = "op/evacuate/south"
-HEARD_TIMEOUT_S = 5.0
+EVACUATION_TIMEOUT_S = 5.0
 
 
-async def _domains(site: harness.Site) -> None:
-    """Two shards with upstreams in both domains, one in the south only."""
+async def _add_domains(site: harness.Site) -> None:
+    """Adds two shards with upstreams in both domains, one only in the south."""
     for name, service, zone in (
         ("n0", "s0", "north"),
         ("s0", "s0", "south"),
@@ -33,7 +33,7 @@
     )
 
 
-def _southern_heads(site: harness.Site) -> int:
+def _south_request_count(site: harness.Site) -> int:
     return sum(
         len(each.request_heads)
         for name, each in site.services.items()
@@ -41,9 +41,9 @@
     )
 
 
-async def _heard(site: harness.Site, domains: set[str]) -> None:
-    """Waits until all gateways know what is evacuated."""
-    async with asyncio.timeout(HEARD_TIMEOUT_S):
+async def _wait_evacuated(site: harness.Site, domains: set[str]) -> None:
+    """Waits until all gateways know the evacuated domains."""
+    async with asyncio.timeout(EVACUATION_TIMEOUT_S):
         while any(
             each.view.evacuations.evacuated_domains(0.0) != domains
             for each in site.gateways.values()
@@ -51,31 +51,31 @@
             await asyncio.sleep(0.02)
 
 
-def test_upstreams_of_an_evacuated_domain_get_no_request():
+def test_upstreams_of_an_evacuated_domain_get_no_requests():
     async def test():
         async with harness.Site() as site:
-            await _domains(site)
+            await _add_domains(site)
             await site.start()
             site.store.put(KEY, b"{}")
-            await _heard(site, {"south"})
-            before = _southern_heads(site)
+            await _wait_evacuated(site, {"south"})
+            before = _south_request_count(site)
             for index in range(12):
                 got = await site.get("/most/", f"a{index}")
                 assert got.status == 200
                 assert got.headers["x-missing-parts"] == "1"
                 assert (await site.get("/one/x", f"b{index}")).status == 200
-            assert _southern_heads(site) == before
+            assert _south_request_count(site) == before
 
     asyncio.run(test())
 
 
-def test_what_only_an_evacuated_domain_serves_is_refused_at_once():
+def test_requests_only_an_evacuated_domain_serves_are_refused_at_once():
     async def test():
         async with harness.Site() as site:
-            await _domains(site)
+            await _add_domains(site)
             await site.start()
             site.store.put(KEY, b"")
-            await _heard(site, {"south"})
+            await _wait_evacuated(site, {"south"})
             started = asyncio.get_running_loop().time()
             got = await site.get("/all/", "r1")
             assert asyncio.get_running_loop().time() - started < 0.1
@@ -86,56 +86,56 @@
     asyncio.run(test())
 
 
-def test_an_evacuation_that_is_taken_back_ends():
+def test_a_removed_evacuation_ends():
     async def test():
         async with harness.Site() as site:
-            await _domains(site)
+            await _add_domains(site)
             site.store.put(KEY, b"{}")
             await site.start()
-            await _heard(site, {"south"})
+            await _wait_evacuated(site, {"south"})
             assert (await site.get("/all/", "r1")).status == 503
             site.store.remove(KEY)
-            await _heard(site, set())
+            await _wait_evacuated(site, set())
             assert (await site.get("/all/", "r2")).status == 200
 
     asyncio.run(test())
 
 
-def test_an_evacuation_written_while_the_store_forgets_is_heard():
+def test_an_evacuation_is_found_after_the_store_compacted_its_events():
     async def test():
         async with harness.Site() as site:
-            await _domains(site)
+            await _add_domains(site)
             await site.start()
             site.store.faults.silent = True
             site.store.put(KEY, b"{}")
             await asyncio.sleep(1.0)
             site.store.faults.silent = False
             site.store.faults.compacted = True
-            await _heard(site, {"south"})
+            await _wait_evacuated(site, {"south"})
 
     asyncio.run(test())
 
 
-def test_neighbours_hear_of_an_evacuation_from_their_reader():
+def test_neighbours_get_an_evacuation_from_their_reader():
     async def test():
         async with harness.Site() as site:
-            await _domains(site)
+            await _add_domains(site)
             for name in ("g-1", "g-2", "g-3"):
                 await site.start(name)
             await asyncio.sleep(2.0)
             site.store.put(KEY, b"{}")
-            await _heard(site, {"south"})
+            await _wait_evacuated(site, {"south"})
 
     asyncio.run(test())
 
 
-def test_a_request_that_waits_for_a_connection_leaves_an_evacuated_domain():
+def test_a_request_waiting_for_a_connection_leaves_an_evacuated_domain():
     async def test():
         async with harness.Site() as site:
-            await _domains(site)
+            await _add_domains(site)
             await site.start()
             gateway = site.gateways["gateway-1"]
-            # All requests go south, over one connection at a time.
+            # Send all requests to the south, over one connection at a time.
             gateway.view.load_balancer.settings = dataclasses.replace(
                 gateway.view.load_balancer.settings, failure_domain="south"
             )
@@ -152,7 +152,7 @@
             ]
             await asyncio.sleep(0.1)
             site.store.put(KEY, b"{}")
-            await _heard(site, {"south"})
+            await _wait_evacuated(site, {"south"})
             assert [each.status for each in await asyncio.gather(*calls)] == [
                 200,
                 200,
@@ -163,7 +163,7 @@
     asyncio.run(test())
 
 
-def test_an_unknown_key_of_operators_is_logged_and_changes_nothing(monkeypatch):
+def test_an_unknown_operator_key_is_logged_and_changes_nothing(monkeypatch):
     lines = []
     write = log.write
 
@@ -175,7 +175,7 @@
 
     async def test():
         async with harness.Site() as site:
-            await _domains(site)
+            await _add_domains(site)
             for key in ("op/evacuate/", "op/evacuate/n s", "op/evacuate/moon"):
                 site.store.put(key, b"\xff")
             await site.start()
@@ -190,7 +190,7 @@
     assert ignored == {"op/evacuate/", "op/evacuate/n s", "op/evacuate/moon"}
 
 
-def test_keys_of_operators_that_evacuate_nothing():
+def test_other_operator_keys_evacuate_no_domain():
     for key in ("op/evacuate/", "op/config", "op/evacuate", "servers/a"):
         assert storeformat.evacuated_domain(key) is None
     assert storeformat.evacuated_domain("op/evacuate/north") == "north"
--- a/hyssoptack/gateway/gateway_crash_test.py
+++ b/hyssoptack/gateway/gateway_crash_test.py
@@ -1,15 +1,14 @@
 """Requests that crash the upstreams that run them.
 
-What users saw: waves in which all copies of all shards ended, again each time
-they were back; in between no query was served. One caller sent one query time
-and again, at any instance. Each of its parts ended the upstream that ran it,
-the parts were then sent to other copies, and the next attempt took those that
-had just come back: 90 to 120 upstreams ended under one request.
-
-The evidence: events 4104 of all instances name one fingerprint in hand at
-every upstream that ended, in different attempts of its caller, and no answer
-to it anywhere. Other requests were in hand at one or two of them, and were
-answered elsewhere.
+One caller repeats a query at any instance. Each part of the query crashes the
+upstream that runs it and is then sent to another copy; the next attempt crashes
+the upstreams that have just restarted. Without a quarantine, one such request
+crashes 90 to 120 upstreams, and no query is served in between.
+
+The request is recognised by events 4104 of all instances: its fingerprint is in
+progress at every upstream that exits, in different attempts, and is answered
+nowhere. Other requests are in progress at one or two of these upstreams, and
+are answered elsewhere.
 """
 
 import asyncio
@@ -26,53 +25,61 @@
 WORK_MS = 20.0
 RETURN_MS = 2_000.0
 BOUND_MS = 1_000.0
-"""A quarter of the shortest time that users give from the third crash on."""
+"""Time after the third crash from which the request must reach no upstream: a
+quarter of the shortest time that the users allow."""
 
 REFUSED_MS = 100.0
-"""At once: less than what a query takes that is run."""
+"""Maximum time of a refusal: less than a query takes that is run."""
 
 CRASH_LIMIT_COUNT = 3
-"""So many crashes show a request that crashes all."""
+"""Number of crashes after which a request counts as crashing its upstreams."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Arrival:
-    """A request that has begun to run on an upstream."""
+class _Run:
+    """The start of a request's run on an upstream."""
 
     request_id: str
     at_ms: float
 
 
 class CrashWatch:
-    """What ran on the upstreams of a site, and when they crashed."""
+    """Records the runs and crashes on the upstreams of a site."""
 
     def __init__(self, site: harness.Site, bad_path: bytes):
-        self.arrivals: list[_Arrival] = []
+        self.runs: list[_Run] = []
         self.crash_ms: list[float] = []
         for each in site.services.values():
             each.behaviour.delay_ms = WORK_MS
             each.behaviour.return_ms = RETURN_MS
             each.behaviour.crashes_on = bad_path
-            each.on_run = self._note_run
+            each.on_run = self._record_run
             each.on_crash = lambda: self.crash_ms.append(clock.now_ms())
 
-    def _note_run(self, request_id: bytes) -> None:
-        arrival = _Arrival(request_id=request_id.decode(), at_ms=clock.now_ms())
-        self.arrivals.append(arrival)
+    def _record_run(self, request_id: bytes) -> None:
+        run = _Run(request_id=request_id.decode(), at_ms=clock.now_ms())
+        self.runs.append(run)
 
     def late_count(self, prefix: str) -> int:
-        """Counts runs of a request after the bound from its third crash."""
+        """Returns the number of runs later than `BOUND_MS` after crash three.
+
+        Args:
+            prefix: Prefix of the request ids to count.
+        """
         if len(self.crash_ms) < CRASH_LIMIT_COUNT:
             return 0
         bound_ms = self.crash_ms[CRASH_LIMIT_COUNT - 1] + BOUND_MS
         return sum(
             each.request_id.startswith(prefix) and each.at_ms > bound_ms
-            for each in self.arrivals
+            for each in self.runs
         )
 
 
 async def start_sharded_site(site: harness.Site, **changes: object) -> None:
-    """Two instances in the north, one in the south, half of the copies each."""
+    """Starts two instances in the north and one in the south.
+
+    Each failure domain has half of the copies of each shard.
+    """
     for shard in range(SHARD_COUNT):
         for copy in range(COPY_COUNT):
             body = bytes([shard]) * 16 + bytes([200 - shard]) * 16
@@ -84,11 +91,12 @@
 
 
 async def start_gateways(site: harness.Site, **changes: object) -> None:
+    """Starts three instances and waits until each knows of the others."""
     await site.start("n1", **changes)
     await site.start("n2", **changes)
     await site.start("s1", failure_domain="south", **changes)
     async with asyncio.timeout(8.0):
-        # Each knows of the others: the list of instances is read by then.
+        # The count is complete once the list of instances was read.
         while any(
             each.reader_election.instance_count < 3 for each in _gateways(site)
         ):
@@ -100,25 +108,29 @@
 
 
 async def send_repeatedly(site, path, length_s, period_s, prefix, **given):
-    """Sends a request time and again, at the instances in turn."""
+    """Sends a request periodically to the instances in turn.
+
+    Returns:
+        The response and the time in ms of each request.
+    """
     names = itertools.cycle(site.gateways)
     tasks = []
     for number in range(int(length_s / period_s)):
         name = next(names)
-        asked = _timed(site, path, f"{prefix}-{number}", name, **given)
+        asked = _get_timed(site, path, f"{prefix}-{number}", name, **given)
         tasks.append(asyncio.create_task(asked))
         await asyncio.sleep(period_s)
     return await asyncio.gather(*tasks)
 
 
-async def _timed(site, path, request_id, name, **given):
+async def _get_timed(site, path, request_id, name, **given):
     started_ms = clock.now_ms()
     got = await site.get(path, request_id, name=name, **given)
     return got, clock.now_ms() - started_ms
 
 
-async def _ask_others(site, length_s):
-    """Sends other queries, each with a content of its own."""
+async def _send_other_queries(site, length_s):
+    """Sends other queries with different contents; returns their statuses."""
     names = itertools.cycle(site.gateways)
     tasks = []
     for number in range(int(length_s / 0.05)):
@@ -128,14 +140,14 @@
     return [each.status for each in await asyncio.gather(*tasks)]
 
 
-def test_a_query_that_crashes_its_upstreams_soon_reaches_none():
+def test_a_query_that_crashes_upstreams_is_quarantined():
     async def test():
         async with harness.Site() as site:
             await start_sharded_site(site)
             watch = CrashWatch(site, b"/all/bad")
             repeats, statuses = await asyncio.gather(
                 send_repeatedly(site, "/all/bad", 8.0, 0.25, "bad"),
-                _ask_others(site, 8.0),
+                _send_other_queries(site, 8.0),
             )
             assert len(watch.crash_ms) >= CRASH_LIMIT_COUNT
             assert watch.late_count("bad") == 0
@@ -143,14 +155,14 @@
                 assert got.status == 502
                 assert "retry-after" not in got.headers
                 assert took_ms < REFUSED_MS
-            # Nobody else is kept from service for longer than the first wave.
+            # Other requests fail no longer than the first wave of crashes.
             later = statuses[len(statuses) // 2 :]
             assert all(status == 200 for status in later)
 
     asyncio.run(test())
 
 
-def test_single_requests_that_crash_their_upstreams_soon_reach_none():
+def test_single_requests_that_crash_upstreams_are_quarantined():
     async def test():
         async with harness.Site() as site:
             for index in range(6):
@@ -173,23 +185,21 @@
     asyncio.run(test())
 
 
-def test_an_instance_started_anew_sends_no_request_that_crashes_all():
+def test_a_new_instance_refuses_quarantined_requests():
     async def test():
         async with harness.Site() as site:
             await start_sharded_site(site)
             watch = CrashWatch(site, b"/all/bad")
             await send_repeatedly(site, "/all/bad", 3.0, 0.25, "bad")
             await site.start("n3")
-            # All upstreams are back by then.
+            # By then, all upstreams have restarted.
             await asyncio.sleep(RETURN_MS / message.MS_PER_S)
             before = len(watch.crash_ms)
-            got, _ = await _timed(site, "/all/bad", "new-1", "n3")
+            got, _ = await _get_timed(site, "/all/bad", "new-1", "n3")
             assert got.status == 502
             assert len(watch.crash_ms) == before
             assert not [
-                each
-                for each in watch.arrivals
-                if each.request_id.startswith("new")
+                each for each in watch.runs if each.request_id.startswith("new")
             ]
 
     asyncio.run(test())
--- a/hyssoptack/gateway/harness.py
+++ b/hyssoptack/gateway/harness.py
@@ -1,4 +1,4 @@
-"""A whole gateway with stand-ins around it, in one process, for tests."""
+"""Test harness: gateways, a fake store and fake upstreams in one process."""
 
 import asyncio
 import dataclasses
@@ -16,19 +16,21 @@
 PAIR_TIMEOUT_S = 6.0
 NARROW_MBPS, WIDE_MBPS = 0.5, 1_000.0
 REPLY_BYTES = 1_250
-"""Size of an upstream's reply at which a narrow link hands its queries over."""
+"""Size of an upstream's reply at which an instance with a narrow link delegates
+its queries."""
 
 SLACK_COUNT = 100_000.0
-"""Extra calls in ten seconds: a new instance has some within milliseconds."""
+"""Slack of the extra-call budget in ten seconds, large enough that a new
+instance may make extra calls within milliseconds."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Response:
-    """What a caller got.
+    """A response as a caller received it.
 
     Attributes:
-        status: The status code; 0 where the connection ended without one.
-        headers: The headers, by name in lower case.
+        status: The status code; 0 if the connection ended without a response.
+        headers: The headers by lower-case name.
         body: The body.
     """
 
@@ -38,7 +40,7 @@
 
 
 class Site:
-    """A store, upstreams and gateways on loopback."""
+    """A store, upstreams and gateways on the loopback interface."""
 
     def __init__(self) -> None:
         self.store = kvstore.Store()
@@ -68,7 +70,7 @@
         body: bytes = b"x" * 16,
         zone: str = "north",
     ) -> fakeupstream.FakeUpstream:
-        """Starts an upstream and lists it."""
+        """Starts an upstream and writes its entry to the store."""
         added = fakeupstream.FakeUpstream(upstream_id, body)
         await added.start()
         self.services[upstream_id] = added
@@ -83,7 +85,7 @@
         state: str = "ready",
         cold_ms: float = 0.0,
     ) -> None:
-        """Writes an upstream's entry."""
+        """Writes an upstream's entry to the store."""
         entry = {
             "service": service_name,
             "address": self.services[upstream_id].address,
@@ -97,7 +99,7 @@
         self.store.put(f"servers/{upstream_id}", json.dumps(entry).encode())
 
     def configure(self, *routes: dict[str, object]) -> int:
-        """Writes a configuration with these routes; returns its version."""
+        """Writes a configuration with the given routes; returns its version."""
         self._version += 3
         names = set()
         for route in routes:
@@ -136,7 +138,13 @@
     async def start(
         self, name: str = "gateway-1", ready: bool = True, **changes: object
     ) -> daemon.Gateway:
-        """Starts a gateway and waits until it is ready."""
+        """Starts a gateway.
+
+        Args:
+            name: Id of the instance.
+            ready: Whether to wait until the gateway is ready.
+            **changes: Settings that differ from the defaults.
+        """
         settings = gateway.GatewaySettings(
             instance_id=name,
             failure_domain="north",
@@ -159,29 +167,30 @@
         self._tasks[name] = loop.create_task(started.run())
         if ready:
             await self.wait_ready(name)
-            await self._wait_counted(started)
+            await self._wait_for_budget_share(started)
         return started
 
     def kill(self, name: str) -> None:
-        """Ends a gateway at once, without a word to anybody."""
+        """Ends a gateway at once, without a graceful shutdown."""
         self._tasks[name].cancel()
 
     async def wait_ready(self, name: str = "gateway-1") -> None:
-        """Waits until a gateway asks for callers."""
+        """Waits until a gateway reports that it is ready."""
         async with asyncio.timeout(START_TIMEOUT_S):
             while await self.readiness_status(name) != 200:
                 if self._tasks[name].done():
-                    # Tells why it will never be ready.
+                    # Raises the error that ended the gateway.
                     self._tasks[name].result()
                 await asyncio.sleep(0.02)
 
     async def start_delegating_pair(
         self,
     ) -> tuple[daemon.Gateway, daemon.Gateway]:
-        """Starts a gateway with a narrow link, and one that it hands over to.
+        """Starts a gateway with a narrow link, and one that it delegates to.
 
         Returns:
-            The narrow one and the wide one, which know each other.
+            The gateways with the narrow and the wide link, which know each
+            other.
         """
         narrow = await self.start("narrow", link_mbps=NARROW_MBPS)
         wide = await self.start("wide", link_mbps=WIDE_MBPS)
@@ -193,14 +202,14 @@
         narrow._delegating.selector.record_reply_size("route-0", REPLY_BYTES)
         return narrow, wide
 
-    async def _wait_counted(self, gateway: daemon.Gateway) -> None:
-        """Waits until a gateway knows its share of the extra calls."""
+    async def _wait_for_budget_share(self, gateway: daemon.Gateway) -> None:
+        """Waits until a gateway knows its share of the extra-call budget."""
         async with asyncio.timeout(START_TIMEOUT_S):
             while not gateway.reader_election.peak_instance_count:
                 await asyncio.sleep(0.005)
 
     async def readiness_status(self, name: str = "gateway-1") -> int:
-        """Asks a gateway whether it is ready; returns the status."""
+        """Returns the status of a readiness probe; 0 if it got no answer."""
         address = self.settings[name].readiness_address
         try:
             got = await send_raw(
@@ -220,14 +229,14 @@
         method: str = "GET",
         body: bytes = b"",
     ) -> Response:
-        """Sends a request on a connection of its own."""
+        """Sends a request on a new connection and returns the response."""
         return await send_raw(
             self.settings[name].callers_address,
             request_bytes(path, request_id, deadline_ms, method, body),
         )
 
     def run_count(self, request_id: str) -> int:
-        """Returns how often a request ran on all upstreams."""
+        """Returns how often a request ran, over all upstreams."""
         key = request_id.encode()
         return sum(each.run_counts[key] for each in self.services.values())
 
@@ -252,7 +261,7 @@
     method: str = "GET",
     body: bytes = b"",
 ) -> bytes:
-    """Returns a caller's request."""
+    """Returns the bytes of a caller's request."""
     headers = [
         (b"Host", HOST.encode()),
         (b"X-Request-Id", request_id.encode()),
@@ -262,7 +271,7 @@
 
 
 async def send_raw(address: str, data: bytes) -> Response:
-    """Sends bytes on a new connection and reads one reply."""
+    """Sends bytes on a new connection and returns the response."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
@@ -273,7 +282,7 @@
 
 
 async def read_response(reader: asyncio.StreamReader) -> Response:
-    """Reads one reply."""
+    """Reads one response."""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except (asyncio.IncompleteReadError, ConnectionError):
--- a/hyssoptack/gateway/partitionmonitor.py
+++ b/hyssoptack/gateway/partitionmonitor.py
@@ -1,4 +1,4 @@
-"""Looks for signs of life in other failure domains while they are in doubt."""
+"""Probes other failure domains while a network partition is suspected."""
 
 import asyncio
 import collections.abc
@@ -13,38 +13,41 @@
 from hyssoptack.policy import partitiondetector
 
 CHECK_PERIOD_S = 0.05
-"""How soon a doubt is looked into. Two looks of a cut that drops packets then
-take 0.4 s; the balancer takes 1 to 2 s more to turn callers away."""
+"""How soon a suspicion is checked. In a partition that drops packets, two
+checks then take 0.4 s; the balancer takes 1 to 2 s more to send callers
+elsewhere."""
 
 PARTITIONED_CHECK_PERIOD_S = 0.4
-"""Between two looks while cut off: other domains are used again that soon."""
+"""Time between two checks while partitioned, and so the delay until other
+domains are used again."""
 
 PROBE_COUNT = 6
-"""Upstreams tried at a time (`policy.partitiondetector.FAILED_CHECK_COUNT` says
-how many show a cut)."""
+"""Number of upstreams probed in one check
+(`policy.partitiondetector.FAILED_CHECK_COUNT` is the number of failed checks
+that show a partition)."""
 
 
 async def accepts_connection(address: str) -> bool:
-    """Tells whether an address takes a connection."""
+    """Returns whether an address accepts a connection."""
     host, _, port = address.rpartition(":")
     limit_s = pool.CONNECT_TIMEOUT_MS / message.MS_PER_S
     try:
         async with asyncio.timeout(limit_s):
             _, writer = await asyncio.open_connection(host, int(port))
     except OSError:
-        # A timeout, a refusal or a reset: a cut shows as any of them.
+        # A partition may show as a timeout, a refusal or a reset.
         return False
     writer.close()
     return True
 
 
 class PartitionMonitor:
-    """Keeps the belief about other failure domains up to date."""
+    """Feeds the partition detector with the results of probes."""
 
     def __init__(
         self,
-        believed: replicatedview.ReplicatedView,
-        known: partitiondetector.PartitionDetector,
+        view: replicatedview.ReplicatedView,
+        detector: partitiondetector.PartitionDetector,
         failure_domain: str,
         store_address: collections.abc.Callable[[], str],
         on_change: collections.abc.Callable[[], None],
@@ -52,8 +55,8 @@
             [str], collections.abc.Awaitable[bool]
         ] = accepts_connection,
     ):
-        self._beliefs = believed
-        self._known = known
+        self._view = view
+        self._detector = detector
         self._failure_domain = failure_domain
         self._store_address = store_address
         self._on_change = on_change
@@ -61,44 +64,46 @@
         self._random = random.Random()
 
     async def watch(self) -> None:
-        """Looks into doubts for as long as it runs."""
+        """Checks suspected partitions until cancelled."""
         while True:
             before = self._state()
             if (
-                self._known.state
+                self._detector.state
                 is not partitiondetector.PartitionState.CONNECTED
             ):
-                self._known.record_check(await self._look(), clock.now_ms())
-            self._note_change(before)
-            # A query may have ended the cut meanwhile.
+                self._detector.record_check(await self._check(), clock.now_ms())
+            self._report_change(before)
+            # An answered query may end the partition during the pause.
             before = self._state()
             pause_s = (
                 PARTITIONED_CHECK_PERIOD_S
-                if self._known.is_partitioned
+                if self._detector.is_partitioned
                 else CHECK_PERIOD_S
             )
             await asyncio.sleep(pause_s)
-            self._note_change(before)
+            self._report_change(before)
 
-    async def _look(self) -> partitiondetector.CheckResult:
-        far = self._far()
-        chosen = self._random.sample(far, min(PROBE_COUNT, len(far)))
-        store_alive, *far_alive = await asyncio.gather(
+    async def _check(self) -> partitiondetector.CheckResult:
+        remote_upstreams = self._remote_upstreams()
+        chosen = self._random.sample(
+            remote_upstreams, min(PROBE_COUNT, len(remote_upstreams))
+        )
+        store_alive, *remote_alive = await asyncio.gather(
             self._probe(self._store_address()),
             *(self._probe(each.address) for each in chosen),
         )
-        # Where nothing is listed elsewhere, nothing can be cut off.
+        # Without upstreams in other domains there is no partition to detect.
         return partitiondetector.CheckResult(
-            others_alive=any(far_alive) or not far,
+            others_alive=any(remote_alive) or not remote_upstreams,
             store_alive=store_alive,
-            covers_all_services=self._beliefs.load_balancer.own_domain_covers(
+            covers_all_services=self._view.load_balancer.own_domain_covers(
                 self._services()
             ),
         )
 
     def _services(self) -> set[str]:
-        """Returns the services of all routes."""
-        configuration = self._beliefs.route_table.configuration
+        """Returns the names of the services of all routes."""
+        configuration = self._view.route_table.configuration
         routes = configuration.routes if configuration else ()
         return {
             service
@@ -106,24 +111,24 @@
             for service in traffic.services_of(route.target)
         }
 
-    def _far(self) -> list[traffic.Upstream]:
+    def _remote_upstreams(self) -> list[traffic.Upstream]:
         return [
             each
-            for each in self._beliefs.upstreams.values()
+            for each in self._view.upstreams.values()
             if each.failure_domain != self._failure_domain
         ]
 
     def _state(self) -> tuple[bool, bool]:
-        return self._known.is_partitioned, self._known.leaves_rotation
+        return self._detector.is_partitioned, self._detector.leaves_rotation
 
-    def _note_change(self, before: tuple[bool, bool]) -> None:
+    def _report_change(self, before: tuple[bool, bool]) -> None:
         if self._state() == before:
             return
-        cut = self._known.is_partitioned
+        partitioned = self._detector.is_partitioned
         log.write(
-            log.Event.DOMAINS_LOST if cut else log.Event.DOMAINS_BACK,
+            log.Event.DOMAINS_LOST if partitioned else log.Event.DOMAINS_BACK,
             failure_domain=self._failure_domain,
-            far_upstream_count=len(self._far()),
-            leaves_rotation=self._known.leaves_rotation,
+            far_upstream_count=len(self._remote_upstreams()),
+            leaves_rotation=self._detector.leaves_rotation,
         )
         self._on_change()
--- a/hyssoptack/gateway/partitionmonitor_test.py
+++ b/hyssoptack/gateway/partitionmonitor_test.py
@@ -1,4 +1,4 @@
-"""A gateway that is cut off sends callers elsewhere, and comes back."""
+"""A partitioned gateway leaves rotation and returns after the partition."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 from hyssoptack.standins import ports
 
 
-def test_a_cut_takes_the_instance_out_of_rotation_until_it_ends():
+def test_a_partitioned_instance_leaves_rotation_until_the_partition_ends():
     async def test():
         async with harness.Site() as site:
             await site.add_upstream("i-0", "desk", zone="south")
@@ -22,17 +22,19 @@
             async def probe(_address):
                 return alive
 
-            running._reaching._probe = probe
+            running._partition_monitor._probe = probe
             assert await site.readiness_status() == 200
-            running._reach.state = partitiondetector.PartitionState.SUSPECTED
+            running._partition_detector.state = (
+                partitiondetector.PartitionState.SUSPECTED
+            )
             await asyncio.sleep(4 * partitionmonitor.CHECK_PERIOD_S)
-            assert running._reach.is_partitioned
+            assert running._partition_detector.is_partitioned
             assert await site.readiness_status() == 503
             got = await site.get("/near/x", "r1")
             assert got.status == 200
             assert got.headers["connection"] == "close"
-            # What needs another domain is refused at once, till callers are
-            # sent there.
+            # A request that needs another domain is refused at once until
+            # callers are sent to that domain.
             got = await site.get("/one/x", "r1")
             assert got.status == 503
             assert float(got.headers["retry-after"]) > 1.5
@@ -46,13 +48,14 @@
     asyncio.run(test())
 
 
-def test_a_refused_connection_is_no_sign_of_life():
-    # A cut may refuse all connections: it went unnoticed for all of its 5.6 s.
+def test_a_refused_connection_counts_as_unreachable():
+    # A partition may refuse all connections. One of 5.6 s was not detected
+    # because a refusal counted as a sign of life.
     address = f"127.0.0.1:{ports.free_port()}"
     assert not asyncio.run(partitionmonitor.accepts_connection(address))
 
 
-def test_neighbours_hear_of_a_cut_and_look_for_themselves():
+def test_a_partition_notice_makes_neighbours_check_for_themselves():
     async def test():
         async with harness.Site() as site:
             await site.add_upstream("i-0", "desk", zone="south")
@@ -67,12 +70,12 @@
                 return False
 
             for each in (first, second):
-                each._reaching._probe = silence
-            first._reach.record_wait(
+                each._partition_monitor._probe = silence
+            first._partition_detector.record_wait(
                 partitiondetector.RemoteCallTally(sent_count=4), 200.0
             )
             async with asyncio.timeout(3.0):
-                while not second._reach.is_partitioned:
+                while not second._partition_detector.is_partitioned:
                     await asyncio.sleep(0.05)
             assert await site.readiness_status("g-2") == 503
 
--- a/hyssoptack/gateway/peering.py
+++ b/hyssoptack/gateway/peering.py
@@ -1,4 +1,4 @@
-"""Tells neighbours what was read from the store, and takes what they read."""
+"""Exchanges with neighbours what instances read from the store."""
 
 import asyncio
 import collections.abc
@@ -20,58 +20,62 @@
 from hyssoptack.settings import gateway
 
 LINK_IDLE_MS = 60_000.0
-"""A link without a message is closed after this: readers change seldom."""
+"""Time after which a link without messages is closed. Readers change seldom, so
+links to former readers are not needed for long."""
 
 CALLS_PERIOD_S = 0.5
-"""How often calls to slow upstreams are told of. With 26 instances in a failure
-domain each sees an upstream too seldom to learn of it alone while it is slow (5
-to 10 s); 25 messages in this time cost it about 7 ms of processor a second."""
+"""How often calls to slow upstreams are published. With 26 instances in a
+failure domain, each calls an upstream too seldom to detect alone that it is
+slow (for 5 to 10 s); 25 messages per period cost an instance about 7 ms of
+processor time a second."""
 
 CALLS_PEERS_COUNT = 32
-"""Most neighbours that are told each time, chosen at random: what one round
-costs stays the same however many instances a failure domain has."""
+"""Maximum number of neighbours that get each notice of calls. They are sampled
+at random, so that the cost of a round does not grow with the number of
+instances in a failure domain."""
 
 INSTANCES_PEERS_COUNT = 32
-"""The same for the list of instances, each time that it was read (5 s): what a
-neighbour misses, it hears a few rounds later."""
+"""Maximum number of neighbours that get the list of instances each time that it
+was read (every 5 s). A neighbour that misses one gets it a few rounds later."""
 
 
 OnInstances = collections.abc.Callable[[tuple[member.Peer, ...]], None]
-"""Told of each new list of instances, and of who may gather elsewhere."""
+"""Called with the gatherers of other domains for each new instance list."""
 
 OnMessage = collections.abc.Callable[[gatewaymessage.Message], None]
 
 
 def _ignore(_: object) -> None:
-    """Takes what nobody waits for yet."""
+    """Ignores an event for which no handler is set."""
 
 
 class Peering:
-    """The links of one instance, and the views that travel over them."""
+    """Sends and receives the messages between an instance and its peers."""
 
     def __init__(
         self,
         settings: gateway.GatewaySettings,
-        believed: replicatedview.ReplicatedView,
-        readers: readerelection.ReaderElection,
+        view: replicatedview.ReplicatedView,
+        reader_election: readerelection.ReaderElection,
         on_instances: OnInstances,
-        on_cut: collections.abc.Callable[[], None],
+        on_partition_notice: collections.abc.Callable[[], None],
     ):
-        """Makes the peering of one instance.
+        """Creates the peering of one instance.
 
         Args:
             settings: The instance's settings.
-            believed: What it believes.
-            readers: Who reads the store.
-            on_instances: Told of each new list of instances.
-            on_cut: Told that a neighbour takes the failure domain as cut off.
+            view: The instance's replicated view.
+            reader_election: Decides which instances read the store.
+            on_instances: Called for each new list of instances.
+            on_partition_notice: Called when a neighbour reports that the
+                failure domain seems to be cut off.
         """
         self._settings = settings
-        self._beliefs = believed
-        self.reader_election = readers
+        self._view = view
+        self.reader_election = reader_election
         self._on_instances = on_instances
-        self._on_cut = on_cut
-        self._told: dict[str, _Told] = {}
+        self._on_partition_notice = on_partition_notice
+        self._sent_states: dict[str, _SentState] = {}
         self._history = listdelta.ListHistory()
         self._configuration = b""
         self._random = random.Random()
@@ -81,7 +85,7 @@
         self.on_link_lost: collections.abc.Callable[[str], None] = _ignore
 
     def send(self, address: str, each: gatewaymessage.Message) -> None:
-        """Sends a message to a neighbour; without a port, to nobody."""
+        """Sends a message to a peer; drops it if there is no peer port."""
         if self._links is not None:
             self._links.send(address, each)
 
@@ -106,21 +110,23 @@
             self._links.stop()
 
     def cache_configuration(self, data: bytes) -> None:
-        """Keeps the configuration in force as it is stored, for neighbours."""
+        """Caches the stored form of the configuration for neighbours."""
         self._configuration = codec.compress(data)
 
     def publish_view(self) -> None:
-        """Tells all neighbours what has changed since they were last told."""
+        """Sends all neighbours what has changed since their last notice."""
         if self._links is None:
             return
-        self._history.add(self._beliefs.upstreams)
+        self._history.add(self._view.upstreams)
         for peer in self.reader_election.neighbours():
-            told = self._told.get(peer.address, _NOTHING_TOLD)
-            fresh = told.version == self._beliefs.version
+            sent_state = self._sent_states.get(peer.address, _NOTHING_SENT)
+            is_current = sent_state.version == self._view.version
             self._send_view(
                 peer.address,
-                self._history.change_since(told.digest),
-                b"" if fresh or not told.version else self._configuration,
+                self._history.change_since(sent_state.digest),
+                b""
+                if is_current or not sent_state.version
+                else self._configuration,
             )
 
     def _send_view(
@@ -130,34 +136,32 @@
         configuration: bytes,
     ) -> None:
         now_ms = clock.now_ms()
-        made = gatewaymessage.ViewNotice(
+        notice = gatewaymessage.ViewNotice(
             sender_id=self._settings.instance_id,
             sender_address=self._settings.peer_address,
-            version=self._beliefs.version,
+            version=self._view.version,
             configuration=configuration,
-            revision=self._beliefs.list_revision,
+            revision=self._view.list_revision,
             change=change,
-            grace_ms=self._beliefs.remaining_grace_ms(now_ms),
-            list_age_ms=now_ms - self._beliefs.list_read_ms,
+            grace_ms=self._view.remaining_grace_ms(now_ms),
+            list_age_ms=now_ms - self._view.list_read_ms,
             exact_age_ms=self.reader_election.exact_age_ms(now_ms),
-            evacuated=tuple(
-                self._beliefs.evacuations.evacuated_domains(now_ms)
-            ),
-            evacuated_at=self._beliefs.evacuations.store_position,
+            evacuated=tuple(self._view.evacuations.evacuated_domains(now_ms)),
+            evacuated_at=self._view.evacuations.store_position,
         )
-        self._told[address] = _Told(
-            version=self._beliefs.version, digest=change.digest
+        self._sent_states[address] = _SentState(
+            version=self._view.version, digest=change.digest
         )
-        self._links.send(address, made)
+        self._links.send(address, notice)
 
-    def _answer_wanted(self, wanted: gatewaymessage.ViewRequest) -> None:
-        """Sends everything to one who could not use the last view."""
-        self._history.add(self._beliefs.upstreams)
-        fresh = wanted.version >= self._beliefs.version
+    def _on_view_request(self, request: gatewaymessage.ViewRequest) -> None:
+        """Sends the whole view to a neighbour that could not use a change."""
+        self._history.add(self._view.upstreams)
+        is_current = request.version >= self._view.version
         self._send_view(
-            wanted.address,
+            request.address,
             self._history.full_change(),
-            b"" if fresh else self._configuration,
+            b"" if is_current else self._configuration,
         )
 
     def publish_instances(
@@ -166,52 +170,56 @@
         total_count: int,
         far_gatherers: tuple[member.Peer, ...],
     ) -> None:
-        """Tells neighbours who else there is: only readers read that list."""
+        """Sends the list of instances to neighbours: only readers read it."""
         if self._links is None:
             return
-        made = gatewaymessage.InstancesNotice(
+        notice = gatewaymessage.InstancesNotice(
             sender_id=self._settings.instance_id,
             neighbours=neighbours,
             total_count=total_count,
             far_gatherers=far_gatherers,
         )
-        for peer in self._some(INSTANCES_PEERS_COUNT):
-            self._links.send(peer.address, made)
+        for peer in self._sample_neighbours(INSTANCES_PEERS_COUNT):
+            self._links.send(peer.address, notice)
 
     def publish_partition(self) -> None:
-        """Tells neighbours that other failure domains show no life."""
+        """Notifies neighbours that other failure domains are unreachable."""
         if self._links is None:
             return
-        made = gatewaymessage.PartitionNotice(
+        notice = gatewaymessage.PartitionNotice(
             sender_id=self._settings.instance_id
         )
         for peer in self.reader_election.neighbours():
-            self._links.send(peer.address, made)
+            self._links.send(peer.address, notice)
 
-    def _some(self, most_count: int) -> list[member.Peer]:
-        """Returns at most so many neighbours, chosen at random."""
+    def _sample_neighbours(self, max_count: int) -> list[member.Peer]:
+        """Returns a random sample of the neighbours.
+
+        Args:
+            max_count: Maximum size of the sample.
+        """
         peers = self.reader_election.neighbours()
-        return self._random.sample(peers, min(len(peers), most_count))
+        return self._random.sample(peers, min(len(peers), max_count))
 
     async def publish_calls_periodically(self) -> None:
-        """Tells neighbours of calls that matter, for as long as it runs."""
+        """Publishes calls to slow upstreams to neighbours until cancelled."""
         while True:
             await asyncio.sleep(CALLS_PERIOD_S)
-            calls = self._beliefs.load_balancer.calls_to_share(clock.now_ms())
+            calls = self._view.load_balancer.calls_to_share(clock.now_ms())
             if not calls or self._links is None:
                 continue
-            made = gatewaymessage.LatencyNotice(
+            notice = gatewaymessage.LatencyNotice(
                 sender_id=self._settings.instance_id, seen_calls=calls
             )
-            for peer in self._some(CALLS_PEERS_COUNT):
-                self._links.send(peer.address, made)
+            for peer in self._sample_neighbours(CALLS_PEERS_COUNT):
+                self._links.send(peer.address, notice)
 
     def _on_undelivered(
         self, address: str, body: gatewaymessage.Message
     ) -> None:
         match body:
             case gatewaymessage.ViewNotice():
-                self._told.pop(address, None)
+                self._sent_states.pop(address, None)
             case _:
                 self.on_undelivered(body)
 
@@ -219,18 +227,18 @@
         for each in received.decoded.messages:
             match each:
                 case gatewaymessage.ViewNotice():
-                    self._take(each)
+                    self._receive_view(each)
                 case gatewaymessage.InstancesNotice():
                     self.reader_election.install(
                         each.neighbours, each.total_count
                     )
                     self._on_instances(each.far_gatherers)
                 case gatewaymessage.PartitionNotice():
-                    self._on_cut()
+                    self._on_partition_notice()
                 case gatewaymessage.ViewRequest():
-                    self._answer_wanted(each)
+                    self._on_view_request(each)
                 case gatewaymessage.LatencyNotice(seen_calls=seen_calls):
-                    self._beliefs.load_balancer.merge_neighbour_calls(
+                    self._view.load_balancer.merge_neighbour_calls(
                         seen_calls, clock.now_ms()
                     )
                 case _:
@@ -238,77 +246,77 @@
         if received.decoded.dropped_count:
             log.write(log.Event.PEER_UNREADABLE, reason=received.decoded.reason)
 
-    def _take(self, view: gatewaymessage.ViewNotice) -> None:
-        self._beliefs.replace_evacuations(
-            frozenset(view.evacuated),
-            view.evacuated_at,
-            f"peer {view.sender_id}",
+    def _receive_view(self, notice: gatewaymessage.ViewNotice) -> None:
+        self._view.replace_evacuations(
+            frozenset(notice.evacuated),
+            notice.evacuated_at,
+            f"peer {notice.sender_id}",
             clock.now_ms(),
         )
-        if view.configuration and view.version > self._beliefs.version:
-            self._take_configuration(view)
-        behind = view.revision < self._beliefs.list_revision
-        listed = not behind and self._take_list(view)
-        if view.version > self._beliefs.version:
-            self._ask(view)
+        if notice.configuration and notice.version > self._view.version:
+            self._apply_configuration(notice)
+        behind = notice.revision < self._view.list_revision
+        listed = not behind and self._apply_list(notice)
+        if notice.version > self._view.version:
+            self._request_view(notice)
         elif listed:
             self.reader_election.record_other_reader(
-                view.sender_id, clock.now_ms(), view.exact_age_ms
+                notice.sender_id, clock.now_ms(), notice.exact_age_ms
             )
         elif not behind:
-            self._ask(view)
+            self._request_view(notice)
 
-    def _ask(self, view: gatewaymessage.ViewNotice) -> None:
-        """Asks a reader for what its notice left out."""
-        wanted = gatewaymessage.ViewRequest(
-            address=self._settings.peer_address, version=self._beliefs.version
+    def _request_view(self, notice: gatewaymessage.ViewNotice) -> None:
+        """Requests the whole view from the sender of a notice."""
+        request = gatewaymessage.ViewRequest(
+            address=self._settings.peer_address, version=self._view.version
         )
         if self._links is not None:
-            self._links.send(view.sender_address, wanted)
+            self._links.send(notice.sender_address, request)
 
-    def _take_configuration(self, view: gatewaymessage.ViewNotice) -> None:
-        stored = codec.decompress(view.configuration)
+    def _apply_configuration(self, notice: gatewaymessage.ViewNotice) -> None:
+        stored = codec.decompress(notice.configuration)
         if stored is None:
             log.write(log.Event.CONFIG_REFUSED, errors=["can't be expanded"])
             return
         match storeformat.parse_configuration(stored):
             case expression.Result(tag="ok", ok=offered):
-                source = f"peer {view.sender_id}"
+                source = f"peer {notice.sender_id}"
                 self.cache_configuration(stored)
                 now_ms = clock.now_ms()
-                self._beliefs.apply_configuration(offered, source, now_ms)
+                self._view.apply_configuration(offered, source, now_ms)
             case expression.Result(error=detail):
                 log.write(log.Event.CONFIG_REFUSED, errors=[detail])
 
-    def _take_list(self, view: gatewaymessage.ViewNotice) -> bool:
-        """Takes the list; tells whether the own one is as new now."""
-        self._history.add(self._beliefs.upstreams)
-        taken = listdelta.apply_change(
-            view.change, self._beliefs.upstreams, self._history.digest
+    def _apply_list(self, notice: gatewaymessage.ViewNotice) -> bool:
+        """Applies the list of a notice; returns whether it could be applied."""
+        self._history.add(self._view.upstreams)
+        upstreams = listdelta.apply_change(
+            notice.change, self._view.upstreams, self._history.digest
         )
-        if taken is None:
+        if upstreams is None:
             return False
         now_ms = clock.now_ms()
-        self._beliefs.extend_grace(view.grace_ms, now_ms)
-        read_ms = now_ms - view.list_age_ms
-        if taken is self._beliefs.upstreams:
-            self._beliefs.confirm_list(view.revision, read_ms)
+        self._view.extend_grace(notice.grace_ms, now_ms)
+        read_ms = now_ms - notice.list_age_ms
+        if upstreams is self._view.upstreams:
+            self._view.confirm_list(notice.revision, read_ms)
         else:
-            self._beliefs.apply_list(taken, view.revision, now_ms, read_ms)
+            self._view.apply_list(upstreams, notice.revision, now_ms, read_ms)
         return True
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Told:
-    """What a neighbour was last told.
+class _SentState:
+    """State of the view that a neighbour was last sent.
 
     Attributes:
-        version: Version of the configuration; 0 for nothing.
-        digest: Digest of the list; None for nothing.
+        version: Version of the configuration; 0 if none was sent.
+        digest: Digest of the list; None if none was sent.
     """
 
     version: int = 0
     digest: int | None = None
 
 
-_NOTHING_TOLD = _Told()
+_NOTHING_SENT = _SentState()
--- a/hyssoptack/gateway/peering_test.py
+++ b/hyssoptack/gateway/peering_test.py
@@ -1,4 +1,4 @@
-"""Gateways of one failure domain share what one of them reads."""
+"""Gateways of one failure domain share what one reads from the store."""
 
 import asyncio
 import json
@@ -7,7 +7,7 @@
 from hyssoptack.gateway import harness
 
 
-async def _three(site: harness.Site) -> None:
+async def _start_three(site: harness.Site) -> None:
     await site.add_upstream("i-0", "desk")
     site.configure(gateway_test.SINGLE)
     for name in ("g-1", "g-2", "g-3"):
@@ -18,11 +18,12 @@
 def test_one_instance_reads_for_all_and_changes_spread():
     async def test():
         async with harness.Site() as site:
-            await _three(site)
+            await _start_three(site)
             site.store.call_names.clear()
             await asyncio.sleep(3.0)
             reads = site.store.call_names.count("kv-range")
-            # One reader: about one reading a second, and one of the instances.
+            # One reader reads the upstreams about once a second, and the
+            # instances once.
             assert reads <= 5
             site.configure({**gateway_test.SINGLE, "prefix": "/new/"})
             await site.add_upstream("i-1", "desk")
@@ -35,10 +36,10 @@
     asyncio.run(test())
 
 
-def test_others_read_when_their_reader_is_gone():
+def test_another_instance_reads_after_the_reader_is_killed():
     async def test():
         async with harness.Site() as site:
-            await _three(site)
+            await _start_three(site)
             reader = max(
                 site.gateways,
                 key=lambda name: site.gateways[name].reader_election.rank,
@@ -56,7 +57,7 @@
     asyncio.run(test())
 
 
-def test_an_instance_is_listed_again_after_its_lease_was_taken_away():
+def test_an_instance_registers_again_after_its_lease_is_revoked():
     async def test():
         async with harness.Site() as site:
             await site.add_upstream("i-0", "desk")
@@ -73,7 +74,7 @@
     asyncio.run(test())
 
 
-def test_the_shares_of_all_instances_stay_within_the_slack():
+def test_the_budget_shares_of_all_instances_stay_within_the_slack():
     async def test():
         async with harness.Site() as site:
             await site.add_upstream("i-0", "desk")
@@ -96,11 +97,12 @@
     asyncio.run(test())
 
 
-def test_those_who_never_read_know_all_instances_too():
-    # Else they take the share of a small site, and tell nobody what is slow.
+def test_instances_that_never_read_know_all_instances():
+    # Otherwise they use the budget share of a small site, and send nobody
+    # notices of slow upstreams.
     async def test():
         async with harness.Site() as site:
-            await _three(site)
+            await _start_three(site)
             async with asyncio.timeout(5.0):
                 for each in site.gateways.values():
                     while each.reader_election.instance_count != 3:
--- a/hyssoptack/gateway/pool.py
+++ b/hyssoptack/gateway/pool.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: kept ones, new ones, and calls waiting for one."""
+"""Connection pools: idle and new connections, and calls that wait for one."""
 
 import asyncio
 import collections
@@ -12,56 +12,62 @@
 from hyssoptack.http1 import message
 
 CONNECT_TIMEOUT_MS = 150.0
-"""Longest wait for a connection: 6 ms of handshake, 4 ms of network, and some
-tens while this process is busy. A dark machine never answers, and an opening
-packet that a full queue dropped comes again after a second only: another
-upstream is then better, while there is time to the goal (40 to 175 ms)."""
+"""Longest wait for a new connection: 6 ms of handshake, 4 ms of network, and
+some tens of milliseconds while this process is busy. A machine that is down
+never answers, and a SYN packet that a full queue dropped is sent again only
+after a second. Another upstream is then better, while there is still time to
+the latency goal (40 to 175 ms)."""
 
 IDLE_MARGIN_RATIO = 0.6
-"""A kept connection is used for this share of the time that its upstream keeps
-it, so that the two do not cross."""
+"""Part of the upstream's idle timeout for which an idle connection is reused,
+so that a request does not cross the upstream's close."""
 
 IDLE_DEFAULT_MS = 3_000.0
-"""Idle time where the upstream says nothing of it."""
+"""Idle time limit if the upstream states none."""
 
-FRESH_MS = 1_500.0
-"""A connection that answered this lately still works: silent ones show by then.
-Calls that must not fail take no older one."""
+RECENT_USE_MS = 1_500.0
+"""Maximum age of the last answer on a connection that is known to work: a
+connection that lost its peer shows by then. Calls that must not fail use no
+older connection."""
 
-SWEEP_S = 0.5
+SWEEP_PERIOD_S = 0.5
+"""Time between two sweeps for connections that have been idle too long."""
 
 WITHDRAWN = "upstream_withdrawn"
-"""Reason of a call that was not sent, as its upstream may get nothing more."""
+"""Reason of a call that was not sent because its upstream may get no more
+requests."""
 
-CHECK_TIMEOUT_MS = 50.0
-"""Longest look at whether an upstream has ended. One that has refuses at once
-(0.2 to 4 ms for the way there and back); a living one accepts within 15 ms. Who
-does neither is silent, which calls find out for themselves."""
+EXIT_CHECK_TIMEOUT_MS = 50.0
+"""Timeout of a check whether an upstream has exited. The machine of an exited
+upstream refuses a connection at once (0.2 to 4 ms for the round trip); a
+running upstream accepts within 15 ms. If neither happens, the upstream is
+unresponsive, which the timeouts of calls detect."""
 
-LOOKS_COUNT = 3
-"""Looks at most: a process that is just ending may reset a connection that its
-system still took, and refuses the next."""
+EXIT_CHECK_COUNT = 3
+"""Maximum number of exit checks in a row. The system of an exiting process may
+still accept a connection and reset it, and refuses the next one."""
 
-SETTLED_MS = 2.0
-"""A connection that lasts so long was taken by a process that lives."""
+SETTLE_MS = 2.0
+"""Time after which a connection that is still open was accepted by a running
+process."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Job:
-    """One call to make.
+    """One call to an upstream.
 
     Attributes:
-        upstream: Whom to call.
-        build_request: The whole request.
+        upstream: The upstream to call.
+        build_request: Returns the bytes of the whole request.
         request_id: The id that the reply must carry.
         is_head: Whether it is a HEAD request.
-        needs_new_connection: Whether the request may run once only: never on a
-            kept connection.
-        needs_recent_connection: Whether only a connection that lately worked
-            will do.
-        on_outcome: Takes the outcome, once.
-        fingerprint: Names the request's content; empty where nobody asks what
-            an upstream had in hand when it ended.
+        needs_new_connection: Whether the call must not use an idle connection,
+            as its request may run only once.
+        needs_recent_connection: Whether the call may only use a connection that
+            worked recently.
+        on_outcome: Called once with the outcome.
+        fingerprint: Fingerprint of the request's content; empty if the call is
+            not tracked when its upstream exits.
     """
 
     upstream: traffic.Upstream
@@ -77,25 +83,25 @@
 OnUpstreamExit = collections.abc.Callable[
     [traffic.Upstream, tuple[Job, ...]], None
 ]
-"""Told of an upstream that has ended, and of the jobs that it had in hand."""
+"""Called with an upstream that has exited and the calls it had in progress."""
 
 
 def _ignore(_upstream: traffic.Upstream, _jobs: tuple[Job, ...]) -> None:
-    """Takes what nobody waits for."""
+    """Ignores an upstream's exit when no handler is set."""
 
 
 class Call:
-    """A call in progress; cancelling it is final."""
+    """A call that waits for a connection or is in progress."""
 
-    def __init__(self, lane: "_Lane", job: Job):
+    def __init__(self, upstream_pool: "_UpstreamPool", job: Job):
         self.job = job
-        self._lane = lane
+        self._upstream_pool = upstream_pool
         self.connection: httpclient.UpstreamConnection | None = None
         self.task: asyncio.Task[None] | None = None
         self.is_over = False
 
     def cancel(self) -> None:
-        """Gives the call up; its connection can't be used again."""
+        """Cancels the call and closes its connection; no outcome follows."""
         if self.is_over:
             return
         self.is_over = True
@@ -103,10 +109,10 @@
             self.task.cancel()
         if self.connection is not None:
             self.connection.close()
-        self._lane.released()
+        self._upstream_pool.released()
 
     def complete(self, outcome: httpclient.Outcome) -> None:
-        """Hands the outcome over."""
+        """Reports the outcome, unless the call is already over."""
         if self.is_over:
             return
         self.is_over = True
@@ -114,43 +120,43 @@
 
 
 class Pools:
-    """All lanes, one an upstream."""
+    """The connection pools of all upstreams."""
 
     def __init__(self, id_header: bytes) -> None:
         self._id_header = id_header
-        self._lanes: dict[str, _Lane] = {}
+        self._lanes: dict[str, _UpstreamPool] = {}
         self.opened_count = 0
         self.on_upstream_exit: OnUpstreamExit = _ignore
 
     def call(self, job: Job, connection_limit_count: int) -> Call:
         """Starts a call."""
-        lane = self._lanes.get(job.upstream.upstream_id)
-        if lane is None:
-            lane = _Lane(self, job.upstream, self._id_header)
-            self._lanes[job.upstream.upstream_id] = lane
-        lane.limit_count = connection_limit_count
-        return lane.start(job)
+        upstream_pool = self._lanes.get(job.upstream.upstream_id)
+        if upstream_pool is None:
+            upstream_pool = _UpstreamPool(self, job.upstream, self._id_header)
+            self._lanes[job.upstream.upstream_id] = upstream_pool
+        upstream_pool.limit_count = connection_limit_count
+        return upstream_pool.start(job)
 
     def keep_only(self, upstream_ids: collections.abc.Container[str]) -> None:
-        """Withdraws from all other upstreams: they get nothing new."""
-        for upstream_id, lane in tuple(self._lanes.items()):
+        """Closes the pools of all other upstreams, which get no new calls."""
+        for upstream_id, upstream_pool in tuple(self._lanes.items()):
             if upstream_id not in upstream_ids:
-                lane.close_idle(0.0)
-                lane.withdraw()
-                if lane.empty:
+                upstream_pool.close_idle(0.0)
+                upstream_pool.withdraw()
+                if upstream_pool.empty:
                     del self._lanes[upstream_id]
 
     async def sweep(self) -> None:
-        """Closes connections that idled too long, while the pools are used."""
+        """Closes connections that were idle for too long, until cancelled."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_PERIOD_S)
             now_ms = clock.now_ms()
-            for lane in self._lanes.values():
-                lane.close_stale(now_ms)
+            for upstream_pool in self._lanes.values():
+                upstream_pool.close_stale(now_ms)
 
 
-class _Lane:
-    """Connections to one upstream."""
+class _UpstreamPool:
+    """The connections to one upstream, and the calls that wait for one."""
 
     def __init__(
         self, pools: Pools, upstream: traffic.Upstream, id_header: bytes
@@ -165,21 +171,21 @@
         self._waiting: collections.deque[Call] = collections.deque()
         self._open_count = 0
         self.limit_count = 1
-        self._broken: list[tuple[Call, httpclient.BrokenCall]] = []
-        self._check: asyncio.Task[None] | None = None
+        self._broken_calls: list[tuple[Call, httpclient.BrokenCall]] = []
+        self._exit_check: asyncio.Task[None] | None = None
 
     @property
     def empty(self) -> bool:
-        """Whether nothing is open or waits here."""
-        return not (self._open_count or self._waiting or self._check)
+        """Whether there are no connections, waiting calls or exit checks."""
+        return not (self._open_count or self._waiting or self._exit_check)
 
     def start(self, job: Job) -> Call:
-        """Starts a call on a kept or a new connection, or once one is free."""
+        """Starts a call, or queues it until a connection is free."""
         call = Call(self, job)
         connection = (
             None
             if job.needs_new_connection
-            else self._take_idle(job.needs_recent_connection)
+            else self._pop_idle(job.needs_recent_connection)
         )
         if connection is not None:
             self._use(call, connection)
@@ -189,12 +195,14 @@
             self._waiting.append(call)
         return call
 
-    def _take_idle(self, proven: bool) -> httpclient.UpstreamConnection | None:
+    def _pop_idle(
+        self, needs_recent: bool
+    ) -> httpclient.UpstreamConnection | None:
         now_ms = clock.now_ms()
         while self._idle:
             connection = self._idle[-1]
             age_ms = now_ms - connection.last_used_ms
-            if proven and age_ms > FRESH_MS:
+            if needs_recent and age_ms > RECENT_USE_MS:
                 return None
             self._idle.pop()
             if connection.reusable and age_ms < _idle_limit_ms(connection):
@@ -213,7 +221,7 @@
         call.task = asyncio.get_running_loop().create_task(self._connect(call))
 
     async def _connect(self, call: Call) -> None:
-        connection = await self._connected(CONNECT_TIMEOUT_MS)
+        connection = await self._open_connection(CONNECT_TIMEOUT_MS)
         call.task = None
         match connection:
             case httpclient.UpstreamConnection():
@@ -227,17 +235,17 @@
                 call.complete(httpclient.BrokenCall(reason=reason, sent=False))
                 self.released()
 
-    async def _connected(
+    async def _open_connection(
         self, limit_ms: float
     ) -> httpclient.UpstreamConnection | int | None:
-        """Opens a connection that was counted as open already.
+        """Opens a connection, which the caller has already counted as open.
 
         Args:
-            limit_ms: The longest wait.
+            limit_ms: Timeout of the attempt.
 
         Returns:
-            The connection; the system's error number where it is refused, None
-            where nothing was heard in time.
+            The connection; the system's error number if the attempt failed;
+            None after a timeout.
         """
         loop = asyncio.get_running_loop()
         connection = None
@@ -253,59 +261,63 @@
         except OSError as error:
             return error.errno or 0
         finally:
-            # Also when the call was cancelled meanwhile.
+            # This also runs when the call is cancelled.
             if connection is None:
                 self._open_count -= 1
         connection.on_lost = self._on_lost(connection)
         return connection
 
-    # An upstream's end.
+    # Exits of the upstream.
 
-    async def _is_lost(
+    async def _is_lost_at_once(
         self, found: httpclient.UpstreamConnection | int | None
     ) -> bool:
-        """Whether a connection ends at once: its process ended under it."""
+        """Returns whether a new connection is lost at once by an exit."""
         if not isinstance(found, httpclient.UpstreamConnection):
             return False
-        await asyncio.sleep(SETTLED_MS / message.MS_PER_S)
+        await asyncio.sleep(SETTLE_MS / message.MS_PER_S)
         return found.lost
 
-    def _note_broken(self, call: Call, outcome: httpclient.BrokenCall) -> None:
-        """Looks whether an upstream that broke a call off has ended.
+    def _on_broken_call(
+        self, call: Call, outcome: httpclient.BrokenCall
+    ) -> None:
+        """Starts a check whether the upstream exited after it broke a call.
 
-        Its outcome waits for that, as what is sent next depends on it.
+        The outcome is reported after the check, as the next call depends on it.
         """
-        self._broken.append((call, outcome))
-        if self._check is None:
+        self._broken_calls.append((call, outcome))
+        if self._exit_check is None:
             self._open_count += 1
             self._pools.opened_count += 1
             loop = asyncio.get_running_loop()
-            self._check = loop.create_task(self._look())
-
-    async def _look(self) -> None:
-        for _ in range(LOOKS_COUNT):
-            found = await self._connected(CHECK_TIMEOUT_MS)
-            if found != errno.ECONNRESET and not await self._is_lost(found):
+            self._exit_check = loop.create_task(self._check_exit())
+
+    async def _check_exit(self) -> None:
+        for _ in range(EXIT_CHECK_COUNT):
+            found = await self._open_connection(EXIT_CHECK_TIMEOUT_MS)
+            if found != errno.ECONNRESET and not await self._is_lost_at_once(
+                found
+            ):
                 break
             self._open_count += 1
         else:
             self._open_count -= 1
-        self._check = None
-        broken, self._broken = tuple(self._broken), []
-        ended = found == errno.ECONNREFUSED
-        if ended:
-            jobs = tuple(call.job for call, _ in broken)
+        self._exit_check = None
+        broken_calls, self._broken_calls = tuple(self._broken_calls), []
+        exited = found == errno.ECONNREFUSED
+        if exited:
+            jobs = tuple(call.job for call, _ in broken_calls)
             self._pools.on_upstream_exit(self._upstream, jobs)
-        alone = len(broken) == 1
-        for call, outcome in broken:
+        was_only_call = len(broken_calls) == 1
+        for call, outcome in broken_calls:
             call.complete(
                 dataclasses.replace(
-                    outcome, upstream_exited=ended, was_only_call=alone
+                    outcome, upstream_exited=exited, was_only_call=was_only_call
                 )
             )
         if isinstance(found, httpclient.UpstreamConnection):
-            # It lives: only the connection had ended.
-            self._keep(found)
+            # The upstream is running: only the connection was closed.
+            self._return_to_idle(found)
         else:
             self.released()
 
@@ -328,24 +340,30 @@
             return
         call.connection = connection
 
-        def ended(outcome: httpclient.Outcome) -> None:
+        def on_ended(outcome: httpclient.Outcome) -> None:
             call.connection = None
-            self._give_back(connection)
+            self._release_connection(connection)
             match outcome:
                 case httpclient.BrokenCall(sent=True) if call.job.fingerprint:
-                    self._note_broken(call, outcome)
+                    self._on_broken_call(call, outcome)
                 case _:
                     call.complete(outcome)
 
         job = call.job
-        connection.send(job.build_request(), job.request_id, job.is_head, ended)
+        connection.send(
+            job.build_request(), job.request_id, job.is_head, on_ended
+        )
 
-    def _give_back(self, connection: httpclient.UpstreamConnection) -> None:
-        # The parser may still be inside the bytes that brought the reply, and
-        # may find more of them: look again when it is done.
-        asyncio.get_running_loop().call_soon(self._keep, connection)
+    def _release_connection(
+        self, connection: httpclient.UpstreamConnection
+    ) -> None:
+        # The parser may still be reading the bytes that held the reply, and
+        # may find surplus bytes: check the connection when it is done.
+        asyncio.get_running_loop().call_soon(self._return_to_idle, connection)
 
-    def _keep(self, connection: httpclient.UpstreamConnection) -> None:
+    def _return_to_idle(
+        self, connection: httpclient.UpstreamConnection
+    ) -> None:
         if connection.lost:
             return
         if not connection.reusable:
@@ -355,21 +373,21 @@
         self.released()
 
     def withdraw(self) -> None:
-        """Ends the calls that wait for a connection: none was sent."""
+        """Fails the calls that wait for a connection; none was sent."""
         waiting = tuple(self._waiting)
         self._waiting.clear()
         for call in waiting:
             call.complete(httpclient.BrokenCall(reason=WITHDRAWN, sent=False))
 
     def released(self) -> None:
-        """Starts a call that waited for a connection."""
+        """Starts the next waiting call if a connection is available."""
         while self._waiting and self._waiting[0].is_over:
             self._waiting.popleft()
         if not self._waiting:
             return
         call = self._waiting[0]
         connection = (
-            None if call.job.needs_new_connection else self._take_idle(False)
+            None if call.job.needs_new_connection else self._pop_idle(False)
         )
         if connection is not None:
             self._waiting.popleft()
@@ -379,7 +397,7 @@
             self._open(call)
 
     def close_idle(self, older_than_ms: float) -> None:
-        """Closes idle connections unused for longer than a time."""
+        """Closes connections that were idle for at least the given time."""
         now_ms = clock.now_ms()
         for connection in tuple(self._idle):
             if now_ms - connection.last_used_ms >= older_than_ms:
@@ -387,7 +405,7 @@
                 connection.close()
 
     def close_stale(self, now_ms: float) -> None:
-        """Closes the connections that their upstream may close soon."""
+        """Closes idle connections that the upstream may close soon."""
         for connection in tuple(self._idle):
             if now_ms - connection.last_used_ms >= _idle_limit_ms(connection):
                 self._idle.remove(connection)
--- a/hyssoptack/gateway/pool_test.py
+++ b/hyssoptack/gateway/pool_test.py
@@ -1,4 +1,4 @@
-"""What the connections to an upstream show of its end."""
+"""Detection of an upstream's exit by its connections."""
 
 import asyncio
 
@@ -12,12 +12,14 @@
 
 
 class _Caller:
-    """Calls one upstream and keeps what becomes of the calls."""
+    """Calls one upstream and records the calls that its exit broke."""
 
     def __init__(self, called: fakeupstream.FakeUpstream):
         self.pools = pool.Pools(b"x-request-id")
-        self.pools.on_upstream_exit = lambda _, jobs: self.ended.append(jobs)
-        self.ended: list[tuple[pool.Job, ...]] = []
+        self.pools.on_upstream_exit = lambda _, jobs: self.exited_jobs.append(
+            jobs
+        )
+        self.exited_jobs: list[tuple[pool.Job, ...]] = []
         self._upstream = traffic.Upstream(
             upstream_id=called.upstream_id,
             service="desk",
@@ -29,7 +31,7 @@
         )
 
     async def call(self, path: bytes) -> httpclient.Outcome:
-        """Makes a call and returns what became of it."""
+        """Makes a call and returns its outcome."""
         future = asyncio.get_running_loop().create_future()
         headers = [
             (b"X-Request-Id", b"r1"),
@@ -51,14 +53,14 @@
         async with asyncio.timeout(WAIT_S):
             return await future
 
-    async def wait_ended(self) -> None:
-        """Waits until an upstream is said to have ended."""
+    async def wait_for_exit(self) -> None:
+        """Waits until an upstream's exit is reported."""
         async with asyncio.timeout(WAIT_S):
-            while not self.ended:
+            while not self.exited_jobs:
                 await asyncio.sleep(0.005)
 
 
-def test_an_upstream_that_ends_names_the_calls_that_it_had_in_hand():
+def test_an_upstreams_exit_reports_its_calls_in_progress():
     async def test():
         called = fakeupstream.FakeUpstream("i-1")
         called.behaviour.crashes_on = b"/bad"
@@ -66,41 +68,41 @@
         await called.start()
         caller = _Caller(called)
         await asyncio.gather(caller.call(b"/bad/1"), caller.call(b"/beside/1"))
-        await caller.wait_ended()
+        await caller.wait_for_exit()
         called.stop()
-        jobs = [each for jobs in caller.ended for each in jobs]
+        jobs = [each for jobs in caller.exited_jobs for each in jobs]
         names = {each.fingerprint for each in jobs}
         assert names == {"/bad/1", "/beside/1"}
 
     asyncio.run(test())
 
 
-def test_an_end_is_found_though_the_first_look_is_still_taken():
-    # The system of an ending process may take a connection, and reset it.
+def test_an_exit_is_detected_if_the_first_check_is_still_accepted():
+    # The system of an exiting process may accept a connection and reset it.
     async def test():
         called = fakeupstream.FakeUpstream("i-1")
-        taken = []
+        accepted = []
 
-        async def take(reader, writer):
-            taken.append(writer)
-            if len(taken) == 1:
+        async def accept(reader, writer):
+            accepted.append(writer)
+            if len(accepted) == 1:
                 await reader.readuntil(b"\r\n\r\n")
             else:
                 server.close()
             writer.transport.abort()
 
-        server = await asyncio.start_server(take, "127.0.0.1", 0)
+        server = await asyncio.start_server(accept, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         called.address = f"127.0.0.1:{port}"
         caller = _Caller(called)
         broken = await caller.call(b"/bad/1")
         assert broken.upstream_exited
-        assert len(taken) == 2
+        assert len(accepted) == 2
 
     asyncio.run(test())
 
 
-def test_a_connection_that_ends_alone_is_no_end_of_its_upstream():
+def test_a_single_lost_connection_is_not_taken_for_an_exit():
     async def test():
         called = fakeupstream.FakeUpstream("i-1")
         called.behaviour.reset_count = 1
@@ -109,8 +111,8 @@
         broken = await caller.call(b"/one/1")
         assert isinstance(broken, httpclient.BrokenCall)
         await asyncio.sleep(0.1)
-        assert not caller.ended
-        # The look's own connection carries the next call.
+        assert not caller.exited_jobs
+        # The connection of the exit check carries the next call.
         opened_count = caller.pools.opened_count
         reply = await caller.call(b"/one/2")
         assert isinstance(reply, message.Reply)
--- a/hyssoptack/gateway/quarantinestore.py
+++ b/hyssoptack/gateway/quarantinestore.py
@@ -1,11 +1,12 @@
-"""Blocked requests in the platform's store, so that they outlive all instances.
-
-Instances tell each other of blocked requests, and forget them when all of them
-end at once. Those that read the list of instances for their failure domain find
-what is blocked under the same prefix, at no call more, and write what is
-missing there; an instance that starts reads it with that list. The store takes
-the entries away by itself once they are over. While it is away nothing is lost
-but this.
+"""Keeps quarantined requests in the platform's store, so that they persist.
+
+Instances share quarantined requests with each other, but would lose them if all
+instances ended at once. So the instances that read the list of instances for
+their failure domain also read the quarantined requests, which are stored under
+the same prefix and need no further call, and write those that are missing. An
+instance that starts reads them with that list. The store removes the entries
+when their lease ends. While the store is unavailable, only this persistence is
+lost.
 """
 
 import dataclasses
@@ -23,30 +24,34 @@
 from hyssoptack.policy import suspectrecord
 
 STORED_COUNT = 32
-"""Most requests that are written at a time, the newest: the store takes 32
-writes in one call, and more than a few such requests at a time are made up."""
+"""Maximum number of requests that are written at a time, newest first. The
+store accepts 32 writes in one call, and more than a few such requests at a time
+are made up by somebody."""
 
 LEASE_MAX_MS = 600_000.0
 """The longest lease that the store grants; an entry that lasts longer is
 written again."""
 
 READ_AGE_MS = 10_000.0
-"""A stored entry may be so old, by the period of the readings (5 s) and by
-answers that are some seconds old: an answer since outweighs it."""
+"""Assumed age of a stored entry: the read period (5 s) plus a few seconds for
+stale reads. An upstream's answer to the request within this time overrides the
+entry."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class StoredEntry:
-    """A blocked request as it is stored.
+    """A quarantined request in its stored form.
 
-    Times are of day, as no other clock goes on when a machine starts anew; they
-    differ, and jump, by some seconds of the minutes that they are about.
+    Times are wall-clock times, as no other clock continues over a machine's
+    restart. The clocks of machines differ, and jump, by some seconds, while the
+    periods last minutes.
 
     Attributes:
-        fingerprint: The request.
-        blocked_count: How often in a row it was blocked.
-        until_unix_ms: Until when it is.
-        over_unix_ms: When it is forgotten that nobody asks for.
+        fingerprint: Fingerprint of the request.
+        blocked_count: Number of times in a row that it was quarantined.
+        until_unix_ms: End of the quarantine, in Unix time.
+        over_unix_ms: Time at which the record expires if nobody sends the
+            request, in Unix time.
     """
 
     fingerprint: str
@@ -60,53 +65,55 @@
 
 
 class QuarantineStore:
-    """One instance's part in what is stored."""
+    """Reads and writes the stored quarantined requests for one instance."""
 
     def __init__(
         self,
-        known: quarantine.SuspectRegistry,
+        registry: quarantine.SuspectRegistry,
         store: keyvalue.Client,
         prefix: str,
     ):
-        """Makes the part of one instance.
+        """Creates the quarantine store of one instance.
 
         Args:
-            known: What is held against requests.
-            store: The platform's store.
-            prefix: Start of the keys; a fingerprint follows.
+            registry: The instance's records of suspected requests.
+            store: Client of the platform's store.
+            prefix: Prefix of the keys, which end with a fingerprint.
         """
-        self._known = known
+        self._registry = registry
         self._store = store
         self._prefix = prefix
-        self._seen: dict[str, int] = {}
+        self._seen_revisions: dict[str, int] = {}
 
     async def reconcile(self, items: list[keyvalue.Item]) -> None:
-        """Takes what is stored, and stores what is missing there.
+        """Merges the stored entries, and writes and deletes entries as needed.
 
         Args:
-            items: All items under the prefix, or more.
+            items: All stored items under the prefix; other items are ignored.
         """
-        mine = [each for each in items if each.key.startswith(self._prefix)]
-        stored = self._take(mine)
+        own_items = [
+            each for each in items if each.key.startswith(self._prefix)
+        ]
+        stored = self._merge_entries(own_items)
         now_ms = clock.now_ms()
         missing = [
             (name, entry)
-            for name, entry in self._known.newest_quarantined(
+            for name, entry in self._registry.newest_quarantined(
                 STORED_COUNT, now_ms
             )
             if stored.get(name, 0) < entry.quarantine_count
         ]
         if missing:
             await self._write(missing, now_ms)
-        cleared = [each for each in stored if self._known.was_cleared(each)]
+        cleared = [each for each in stored if self._registry.was_cleared(each)]
         if cleared:
             keys = [self._prefix + each for each in cleared]
-            self._note("cleared", cleared, await self._store.delete(keys))
+            self._log_write("cleared", cleared, await self._store.delete(keys))
 
-    def _take(self, items: list[keyvalue.Item]) -> dict[str, int]:
-        """Takes each entry once; returns how often each was blocked."""
+    def _merge_entries(self, items: list[keyvalue.Item]) -> dict[str, int]:
+        """Merges each new entry; returns the quarantine counts of all."""
         stored: dict[str, int] = {}
-        seen: dict[str, int] = {}
+        seen_revisions: dict[str, int] = {}
         for item in items:
             try:
                 entry = msgspec.json.decode(item.value, type=StoredEntry)
@@ -114,22 +121,22 @@
                 log.write(log.Event.PEER_UNREADABLE, reason=str(error))
                 continue
             stored[entry.fingerprint] = entry.blocked_count
-            seen[item.key] = item.revision
-            if self._seen.get(item.key) != item.revision:
-                self._tell(entry)
-        self._seen = seen
+            seen_revisions[item.key] = item.revision
+            if self._seen_revisions.get(item.key) != item.revision:
+                self._merge_entry(entry)
+        self._seen_revisions = seen_revisions
         return stored
 
-    def _tell(self, entry: StoredEntry) -> None:
+    def _merge_entry(self, entry: StoredEntry) -> None:
         unix_ms = _unix_ms()
-        told = gatewaymessage.Suspect(
+        suspect = gatewaymessage.Suspect(
             fingerprint=entry.fingerprint,
             age_ms=READ_AGE_MS,
             blocked_count=entry.blocked_count,
             blocked_for_ms=max(0.0, entry.until_unix_ms - unix_ms),
             kept_for_ms=max(0.0, entry.over_unix_ms - unix_ms),
         )
-        self._known.merge_notice(told, "store", clock.now_ms())
+        self._registry.merge_notice(suspect, "store", clock.now_ms())
 
     async def _write(
         self,
@@ -154,15 +161,15 @@
                 result = await self._store.put_all(items, lease)
             case granted:
                 result = granted
-        self._note("stored", [name for name, _ in missing], result)
+        self._log_write("stored", [name for name, _ in missing], result)
 
-    def _note(
+    def _log_write(
         self,
         what: str,
         names: list[str],
         result: expression.Result[object, keyvalue.Failure],
     ) -> None:
-        """Logs what was written; what failed is tried at the next reading."""
+        """Logs a write; a failed one is repeated after the next read."""
         error = result.error.detail if result.is_error() else ""
         log.write(
             log.Event.BLOCKED_STORED, what=what, fingerprints=names, error=error
--- a/hyssoptack/gateway/quarantinestore_test.py
+++ b/hyssoptack/gateway/quarantinestore_test.py
@@ -1,4 +1,4 @@
-"""Blocked requests outlive all instances, in the platform's store."""
+"""Quarantined requests persist in the platform's store."""
 
 import asyncio
 
@@ -9,10 +9,10 @@
 from hyssoptack.platform import storeformat
 
 STORED_S = 8.0
-"""More than a reader's period (5 s, and 15 in 100 more)."""
+"""Longer than a reader's period (5 s plus 15 %)."""
 
 
-def _stored(site):
+def _stored_keys(site):
     return [
         key
         for key in site.store._items
@@ -20,51 +20,51 @@
     ]
 
 
-async def _wait(condition):
+async def _wait_until(condition):
     async with asyncio.timeout(STORED_S):
         while not condition():
             await asyncio.sleep(0.05)
 
 
-async def _blocked(site):
-    """A site on which one request is blocked, and stored."""
+async def _quarantine_one(site):
+    """Sets up a site on which one request is quarantined and stored."""
     await gateway_crash_test.start_sharded_site(site)
     watch = gateway_crash_test.CrashWatch(site, b"/all/bad")
     await site.get("/all/bad", "bad-1", name="n1")
-    await quarantinesync_test._wait_blocked(site, "n1", "n2", "s1")
-    await _wait(lambda: _stored(site))
+    await quarantinesync_test._wait_quarantined(site, "n1", "n2", "s1")
+    await _wait_until(lambda: _stored_keys(site))
     return watch
 
 
-def test_all_instances_that_start_anew_at_once_know_it():
+def test_a_quarantine_survives_the_restart_of_all_instances():
     async def test():
         async with harness.Site() as site:
-            watch = await _blocked(site)
+            watch = await _quarantine_one(site)
             for name in tuple(site.gateways):
                 site.kill(name)
             await asyncio.sleep(0.2)
             site.gateways.clear()
             await site.start("n4")
             await site.start("s4", failure_domain="south")
-            await quarantinesync_test._wait_blocked(site, "n4", "s4")
-            count = len(watch.arrivals)
+            await quarantinesync_test._wait_quarantined(site, "n4", "s4")
+            count = len(watch.runs)
             for name in site.gateways:
                 got = await site.get("/all/bad", f"bad-{name}", name=name)
                 assert got.status == 502
-            assert len(watch.arrivals) == count
+            assert len(watch.runs) == count
 
     asyncio.run(test())
 
 
-def test_what_is_cleared_is_removed_and_blocked_by_nobody_again():
+def test_a_cleared_request_is_removed_and_not_quarantined_again():
     async def test():
         async with harness.Site() as site:
-            await _blocked(site)
+            await _quarantine_one(site)
             for name in site.gateways:
                 known = quarantinesync_test._suspicions(site, name)
                 (fingerprint,) = known._blocked
                 known.record_answer(fingerprint, clock.now_ms())
-            await _wait(lambda: not _stored(site))
+            await _wait_until(lambda: not _stored_keys(site))
             for name in site.gateways:
                 known = quarantinesync_test._suspicions(site, name)
                 assert not known.has_entries
@@ -72,12 +72,12 @@
     asyncio.run(test())
 
 
-def test_instances_are_still_found_beside_what_is_stored():
+def test_instances_are_found_beside_stored_quarantines():
     async def test():
         async with harness.Site() as site:
-            await _blocked(site)
+            await _quarantine_one(site)
             await site.start("n3")
-            await _wait(
+            await _wait_until(
                 lambda: site.gateways["n3"].reader_election.instance_count == 4
             )
 
--- a/hyssoptack/gateway/quarantinesync.py
+++ b/hyssoptack/gateway/quarantinesync.py
@@ -1,11 +1,12 @@
-"""Requests that crash upstreams: what is found here, and what others find.
-
-`policy.quarantine` holds the beliefs; here they are logged and told. News go to
-some instances of the own failure domain and of others at once, who pass them on
-when they are news to them, too. Each second a part of all that is held is told
-to one of each: what was lost, or found while a domain was cut off, is made up
-for. An instance that has just started asks. While nothing is held, nothing is
-sent.
+"""Shares records of requests that crash upstreams between instances (gossip).
+
+`policy.quarantine` holds the records of suspected and quarantined requests;
+this module logs and sends them. New records go at once to some instances of the
+own failure domain and of others, which forward those that are new to them.
+Each second, a sample of all records goes to one instance of each kind, which
+makes up for lost messages and for records made during a partition. An instance
+that has just started requests the records of others. While there are no
+records, nothing is sent.
 """
 
 import asyncio
@@ -21,44 +22,50 @@
 from hyssoptack.gateway import pool
 from hyssoptack.policy import quarantine
 
-ROUND_S = 1.0
-"""How often a part of all is told: an instance that missed some has heard it
-within 3 s in 399 of 400 cases, as each round all others tell two."""
+ROUND_PERIOD_S = 1.0
+"""How often a sample of all records is sent. As every other instance sends to
+two instances in each round, one that missed a record gets it within 3 s in 399
+of 400 cases."""
 
-NEWS_PAUSE_S = 0.02
-"""News that come together are told together; a query's upstreams end within
-some tens of milliseconds."""
+NEW_RECORDS_DELAY_S = 0.02
+"""Delay before new records are sent, so that they share a message. The
+upstreams that one query crashes exit within some tens of milliseconds."""
 
 NEAR_COUNT = 4
 FAR_COUNT = 2
-"""Instances of the own and of other failure domains that are told news. Each
-tells on as many: 997 of 1,000 hear it so within some tens of milliseconds."""
+"""Number of instances of the own (`NEAR_COUNT`) and of other failure domains
+(`FAR_COUNT`) that get new records. Each forwards them to as many: 997 of 1,000
+instances get them so within some tens of milliseconds."""
 
-NEWS_COUNT = 6
-"""Most requests that are told of at once: at the pace below that is a second's
-worth, so that the next one is told in time. Requests that crash upstreams are
-few; where somebody makes up many, what others hold of them helps nobody."""
+NEW_RECORDS_COUNT = 6
+"""Maximum number of new records in one message. At `MAX_BYTES_PER_S` they take
+a second, so that the next new record is sent in time. Requests that crash
+upstreams are few; if somebody makes up many of them, sharing their records is
+of no use."""
 
-PART_COUNT = 16
-"""Most requests that a round tells of again."""
+SAMPLE_COUNT = 16
+"""Maximum number of records that a round sends again."""
 
 ANSWER_COUNT = 256
-"""Most requests that an instance is told of that has just started."""
+"""Maximum number of records in the reply to an instance that has just started.
+"""
 
-SUSPECT_BYTES = 150
-"""About what one request takes in a message (140 while it is blocked)."""
+RECORD_BYTES = 150
+"""Approximate size of one record in a message (140 bytes while the request is
+quarantined)."""
 
-PACE_BYTES_PER_S = 6_000
-"""What is told on the average at most: a third of what an instance may send
-for control (19 KB a second), however many requests are suspected."""
+MAX_BYTES_PER_S = 6_000
+"""Maximum average rate at which records are sent: a third of what an instance
+may send for control (19 KB a second), however many requests are suspected."""
 
-ASK_ROUNDS_COUNT = 3
-"""So many rounds after its start an instance asks what others hold: who it
-asks first may have just started as well."""
+REQUEST_ROUNDS_COUNT = 3
+"""Number of rounds after its start in which an instance requests the records of
+others: the instances it asks first may have just started as well."""
 
-IN_HAND_LOGGED_COUNT = 16
-"""Most calls of a lost upstream that one line names: it has 3 to 6 slots, and
-as many calls of this instance at most as that and its queue."""
+LOGGED_CALLS_COUNT = 16
+"""Maximum number of calls in progress that the log line of an upstream's exit
+names. An upstream has 3 to 6 slots, and this instance has at most as many calls
+there as fit in the slots and the queue."""
 
 EVENTS = {
     quarantine.ChangeKind.SUSPECTED: log.Event.SUSPICION_BEGAN,
@@ -67,54 +74,56 @@
     quarantine.ChangeKind.CLEARED: log.Event.SUSPICION_ENDED,
     quarantine.ChangeKind.EXPIRED: log.Event.SUSPICION_ENDED,
 }
+"""Log event of each kind of change."""
 
 Send = collections.abc.Callable[[str, gatewaymessage.Message], None]
 Peers = collections.abc.Callable[[], collections.abc.Sequence[member.Peer]]
 
 
 class QuarantineSync:
-    """One instance's part in what all hold against requests."""
+    """Sends and receives one instance's records of suspected requests."""
 
     def __init__(
         self,
-        known: quarantine.SuspectRegistry,
+        registry: quarantine.SuspectRegistry,
         own: member.Peer,
         near: Peers,
         far: Peers,
         send: Send,
         on_blocked: collections.abc.Callable[[str], None],
-        counted: metrics.Metrics,
+        instance_metrics: metrics.Metrics,
     ):
-        """Makes the part of one instance.
+        """Creates the sync of one instance.
 
         Args:
-            known: What it holds.
-            own: Its name and address.
-            near: Returns the others of its failure domain.
-            far: Returns some of other failure domains.
+            registry: The instance's records of suspected requests.
+            own: The instance's id and address.
+            near: Returns the other instances of its failure domain.
+            far: Returns some instances of other failure domains.
             send: Sends a message to an address.
-            on_blocked: Told of a request that is refused from now on.
-            counted: The instance's metrics.
+            on_blocked: Called with the fingerprint of a request that is refused
+                from now on.
+            instance_metrics: The instance's metrics.
         """
-        self.suspicions = known
+        self.suspicions = registry
         self._own = own
         self._near = near
         self._far = far
         self._send = send
         self._on_blocked = on_blocked
-        self._metrics = counted
+        self._metrics = instance_metrics
         self._random = random.Random()
-        self._ask_count = ASK_ROUNDS_COUNT
-        self._news = asyncio.Event()
-        known.on_change = self._on_change
-        known.on_pending_notices = self._news.set
+        self._remaining_request_count = REQUEST_ROUNDS_COUNT
+        self._has_new_records = asyncio.Event()
+        registry.on_change = self._on_change
+        registry.on_pending_notices = self._has_new_records.set
 
-    # What is found.
+    # Changes on this instance.
 
     def on_upstream_exit(
         self, upstream: traffic.Upstream, in_hand: tuple[pool.Job, ...]
     ) -> None:
-        """Takes that an upstream broke calls off and is gone."""
+        """Counts and logs an upstream that exited with calls in progress."""
         self._metrics.upstream_exits.inc({"service": upstream.service})
         log.write(
             log.Event.UPSTREAM_ENDED,
@@ -122,7 +131,7 @@
             service=upstream.service,
             in_hand=[
                 f"{each.fingerprint} {each.request_id.decode('latin-1')}"
-                for each in in_hand[:IN_HAND_LOGGED_COUNT]
+                for each in in_hand[:LOGGED_CALLS_COUNT]
             ],
             in_hand_count=len(in_hand),
         )
@@ -139,53 +148,66 @@
             source=change.source,
         )
         if change.kind is quarantine.ChangeKind.QUARANTINED:
-            # The plan that found so is not done with its own command yet.
+            # The call plan that caused the change is still running a command.
             loop = asyncio.get_running_loop()
             loop.call_soon(self._on_blocked, change.fingerprint)
 
-    # What is told.
+    # Records that are sent.
 
     async def share_periodically(self) -> None:
-        """Tells others what is held, for as long as it runs."""
+        """Sends records to other instances until cancelled."""
         while True:
-            if self._ask_count or self.suspicions.has_entries:
-                await self._wait_for_news()
+            if self._remaining_request_count or self.suspicions.has_entries:
+                await self._wait_for_new_records()
             else:
-                await self._news.wait()
-            if self._news.is_set():
-                await asyncio.sleep(NEWS_PAUSE_S)
+                await self._has_new_records.wait()
+            if self._has_new_records.is_set():
+                await asyncio.sleep(NEW_RECORDS_DELAY_S)
             await asyncio.sleep(self._round())
 
-    async def _wait_for_news(self) -> None:
+    async def _wait_for_new_records(self) -> None:
         try:
-            async with asyncio.timeout(ROUND_S):
-                await self._news.wait()
+            async with asyncio.timeout(ROUND_PERIOD_S):
+                await self._has_new_records.wait()
         except TimeoutError:
-            # A part of all is told again.
+            # The round then sends a sample of all records.
             return
 
     def _round(self) -> float:
-        """Tells and asks once; returns how long to pause after it, in s."""
+        """Runs one round; returns the pause after it in seconds."""
         now_ms = clock.now_ms()
         self.suspicions.expire(now_ms)
-        self._ask()
-        if self._news.is_set():
-            self._news.clear()
-            news = self.suspicions.pop_new_notices(NEWS_COUNT, now_ms)
-            told_count = self._tell(news, NEAR_COUNT, FAR_COUNT)
-            self._log_shared(news)
+        self._request_records()
+        if self._has_new_records.is_set():
+            self._has_new_records.clear()
+            new_records = self.suspicions.pop_new_notices(
+                NEW_RECORDS_COUNT, now_ms
+            )
+            sent_count = self._send_records(new_records, NEAR_COUNT, FAR_COUNT)
+            self._log_shared(new_records)
         else:
-            part = self.suspicions.sample_notices(PART_COUNT, now_ms)
-            told_count = self._tell(part, 1, 1)
-        return told_count * SUSPECT_BYTES / PACE_BYTES_PER_S
+            sample = self.suspicions.sample_notices(SAMPLE_COUNT, now_ms)
+            sent_count = self._send_records(sample, 1, 1)
+        return sent_count * RECORD_BYTES / MAX_BYTES_PER_S
 
-    def _tell(
+    def _send_records(
         self, suspects: tuple[gatewaymessage.Suspect, ...], near: int, far: int
     ) -> int:
-        """Tells some others; returns how often a request was told of."""
+        """Sends records to a random sample of instances.
+
+        Args:
+            suspects: The records.
+            near: Number of instances of the own failure domain.
+            far: Number of instances of other failure domains.
+
+        Returns:
+            Number of records sent, over all instances.
+        """
         if not suspects:
             return 0
-        peers = self._some(self._near(), near) + self._some(self._far(), far)
+        peers = self._sample(self._near(), near) + self._sample(
+            self._far(), far
+        )
         for peer in peers:
             self._send(peer.address, self._notice(suspects))
         return len(suspects) * len(peers)
@@ -197,36 +219,38 @@
             sender_id=self._own.instance_id, suspects=suspects
         )
 
-    def _some(
-        self, peers: collections.abc.Sequence[member.Peer], most_count: int
+    def _sample(
+        self, peers: collections.abc.Sequence[member.Peer], max_count: int
     ) -> list[member.Peer]:
-        return self._random.sample(peers, min(len(peers), most_count))
+        return self._random.sample(peers, min(len(peers), max_count))
 
-    def _log_shared(self, news: tuple[gatewaymessage.Suspect, ...]) -> None:
-        if news:
+    def _log_shared(
+        self, new_records: tuple[gatewaymessage.Suspect, ...]
+    ) -> None:
+        if new_records:
             log.write(
                 log.Event.SUSPICION_SHARED,
-                fingerprints=[each.fingerprint for each in news],
+                fingerprints=[each.fingerprint for each in new_records],
             )
 
-    def _ask(self) -> None:
-        if not self._ask_count:
+    def _request_records(self) -> None:
+        if not self._remaining_request_count:
             return
-        peers = self._some(self._near(), 2) + self._some(self._far(), 1)
+        peers = self._sample(self._near(), 2) + self._sample(self._far(), 1)
         if not peers:
             return
-        self._ask_count -= 1
-        wanted = gatewaymessage.SuspectsRequest(address=self._own.address)
+        self._remaining_request_count -= 1
+        request = gatewaymessage.SuspectsRequest(address=self._own.address)
         for peer in peers:
-            self._send(peer.address, wanted)
+            self._send(peer.address, request)
 
-    # What others tell.
+    # Messages that are received.
 
     def on_message(
         self,
         each: gatewaymessage.SuspectsNotice | gatewaymessage.SuspectsRequest,
     ) -> None:
-        """Takes another instance's word, or answers its question."""
+        """Merges the records of another instance, or answers its request."""
         now_ms = clock.now_ms()
         match each:
             case gatewaymessage.SuspectsNotice(
--- a/hyssoptack/gateway/quarantinesync_test.py
+++ b/hyssoptack/gateway/quarantinesync_test.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of requests that crash upstreams."""
+"""Sharing of records of requests that crash upstreams between instances."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
     return site.gateways[name]._suspicions
 
 
-async def _wait_blocked(site, *names):
+async def _wait_quarantined(site, *names):
     async with asyncio.timeout(TOLD_S):
         while not all(
             _suspicions(site, each).quarantined_count for each in names
@@ -25,8 +25,12 @@
             await asyncio.sleep(0.02)
 
 
-def _cut(site, name):
-    """Loses all messages between an instance and the others, both ways."""
+def _partition(site, name):
+    """Drops all messages between an instance and the others, both ways.
+
+    Returns:
+        A function that ends the partition.
+    """
     cut_off = site.gateways[name]
     addresses = {cut_off._settings.peer_address}
     ends = []
@@ -49,11 +53,11 @@
 
 
 BUDGET = gateway.BudgetSettings(slack_count=10_000.0)
-"""Calls enough that only suspicion could keep anything from being served."""
+"""A budget of extra calls so large that only suspicions refuse requests."""
 
 
-async def _get_twice(site, path, name):
-    """Sends a request as callers do: once more after a failure."""
+async def _get_with_retry(site, path, name):
+    """Sends a request as callers do, with one retry after a failure."""
     got = await site.get(path, f"first{path}", name=name)
     if got.status == 200:
         return got
@@ -62,40 +66,40 @@
     return await site.get(path, f"again{path}", name=name)
 
 
-async def _desk(site, count=6):
+async def _start_desk(site, count=6):
     for index in range(count):
         zone = "north" if index % 2 else "south"
         await site.add_upstream(f"i-{index}", "desk", zone=zone)
     site.configure(gateway_test.SINGLE)
 
 
-def test_all_know_of_it_soon_though_messages_are_lost_at_first():
+def test_a_quarantine_reaches_all_instances_after_lost_messages():
     async def test():
         async with harness.Site() as site:
             await gateway_crash_test.start_sharded_site(site)
             gateway_crash_test.CrashWatch(site, b"/all/bad")
-            heal = _cut(site, "s1")
+            heal = _partition(site, "s1")
             await gateway_crash_test.send_repeatedly(
                 site, "/all/bad", 0.6, 0.2, "bad"
             )
-            await _wait_blocked(site, "n1", "n2")
+            await _wait_quarantined(site, "n1", "n2")
             heal()
-            await _wait_blocked(site, "s1")
+            await _wait_quarantined(site, "s1")
 
     asyncio.run(test())
 
 
-def test_a_cut_off_instance_finds_out_alone_and_both_sides_agree_later():
+def test_a_partitioned_instances_quarantine_is_shared_after_the_partition():
     async def test():
         async with harness.Site() as site:
             await gateway_crash_test.start_sharded_site(site)
             watch = gateway_crash_test.CrashWatch(site, b"/all/bad")
-            heal = _cut(site, "s1")
+            heal = _partition(site, "s1")
             await site.get("/all/bad", "bad-1", name="s1")
-            await _wait_blocked(site, "s1")
+            await _wait_quarantined(site, "s1")
             alone_count = len(watch.crash_ms)
             heal()
-            await _wait_blocked(site, "n1", "n2")
+            await _wait_quarantined(site, "n1", "n2")
             got = await site.get("/all/bad", "bad-2", name="n1")
             assert got.status == 502
             assert len(watch.crash_ms) == alone_count
@@ -103,28 +107,30 @@
     asyncio.run(test())
 
 
-def test_it_goes_on_while_the_store_is_away():
+def test_quarantines_are_shared_during_a_store_outage():
     async def test():
         async with harness.Site() as site:
             await gateway_crash_test.start_sharded_site(site)
             gateway_crash_test.CrashWatch(site, b"/all/bad")
             site.store.stop()
             await site.get("/all/bad", "bad-1", name="n1")
-            await _wait_blocked(site, "n1", "n2", "s1")
+            await _wait_quarantined(site, "n1", "n2", "s1")
 
     asyncio.run(test())
 
 
-def test_requests_beside_it_are_all_served():
-    # Single requests that share upstreams with one that crashes them: each
-    # loses its upstream at most a few times, and is answered elsewhere.
+def test_requests_that_share_crashing_upstreams_are_served():
+    # Single requests share upstreams with one that crashes them. Each loses
+    # its upstream at most a few times, and is answered by another.
     async def test():
         async with harness.Site() as site:
-            await _desk(site, 12)
+            await _start_desk(site, 12)
             await gateway_crash_test.start_gateways(site)
             gateway_crash_test.CrashWatch(site, b"/one/bad")
             beside = [
-                asyncio.create_task(_get_twice(site, f"/one/ok-{index}", name))
+                asyncio.create_task(
+                    _get_with_retry(site, f"/one/ok-{index}", name)
+                )
                 for index, name in enumerate(("n1", "n2", "s1") * 6)
             ]
             bad = await site.get("/one/bad", "bad-1", name="n1")
@@ -137,7 +143,7 @@
     asyncio.run(test())
 
 
-def test_upstreams_that_crash_by_chance_bar_no_request():
+def test_random_crashes_of_upstreams_quarantine_no_request():
     async def test():
         async with harness.Site() as site:
             await gateway_crash_test.start_sharded_site(site, budget=BUDGET)
@@ -146,13 +152,13 @@
             for turn in range(6):
                 asked = [
                     asyncio.create_task(
-                        _get_twice(site, f"/all/q-{turn}-{n}", name)
+                        _get_with_retry(site, f"/all/q-{turn}-{n}", name)
                     )
                     for n, name in enumerate(("n1", "n2", "s1") * 3)
                 ]
                 await asyncio.sleep(gateway_crash_test.WORK_MS / 2 / 1_000.0)
-                # Half of all copies at once, by turns; all copies of a failure
-                # domain would pass for a cut, whatever else is believed.
+                # Crash half of all copies in turns: if all copies of a failure
+                # domain crashed, a partition would be detected instead.
                 for each in site.services.values():
                     if int(each.upstream_id[-1]) // 2 == turn % 2:
                         each.behaviour.return_ms = 300.0
@@ -166,18 +172,18 @@
     asyncio.run(test())
 
 
-def test_what_has_become_harmless_is_served_again_everywhere():
+def test_a_request_that_no_longer_crashes_is_served_by_all_instances():
     async def test():
         async with harness.Site() as site:
             await gateway_crash_test.start_sharded_site(site)
             watch = gateway_crash_test.CrashWatch(site, b"/all/bad")
             await site.get("/all/bad", "bad-1", name="n1")
-            await _wait_blocked(site, "n1", "n2", "s1")
+            await _wait_quarantined(site, "n1", "n2", "s1")
             await asyncio.sleep(gateway_crash_test.RETURN_MS / message.MS_PER_S)
             for each in site.services.values():
                 each.behaviour.crashes_on = b""
             crashes = len(watch.crash_ms)
-            # Its time is over at the instance that is asked.
+            # The quarantine is over at the instance that gets the request.
             entry = next(iter(_suspicions(site, "n2")._blocked.values()))
             entry.quarantined_until_ms = entry.probe_jitter_ms = 0.0
             got = await site.get("/all/bad", "ok-1", name="n2")
@@ -191,20 +197,20 @@
     asyncio.run(test())
 
 
-def test_nothing_is_sent_while_nothing_is_held():
+def test_nothing_is_sent_while_there_are_no_records():
     async def test():
         async with harness.Site() as site:
             await gateway_crash_test.start_sharded_site(site)
             told = []
             for each in site.gateways.values():
-                kept = each._suspecting._send
+                kept = each._quarantine_sync._send
 
                 def send(address, body, kept=kept):
                     told.append(body)
                     kept(address, body)
 
-                each._suspecting._send = send
-            # Asking others after the start is over by then.
+                each._quarantine_sync._send = send
+            # By then, the instances no longer request records after the start.
             await asyncio.sleep(3.5)
             told.clear()
             for number in range(9):
@@ -215,7 +221,7 @@
     asyncio.run(test())
 
 
-def test_a_query_that_is_handed_over_is_found_out_and_handed_no_more():
+def test_a_delegated_query_that_crashes_upstreams_is_quarantined():
     async def test():
         async with harness.Site() as site:
             for shard in range(4):
@@ -227,24 +233,24 @@
             watch = gateway_crash_test.CrashWatch(site, b"/all/bad")
             got = await site.get("/all/bad", "bad-1", name="narrow")
             assert got.status == 502
-            await _wait_blocked(site, "narrow", "wide")
-            count = len(watch.arrivals)
+            await _wait_quarantined(site, "narrow", "wide")
+            count = len(watch.runs)
             narrow._delegating.try_delegate = None
             for name in site.gateways:
                 got = await site.get("/all/bad", f"bad-{name}", name=name)
                 assert got.status == 502
-            assert len(watch.arrivals) == count
+            assert len(watch.runs) == count
 
     asyncio.run(test())
 
 
-def test_a_neighbour_that_runs_queries_for_others_refuses_it_too():
+def test_a_gatherer_refuses_a_relayed_quarantined_request():
     async def test():
         async with harness.Site() as site:
             await gateway_crash_test.start_sharded_site(site)
             gateway_crash_test.CrashWatch(site, b"/all/bad")
             await site.get("/all/bad", "bad-1", name="n1")
-            await _wait_blocked(site, "n2", "s1")
+            await _wait_quarantined(site, "n2", "s1")
             name = next(iter(_suspicions(site, "s1")._blocked))
             gathering = site.gateways["s1"]._gathering
             sent = []
--- a/hyssoptack/gateway/replicatedview.py
+++ b/hyssoptack/gateway/replicatedview.py
@@ -1,7 +1,8 @@
-"""What one instance believes: the configuration and the list of upstreams.
+"""One instance's copy of the configuration and of the list of upstreams.
 
-The configuration only moves up. An upstream that vanishes from the list around
-an outage of the store is kept for as long as it has to enter itself again.
+The configuration's version never decreases. An upstream that vanishes from the
+list around an outage of the store is kept for a grace period, within which it
+has to register again.
 """
 
 import collections.abc
@@ -16,26 +17,29 @@
 from hyssoptack.policy import routetable
 
 REREGISTRATION_GRACE_MS = 2_000.0
-"""Time that a living upstream needs to enter itself again after the store's
-return, by the users' word; one missing for longer is gone."""
+"""Time that a running upstream needs to register again after the store's
+return, as the users state; an upstream that is missing for longer is gone."""
 
 
 @dataclasses.dataclass(kw_only=True)
 class ReplicatedView:
-    """The views that requests are served from.
+    """The configuration and upstreams that requests are served from.
 
     Attributes:
-        load_balancer: Standings of the upstreams.
-        pools: Connections to them.
+        load_balancer: Load balancer that holds the state of each upstream.
+        pools: Connections to the upstreams.
+        on_configuration: Called with each new configuration.
         route_table: Routes in force.
-        config_applied_ms: When the configuration was taken.
-        list_read_ms: When the list of upstreams was last read, by whomever.
-        list_revision: The store's revision that the list is of.
-        evacuations: Failure domains whose upstreams must get nothing.
-        store_recovered_ms: When the store last returned from an outage.
-        on_configuration: Told of each new configuration.
+        config_applied_ms: Time at which the configuration was applied.
+        list_read_ms: Time at which this instance or a neighbour last read the
+            list of upstreams.
+        list_revision: Store revision of the list.
+        upstreams: Listed upstreams by id.
+        evacuations: Failure domains whose upstreams must get no requests.
+        store_recovered_ms: Time at which the store last returned from an
+            outage.
         keeps_lapsed_upstreams: Whether entries that lapsed in an outage are
-            kept a while.
+            kept for the grace period.
     """
 
     load_balancer: loadbalancer.LoadBalancer
@@ -61,19 +65,28 @@
 
     @property
     def version(self) -> int:
-        """The version in force; 0 before there is one."""
+        """Version of the configuration in force; 0 before there is one."""
         found = self.route_table.configuration
         return found.version if found else 0
 
     @property
     def is_complete(self) -> bool:
-        """Whether both views were read."""
+        """Whether both the configuration and the list have been read."""
         return self.version > 0 and self.list_read_ms > 0
 
     def apply_configuration(
         self, offered: traffic.Configuration, source: str, now_ms: float
     ) -> bool:
-        """Puts a configuration in force if it is newer; tells whether it is."""
+        """Applies a configuration if its version is newer.
+
+        Args:
+            offered: The configuration.
+            source: Where it came from, for the log.
+            now_ms: The current time.
+
+        Returns:
+            Whether it was applied.
+        """
         before = self.version
         if offered.version <= before:
             if offered.version < before:
@@ -103,21 +116,21 @@
         now_ms: float,
         read_ms: float | None = None,
     ) -> None:
-        """Replaces the list of upstreams, unless this one is older.
+        """Replaces the list of upstreams, unless the new one is older.
 
         Args:
-            listed: The upstreams by their ids.
-            revision: The store's revision at the time of reading.
-            now_ms: The time now.
-            read_ms: When it was read, if not just now.
+            listed: Upstreams by id.
+            revision: Store revision at which the list was read.
+            now_ms: The current time.
+            read_ms: Time of the read, if it was not now.
         """
         if revision < self.list_revision:
             return
         kept = dict(listed)
         if self.remaining_grace_ms(now_ms) > 0:
-            # What is missing may have lapsed in the outage only. That holds
-            # for a neighbour's list too: it may have started just now.
-            kept = _without_predecessors(self.upstreams, kept) | kept
+            # A missing entry may merely have lapsed in the outage. That holds
+            # for a neighbour's list too: the neighbour may have just started.
+            kept = _unreplaced(self.upstreams, kept) | kept
         self._log_changes(kept)
         self.upstreams = kept
         self.confirm_list(revision, now_ms if read_ms is None else read_ms)
@@ -126,10 +139,10 @@
     def _install(
         self, now_ms: float, returning: frozenset[str] = frozenset()
     ) -> None:
-        """Puts the upstreams in use that operators have not evacuated.
+        """Hands the upstreams outside evacuated domains to the load balancer.
 
         Args:
-            now_ms: The time now.
+            now_ms: The current time.
             returning: Failure domains that were evacuated until now.
         """
         usable = {
@@ -147,7 +160,7 @@
         )
 
     def apply_evacuations(self, source: str, now_ms: float) -> bool:
-        """Puts the evacuations in force; tells whether they changed."""
+        """Applies the current evacuations; returns whether they changed."""
         current = self.evacuations.evacuated_domains(now_ms)
         if current == self._evacuated:
             return False
@@ -170,12 +183,12 @@
         source: str,
         now_ms: float,
     ) -> bool:
-        """Takes a whole list of evacuations; tells whether any changed."""
+        """Replaces all evacuations; returns whether any changed."""
         self.evacuations.replace_all(domains, at, now_ms)
         return self.apply_evacuations(source, now_ms)
 
     def remaining_grace_ms(self, now_ms: float) -> float:
-        """Returns how much longer what is missing may enter itself again."""
+        """Returns the rest of the grace period for lapsed upstreams."""
         if not self.keeps_lapsed_upstreams:
             return 0.0
         return max(
@@ -183,7 +196,10 @@
         )
 
     def extend_grace(self, grace_ms: float, now_ms: float) -> None:
-        """Takes over a neighbour's grace: its list holds what may return."""
+        """Extends the grace period to a neighbour's.
+
+        The neighbour's list still holds lapsed upstreams, which may return.
+        """
         if grace_ms > 0:
             back_ms = (
                 now_ms
@@ -193,41 +209,41 @@
             self.store_recovered_ms = max(self.store_recovered_ms, back_ms)
 
     def confirm_list(self, revision: int, read_ms: float) -> None:
-        """Notes that the list still stood at a later revision.
+        """Records that the list was unchanged at a later revision.
 
-        A neighbour that tells something else tells its old list along: that
-        makes the own one no younger.
+        A neighbour's notice of another change carries its old list along, which
+        must not make this instance's list younger.
         """
         self.list_revision = revision
         self.list_read_ms = max(self.list_read_ms, read_ms)
 
     def _log_changes(self, kept: dict[str, traffic.Upstream]) -> None:
-        came = {
+        added = {
             upstream_id: upstream.service
             for upstream_id, upstream in kept.items()
             if upstream_id not in self.upstreams
         }
-        went = [each for each in self.upstreams if each not in kept]
-        drains = [
+        removed = [each for each in self.upstreams if each not in kept]
+        now_draining = [
             upstream_id
             for upstream_id, upstream in kept.items()
             if upstream.draining
             and not getattr(self.upstreams.get(upstream_id), "draining", False)
         ]
-        if came or went or drains:
+        if added or removed or now_draining:
             log.write(
                 log.Event.UPSTREAMS_CHANGED,
-                came=came,
-                went=went,
-                draining=drains,
+                came=added,
+                went=removed,
+                draining=now_draining,
                 count=len(kept),
             )
 
 
-def _without_predecessors(
+def _unreplaced(
     before: dict[str, traffic.Upstream], listed: dict[str, traffic.Upstream]
 ) -> dict[str, traffic.Upstream]:
-    """Returns the upstreams that no other start under their id replaces."""
+    """Returns the upstreams that no listed restart of themselves replaces."""
     names = {each.expected_id for each in listed.values()}
     return {
         upstream_id: upstream
--- a/hyssoptack/gateway/restarted_test.py
+++ b/hyssoptack/gateway/restarted_test.py
@@ -1,4 +1,4 @@
-"""Instances that start again while others still work for them."""
+"""Restarts of an instance while others still work on its queries."""
 
 import asyncio
 import random
@@ -23,22 +23,22 @@
 ROUTE = {**gateway_test.SHARDS, "timeout_ms": 8_000}
 
 
-async def _ready(site, narrow, ready):
+async def _wait_ready(site, narrow, ready):
     async with asyncio.timeout(WAIT_S):
         while not ready():
             await asyncio.sleep(0.05)
     narrow._delegating.selector.record_reply_size("route-0", REPLY_BYTES)
 
 
-async def _stamps(site, request_id):
-    """Returns which request the parts of an answer belong to."""
+async def _get_part_requests(site, request_id):
+    """Returns a response's status and the ids of the requests of its parts."""
     got = await site.get("/all/x", request_id, name="narrow")
     stamps = got.headers.get("x-part-stamps", "").split(", ")
     return got.status, {each.rpartition(".")[2] for each in stamps}
 
 
 async def _restart(site, ready):
-    """Kills the narrow instance with a query under way and starts it again."""
+    """Kills the narrow instance with a query in progress and restarts it."""
     address = site.settings["narrow"].peer_address
     for each in site.services.values():
         each.behaviour.delay_ms = WORK_MS
@@ -51,7 +51,7 @@
     for each in site.services.values():
         each.behaviour.delay_ms = 0.0
     narrow = await site.start("narrow", link_mbps=0.5, peer_address=address)
-    await _ready(site, narrow, lambda: ready(narrow))
+    await _wait_ready(site, narrow, lambda: ready(narrow))
 
 
 def test_a_restarted_instance_gets_no_answer_to_its_predecessors_query():
@@ -66,15 +66,15 @@
             def knows(each):
                 return bool(each.reader_election.neighbours())
 
-            await _ready(site, narrow, lambda: knows(narrow))
+            await _wait_ready(site, narrow, lambda: knows(narrow))
             await _restart(site, knows)
             assert site.gateways["wide"]._serving.active_runs
-            assert await _stamps(site, "r2") == (200, {"r2"})
+            assert await _get_part_requests(site, "r2") == (200, {"r2"})
 
     asyncio.run(test())
 
 
-def _relaying(sent):
+def _make_call_relay(sent):
     return callrelay.CallRelay(
         gatherers.GathererSelector(random.Random()),
         "n:1",
@@ -83,7 +83,7 @@
     )
 
 
-def _relay(owner, sink):
+def _relay_call(call_relay, sink):
     query = callrelay.Query(
         request_id=b"r",
         route_name="r",
@@ -95,21 +95,21 @@
         on_outcomes=sink,
     )
     call = callcommand.Send(call_id=1, upstream=callplan_test.upstream("u"))
-    owner.relay(GATHERER, query, [call])
+    call_relay.relay(GATHERER, query, [call])
 
 
-def test_a_restarted_instance_takes_no_part_of_its_predecessors_query():
-    asked, taken = [], []
-    _relay(_relaying(asked), lambda *_: None)
-    after = _relaying(asked)
-    _relay(after, lambda outcomes, _: taken.append(outcomes))
+def test_a_restarted_instance_ignores_outcomes_for_its_predecessors_query():
+    sent, received = [], []
+    _relay_call(_make_call_relay(sent), lambda *_: None)
+    after = _make_call_relay(sent)
+    _relay_call(after, lambda outcomes, _: received.append(outcomes))
     part = gatewaymessage.RelayedOutcome(
         call_id=1, kind="answered", reason="", reached=True
     )
     batch = gatewaymessage.RelayBatch(
         sender_address=GATHERER.address,
-        ask_id=asked[0].ask_id,
+        ask_id=sent[0].ask_id,
         outcomes=(part,),
     )
     after.on_batch(batch)
-    assert not taken
+    assert not received
--- a/hyssoptack/gateway/startup_test.py
+++ b/hyssoptack/gateway/startup_test.py
@@ -1,4 +1,4 @@
-"""A gateway's start: what it imports, and signals that come meanwhile."""
+"""A gateway's start: its imports, early callers and early signals."""
 
 import contextlib
 import json
@@ -27,8 +27,9 @@
     "yaml",
 )
 MODULE_LIMIT_COUNT = 620
-"""Modules after the import: 571 when this was written, most of them Python's
-own; a new library shows here before it costs a start."""
+"""Maximum number of modules after the import. There are about 571, most of them
+from Python's standard library; the limit shows a new library before it slows
+down the start."""
 
 
 def test_the_gateway_imports_only_what_it_needs():
@@ -49,13 +50,13 @@
 
 
 def _ignores_hup(process: subprocess.Popen) -> bool:
-    """Tells whether a process has come to ignore SIGHUP."""
+    """Returns whether a process ignores SIGHUP by now."""
     status = pathlib.Path(f"/proc/{process.pid}/status").read_text()
     masks = dict(line.split(":", 1) for line in status.splitlines())
     return bool(int(masks["SigIgn"], 16) >> (signal.SIGHUP - 1) & 1)
 
 
-def _started(tmp_path, callers_address):
+def _start_gateway(tmp_path, callers_address):
     """Starts a gateway whose store can't be reached."""
     document = {
         "instance_id": "g-1",
@@ -74,7 +75,7 @@
     )
 
 
-def _connected(port):
+def _connect(port):
     """Connects as soon as the port is open."""
     limit_s = time.monotonic() + START_LIMIT_S
     while time.monotonic() < limit_s:
@@ -84,32 +85,34 @@
     raise AssertionError("the port stayed closed")
 
 
-def test_callers_may_wait_while_the_process_loads(tmp_path):
-    # All instances without power at once: both tries of a caller were refused
-    # within milliseconds, 40 of 70 failures of such a day.
+def test_early_callers_wait_while_the_process_loads(tmp_path):
+    # After a power failure of all instances, both attempts of a caller were
+    # refused within milliseconds: 40 of 70 failures in such a run.
     port = ports.free_port()
-    process = _started(tmp_path, f"127.0.0.1:{port}")
+    process = _start_gateway(tmp_path, f"127.0.0.1:{port}")
     try:
-        with _connected(port) as caller:
-            silent = not select.select([process.stdout], [], [], 0.0)[0]
+        with _connect(port) as caller:
+            not_started_yet = not select.select([process.stdout], [], [], 0.0)[
+                0
+            ]
             caller.sendall(harness.request_bytes("/x", "r1"))
             caller.settimeout(START_LIMIT_S)
             answer = caller.recv(4_096)
-        assert silent
+        assert not_started_yet
         assert answer.startswith(b"HTTP/1.1 503 ")
     finally:
         process.kill()
         process.wait()
 
 
-def test_an_address_that_won_t_do_is_told_by_the_settings_check(tmp_path):
-    process = _started(tmp_path, "nowhere")
+def test_an_invalid_callers_address_fails_the_start(tmp_path):
+    process = _start_gateway(tmp_path, "nowhere")
     assert process.wait(START_LIMIT_S) != 0
 
 
-def test_a_reload_asked_for_during_the_start_does_not_end_it(tmp_path):
-    # Found by the soak: the process was gone before it had said anything.
-    process = _started(tmp_path, f"127.0.0.1:{ports.free_port()}")
+def test_a_sighup_during_the_start_does_not_end_the_process(tmp_path):
+    # A SIGHUP during the start ended the process before its first log line.
+    process = _start_gateway(tmp_path, f"127.0.0.1:{ports.free_port()}")
     try:
         limit_s = time.monotonic() + START_LIMIT_S
         while not _ignores_hup(process):
--- a/hyssoptack/gateway/storewatch.py
+++ b/hyssoptack/gateway/storewatch.py
@@ -1,6 +1,7 @@
-"""Keeps the beliefs up to date from the platform's store.
+"""Keeps the replicated view up to date from the platform's store.
 
-Few instances read; the others hear from them (`policy.readerelection`).
+Only a few instances read the store; they publish what they read to the others
+(`policy.readerelection`).
 """
 
 import asyncio
@@ -28,67 +29,71 @@
 from hyssoptack.policy import readerelection
 from hyssoptack.settings import gateway
 
-LAPSE_MIN_MS = 2_000.0
-"""A list younger than this was kept up to date by neighbours, or the outage was
-too short for entries to lapse (three heartbeats of 1.2 s): what is missing from
-the next one has left."""
+GRACE_MIN_LIST_AGE_MS = 2_000.0
+"""List age below which no grace applies after an outage. A younger list was
+kept up to date by neighbours, or the outage was too short for entries to lapse
+(three heartbeats of 1.2 s), so an upstream that is missing from the next list
+has left."""
 
 GRACE_SLACK_MS = 10.0
-"""Put behind the grace's end, so that the reading falls after it."""
+"""Delay after the end of the grace period, so that the next read falls after
+it."""
 
 RETRY = backoff.Backoff(min_ms=100.0, max_ms=800.0)
-"""Waits after failed calls: short enough to be in force again within 3 s of the
-return of the store, long enough not to press a busy one."""
+"""Waits after failed calls to the store. They are short enough for changes to
+be in force within 3 s of the store's return, and long enough not to overload a
+busy store."""
 
-KEEPS_PER_LEASE_COUNT = 3
-"""Renewals in one lease, so that two may fail."""
+RENEWALS_PER_LEASE_COUNT = 3
+"""Number of renewals in one lease period, so that two may fail."""
 
-PEERS_FIRST_MS = (20.0, 500.0, 1_500.0)
-"""Pauses before the first readings of the list of instances. The first finds
-those that lived before an outage, whose leases outlast it; by the second most
-of those that start at the same time have entered themselves (0.6 s apart on the
-slowest machines), by the third all."""
+FIRST_INSTANCE_READS_MS = (20.0, 500.0, 1_500.0)
+"""Pauses before the first reads of the list of instances. The first read finds
+instances that ran before an outage, whose leases outlast it. By the second,
+most of the instances that start at the same time have registered (0.6 s apart
+on the slowest machines); by the third, all have."""
 
-PEERS_PERIOD_MS = 5_000.0
-"""How often a reader reads the list of instances: newcomers read for themselves
-until then."""
+INSTANCE_READ_PERIOD_MS = 5_000.0
+"""How often a reader reads the list of instances. Until then, new instances
+read the store themselves."""
 
 
 COLD_MAX_MS = 600_000.0
-"""No upstream is taken to stay cold for longer, whatever its entry says."""
+"""Upper limit for the remaining warm-up time in an upstream's entry."""
 
 IGNORED_LIMIT_COUNT = 1_000
-"""Most keys whose being ignored is remembered, and so logged."""
+"""Maximum number of ignored operator keys that are remembered and logged."""
 
 OnStored = collections.abc.Callable[
     [list[keyvalue.Item]], collections.abc.Awaitable[None]
 ]
-"""Told of all that instances of ours have stored, each time it was read."""
+"""Called after each read with all items that gateway instances have stored."""
 
 
 class StoreWatcher:
-    """Tasks that follow the store for as long as the instance runs."""
+    """Runs the tasks that follow the store while the instance runs."""
 
     def __init__(
         self,
         settings: gateway.GatewaySettings,
-        believed: replicatedview.ReplicatedView,
+        view: replicatedview.ReplicatedView,
         store: keyvalue.Client,
         peers: peering.Peering,
         on_instances: peering.OnInstances,
         on_stored: OnStored,
     ):
         self._settings = settings
-        self._beliefs = believed
+        self._view = view
         self._store = store
         self._peers = peers
         self._on_instances = on_instances
         self._on_stored = on_stored
         self._readers = peers.reader_election
         self._random = random.Random()
-        self._lost_since_ms: float | None = None
-        # The first reading may be a little old: when all instances start at
-        # once, exact ones of some pages each are a third of a day's calls.
+        self._store_lost_ms: float | None = None
+        # The first read may return slightly stale data: when all instances
+        # start at once, exact reads of several pages each would be a third of
+        # a day's calls.
         self._read_count = 1
         self._lease_ms = max(settings.lease_ms, settings.lease_min_ms)
         self._unreadable: dict[str, str] = {}
@@ -97,10 +102,10 @@
     # The list of upstreams.
 
     async def poll_upstreams(self) -> None:
-        """Reads the list of upstreams while nobody else does."""
+        """Reads the list of upstreams while this instance is a reader."""
         failure_count = 0
         while True:
-            await self._wait_for_turn()
+            await self._wait_until_reader()
             exact = (
                 self._read_count % readerelection.READS_PER_EXACT_READ_COUNT
                 == 0
@@ -116,34 +121,37 @@
                 case expression.Result(tag="ok", ok=listing):
                     failure_count = 0
                     self._readers.record_read(asked_ms, exact)
-                    self._note_back()
-                    self._take_list(listing)
-                    self._beliefs.apply_evacuations("time", clock.now_ms())
+                    self._record_store_recovered()
+                    self._apply_list(listing)
+                    self._view.apply_evacuations("time", clock.now_ms())
                     self._peers.publish_view()
                     await self._pause(self._list_pause_ms(clock.now_ms()))
                 case expression.Result(error=failure):
                     failure_count += 1
                     self._read_count = 0
                     self._readers.record_read_failure()
-                    self._note_lost(failure)
+                    self._record_store_lost(failure)
                     await self._pause(RETRY.wait_ms(failure_count))
 
     def _list_pause_ms(self, now_ms: float) -> float:
-        """Returns when to read again: no later than the grace's end."""
-        grace_ms = self._beliefs.remaining_grace_ms(now_ms)
+        """Returns the pause before the next read of the list.
+
+        The read is due no later than the end of the grace period.
+        """
+        grace_ms = self._view.remaining_grace_ms(now_ms)
         if not grace_ms:
             return self._readers.read_timings.list_period_ms
-        # The next reading has to be an exact one.
+        # The next read must be exact.
         self._read_count = 0
         period_ms = self._readers.read_timings.list_period_ms
         return min(period_ms, grace_ms + GRACE_SLACK_MS)
 
-    async def _wait_for_turn(self) -> None:
+    async def _wait_until_reader(self) -> None:
         while wait_ms := self._readers.read_delay_ms(clock.now_ms()):
             self._read_count = 0
             await asyncio.sleep(wait_ms / message.MS_PER_S)
 
-    def _take_list(self, listing: keyvalue.Listing) -> None:
+    def _apply_list(self, listing: keyvalue.Listing) -> None:
         listed: dict[str, traffic.Upstream] = {}
         unreadable: dict[str, str] = {}
         for item in listing.items:
@@ -158,11 +166,11 @@
                     listed[upstream.upstream_id] = upstream
                 case expression.Result(error=detail):
                     unreadable[item.key] = detail
-        self._note_unreadable(unreadable)
-        self._beliefs.apply_list(listed, listing.store_revision, clock.now_ms())
+        self._log_unreadable(unreadable)
+        self._view.apply_list(listed, listing.store_revision, clock.now_ms())
 
-    def _note_unreadable(self, unreadable: dict[str, str]) -> None:
-        """Logs entries that can't be used, each once for each reason."""
+    def _log_unreadable(self, unreadable: dict[str, str]) -> None:
+        """Logs unusable entries, once for each key and reason."""
         for key, reason in unreadable.items():
             if self._unreadable.get(key) != reason:
                 log.write(
@@ -176,17 +184,17 @@
     # The configuration.
 
     async def watch_configuration(self) -> None:
-        """Reads the configuration, then watches it, while nobody else does."""
+        """Reads and watches the configuration while the instance is a reader."""
         failure_count = 0
         revision: int | None = None
-        # The first reading may be a little old, at a tenth of the price: the
-        # watch from its revision, or a neighbour's word, brings what is newer.
+        # The first read may be stale, at a tenth of the cost: the watch from
+        # its revision, or a neighbour's notice, brings newer changes.
         stale = True
         while True:
-            if self._beliefs.version and self._readers.read_delay_ms(
+            if self._view.version and self._readers.read_delay_ms(
                 clock.now_ms()
             ):
-                await self._wait_for_turn()
+                await self._wait_until_reader()
                 revision = None
             if revision is None:
                 result = await self._read_configuration(stale)
@@ -197,14 +205,14 @@
                 case expression.Result(tag="ok", ok=reached):
                     failure_count = 0
                     revision = reached
-                    if not self._beliefs.version:
-                        # Nothing was written yet: look again soon.
+                    if not self._view.version:
+                        # No configuration was written yet: read again soon.
                         revision = None
                         await self._pause(RETRY.min_ms)
                 case expression.Result(error=failure):
                     failure_count += 1
                     revision = None
-                    self._note_lost(failure)
+                    self._record_store_lost(failure)
                     await self._pause(RETRY.wait_ms(failure_count))
 
     async def _read_configuration(
@@ -213,7 +221,7 @@
         result = await self._store.read_range(
             storeformat.OPERATOR_PREFIX, stale
         )
-        return result.map(self._take_operators_keys)
+        return result.map(self._apply_operator_keys)
 
     async def _watch_configuration(
         self, revision: int
@@ -223,50 +231,50 @@
             revision,
             self._readers.read_timings.watch_ms,
         )
-        return result.map(self._take_operators_changes)
+        return result.map(self._apply_operator_changes)
 
-    def _take_operators_keys(self, found: keyvalue.Listing) -> int:
-        """Takes all that operators have written; returns its revision."""
+    def _apply_operator_keys(self, listing: keyvalue.Listing) -> int:
+        """Applies all operator keys; returns the revision of the read."""
         domains = frozenset(
             domain
-            for item in found.items
+            for item in listing.items
             if (domain := self._evacuated_domain(item)) is not None
         )
-        evacuated = self._beliefs.replace_evacuations(
-            domains, found.position, "store", clock.now_ms()
+        evacuated = self._view.replace_evacuations(
+            domains, listing.position, "store", clock.now_ms()
         )
-        configured = self._take_configurations(found.items, "store")
+        configured = self._apply_configurations(listing.items, "store")
         if evacuated or configured:
             self._peers.publish_view()
-        return found.store_revision
+        return listing.store_revision
 
-    def _take_operators_changes(self, found: keyvalue.Changes) -> int:
-        """Takes what operators have changed; returns the revision reached."""
+    def _apply_operator_changes(self, listing: keyvalue.Changes) -> int:
+        """Applies changes to operator keys; returns the revision reached."""
         changes = [
             evacuation.EvacuationChange(
                 failure_domain=domain,
                 ended=item.removed,
-                store_position=position.Position(found.era, item.revision),
+                store_position=position.Position(listing.era, item.revision),
             )
-            for item in found.events
+            for item in listing.events
             if (domain := self._evacuated_domain(item)) is not None
         ]
-        self._beliefs.evacuations.apply_changes(changes, found.position)
-        evacuated = self._beliefs.apply_evacuations("watch", clock.now_ms())
-        configured = self._take_configurations(found.events, "watch")
+        self._view.evacuations.apply_changes(changes, listing.position)
+        evacuated = self._view.apply_evacuations("watch", clock.now_ms())
+        configured = self._apply_configurations(listing.events, "watch")
         if evacuated or configured:
             self._peers.publish_view()
-        return found.current_rev
+        return listing.current_rev
 
     def _evacuated_domain(self, item: keyvalue.Item) -> str | None:
-        """Returns the domain that a key evacuates; logs an unknown key once."""
+        """Returns the domain that a key evacuates; logs unknown keys once."""
         domain = storeformat.evacuated_domain(item.key)
         known = domain in self._settings.failure_domains
         if item.key != storeformat.CONFIGURATION_KEY and not known:
-            self._note_ignored(item.key)
+            self._log_ignored(item.key)
         return domain
 
-    def _note_ignored(self, key: str) -> None:
+    def _log_ignored(self, key: str) -> None:
         if (
             key not in self._ignored
             and len(self._ignored) < IGNORED_LIMIT_COUNT
@@ -274,28 +282,32 @@
             self._ignored.add(key)
             log.write(log.Event.OPERATOR_KEY_IGNORED, key=key)
 
-    def _take_configurations(
+    def _apply_configurations(
         self, items: list[keyvalue.Item], source: str
     ) -> bool:
-        """Takes configurations among items; tells whether one is in force."""
-        taken = [
-            self._take_configuration(item.value, source)
+        """Applies the configurations among items.
+
+        Returns:
+            Whether any of them was put in force.
+        """
+        applied = [
+            self._apply_configuration(item.value, source)
             for item in items
             if item.key == storeformat.CONFIGURATION_KEY and not item.removed
         ]
-        return any(taken)
+        return any(applied)
 
-    def _take_configuration(self, value: bytes, source: str) -> bool:
-        """Takes a configuration as stored; tells whether it is now in force."""
+    def _apply_configuration(self, value: bytes, source: str) -> bool:
+        """Applies a stored configuration; returns whether it was accepted."""
         match storeformat.parse_configuration(value):
             case expression.Result(tag="ok", ok=offered):
                 now_ms = clock.now_ms()
-                taken = self._beliefs.apply_configuration(
+                applied = self._view.apply_configuration(
                     offered, source, now_ms
                 )
-                if taken:
+                if applied:
                     self._peers.cache_configuration(value)
-                return taken
+                return applied
             case expression.Result(error=detail):
                 log.write(log.Event.CONFIG_REFUSED, errors=[detail])
                 return False
@@ -303,12 +315,12 @@
     # The list of instances.
 
     async def maintain_registration(self) -> None:
-        """Keeps the own entry in the list of instances."""
+        """Keeps this instance registered in the list of instances."""
         lease: int | None = None
         failure_count = 0
         while True:
             if lease is None:
-                lease = await self._enter()
+                lease = await self._register()
             elif not await self._renew(lease):
                 lease = None
                 continue
@@ -316,19 +328,21 @@
             if lease is None:
                 await self._pause(RETRY.wait_ms(failure_count))
             else:
-                await self._pause(self._lease_ms / KEEPS_PER_LEASE_COUNT)
+                await self._pause(self._lease_ms / RENEWALS_PER_LEASE_COUNT)
 
-    async def _enter(self) -> int | None:
+    async def _register(self) -> int | None:
         granted = await self._store.grant_lease(self._lease_ms)
         match granted:
             case expression.Result(tag="ok", ok=lease):
                 key = storeformat.PEER_PREFIX + self._settings.instance_id
-                written = await self._store.put(key, self._entry(), lease)
+                written = await self._store.put(
+                    key, self._registration(), lease
+                )
                 return lease if written.is_ok() else None
             case _:
                 return None
 
-    def _entry(self) -> bytes:
+    def _registration(self) -> bytes:
         return msgspec.json.encode(
             member.Peer(
                 instance_id=self._settings.instance_id,
@@ -339,7 +353,7 @@
         )
 
     async def _renew(self, lease: int) -> bool:
-        """Renews a lease; tells whether it may still hold."""
+        """Renews a lease; returns whether it may still be valid."""
         match await self._store.renew_lease(lease):
             case expression.Result(
                 tag="error",
@@ -347,29 +361,29 @@
             ):
                 return False
             case _:
-                # A failed call may have renewed it; the next one will tell.
+                # A failed call may have renewed it; the next call shows.
                 return True
 
     async def poll_instances(self) -> None:
-        """Reads the list of instances while this one reads for others."""
+        """Reads the list of instances while this instance is a reader."""
         pauses_ms = itertools.chain(
-            PEERS_FIRST_MS, itertools.repeat(PEERS_PERIOD_MS)
+            FIRST_INSTANCE_READS_MS, itertools.repeat(INSTANCE_READ_PERIOD_MS)
         )
         for pause_ms in pauses_ms:
             await self._pause(pause_ms)
-            await self._wait_for_turn()
+            await self._wait_until_reader()
             result = await self._store.read_range(
                 storeformat.OWN_PREFIX, allow_stale=True
             )
             match result:
                 case expression.Result(tag="ok", ok=listing):
-                    self._take_instances(listing.items)
+                    self._apply_instances(listing.items)
                     self._peers.publish_view()
                     await self._on_stored(listing.items)
                 case expression.Result(error=failure):
-                    self._note_lost(failure)
+                    self._record_store_lost(failure)
 
-    def _take_instances(self, items: list[keyvalue.Item]) -> None:
+    def _apply_instances(self, items: list[keyvalue.Item]) -> None:
         peers: list[member.Peer] = []
         for item in items:
             if not item.key.startswith(storeformat.PEER_PREFIX):
@@ -391,28 +405,28 @@
 
     # The store's reachability.
 
-    def _note_lost(self, failure: keyvalue.Failure) -> None:
-        if self._lost_since_ms is not None:
+    def _record_store_lost(self, failure: keyvalue.Failure) -> None:
+        if self._store_lost_ms is not None:
             return
         if failure.kind is keyvalue.FailureKind.COMPACTED:
             return
-        self._lost_since_ms = clock.now_ms()
+        self._store_lost_ms = clock.now_ms()
         log.write(
             log.Event.STORE_LOST,
             detail=failure.detail,
             trouble=failure.kind.value,
-            version=self._beliefs.version,
+            version=self._view.version,
         )
 
-    def _note_back(self) -> None:
-        if self._lost_since_ms is None:
+    def _record_store_recovered(self) -> None:
+        if self._store_lost_ms is None:
             return
         now_ms = clock.now_ms()
-        lost_ms = now_ms - self._lost_since_ms
-        self._lost_since_ms = None
-        list_age_ms = now_ms - self._beliefs.list_read_ms
-        if list_age_ms > LAPSE_MIN_MS:
-            self._beliefs.store_recovered_ms = now_ms
+        lost_ms = now_ms - self._store_lost_ms
+        self._store_lost_ms = None
+        list_age_ms = now_ms - self._view.list_read_ms
+        if list_age_ms > GRACE_MIN_LIST_AGE_MS:
+            self._view.store_recovered_ms = now_ms
         log.write(
             log.Event.STORE_BACK,
             lost_ms=round(lost_ms),
@@ -420,6 +434,6 @@
         )
 
     async def _pause(self, period_ms: float) -> None:
-        spread = readerelection.JITTER_RATIO
-        jitter = self._random.uniform(1 - spread, 1 + spread)
+        jitter_ratio = readerelection.JITTER_RATIO
+        jitter = self._random.uniform(1 - jitter_ratio, 1 + jitter_ratio)
         await asyncio.sleep(period_ms * jitter / message.MS_PER_S)
--- a/hyssoptack/gateway/storewatch_test.py
+++ b/hyssoptack/gateway/storewatch_test.py
@@ -1,4 +1,4 @@
-"""When the list is read, and what is kept of it when the store is back."""
+"""Reads of the upstream list, and what is kept of it after store outages."""
 
 import asyncio
 import contextlib
@@ -22,16 +22,20 @@
 from hyssoptack.policy import readerelection
 
 
-def follower(list_age_ms):
-    """A follower that had lost the store, with a list of some age."""
+def store_watcher(list_age_ms):
+    """Returns a watcher that had lost the store, and its view.
+
+    Args:
+        list_age_ms: Age of the view's list of upstreams.
+    """
     settings = types.SimpleNamespace(lease_ms=1_000.0, lease_min_ms=1_000.0)
-    placed = loadbalancer.LoadBalancer(
+    load_balancer = loadbalancer.LoadBalancer(
         loadbalancer.LoadBalancerSettings(
             failure_domain="north", crossing_ratio=1.5
         )
     )
-    believed = replicatedview.ReplicatedView(
-        load_balancer=placed,
+    view = replicatedview.ReplicatedView(
+        load_balancer=load_balancer,
         pools=pool.Pools(b""),
         on_configuration=lambda _: None,
     )
@@ -40,29 +44,29 @@
     )
     peers = types.SimpleNamespace(reader_election=readers)
     made = storewatch.StoreWatcher(
-        settings, believed, None, peers, lambda _: None, None
+        settings, view, None, peers, lambda _: None, None
     )
     now_ms = clock.now_ms()
     listed = {"a": callplan_test.upstream("a")}
-    believed.apply_list(listed, 1, now_ms - list_age_ms)
-    made._lost_since_ms = now_ms - 9_000.0
-    return made, believed
+    view.apply_list(listed, 1, now_ms - list_age_ms)
+    made._store_lost_ms = now_ms - 9_000.0
+    return made, view
 
 
 def test_a_list_that_neighbours_kept_fresh_gets_no_grace():
-    # Found by a hunted day: the store turned one instance away for 9 s, and at
-    # its return it kept 16 upstreams that had left meanwhile for 3 s more, and
-    # told its neighbours so.
-    made, believed = follower(list_age_ms=900.0)
-    made._note_back()
-    believed.apply_list({}, 2, clock.now_ms())
-    assert not believed.upstreams
+    # The store refused one instance for 9 s. After its return, the instance
+    # kept 16 upstreams that had left meanwhile for 3 s more, and published
+    # them to its neighbours.
+    made, view = store_watcher(list_age_ms=900.0)
+    made._record_store_recovered()
+    view.apply_list({}, 2, clock.now_ms())
+    assert not view.upstreams
 
 
-def hear(made, believed, upstreams, grace_ms=0.0, list_age_ms=0.0):
-    """Lets an instance take a neighbour's whole list."""
+def receive_view(made, view, upstreams, grace_ms=0.0, list_age_ms=0.0):
+    """Delivers a neighbour's whole list of upstreams to an instance."""
     peers = peering.Peering(
-        made._settings, believed, made._readers, lambda: None, lambda: None
+        made._settings, view, made._readers, lambda: None, lambda: None
     )
     history = listdelta.ListHistory()
     history.add(upstreams)
@@ -76,70 +80,70 @@
         grace_ms=grace_ms,
         list_age_ms=list_age_ms,
     )
-    peers._take(made)
-
-
-def test_a_neighbours_word_makes_an_old_list_no_younger():
-    # Found in a large day: a neighbour that could read the configuration again
-    # told it, with its list of 7 s before. 10 ms later the own reading took
-    # that list for one kept fresh, and dropped 105 upstreams that had lapsed.
-    made, believed = follower(list_age_ms=9_000.0)
-    hear(made, believed, believed.upstreams, list_age_ms=7_000.0)
-    made._note_back()
-    believed.apply_list({}, 3, clock.now_ms())
-    assert "a" in believed.upstreams
-
-
-def test_a_neighbours_grace_holds_for_the_own_reading_that_follows():
-    # Found in a day's logs: the first to read again after an outage kept what
-    # had lapsed and told its neighbours; one whose own answer came 10 ms later
-    # took its list for one kept fresh, dropped 121 upstreams and said so.
-    made, believed = follower(list_age_ms=5_000.0)
-    hear(
+    peers._receive_view(made)
+
+
+def test_a_neighbours_notice_does_not_make_an_old_list_fresh():
+    # A neighbour that could read the configuration again published it with a
+    # list that was 7 s old. The instance's own read 10 ms later treated that
+    # list as fresh, and dropped 105 upstreams that had lapsed.
+    made, view = store_watcher(list_age_ms=9_000.0)
+    receive_view(made, view, view.upstreams, list_age_ms=7_000.0)
+    made._record_store_recovered()
+    view.apply_list({}, 3, clock.now_ms())
+    assert "a" in view.upstreams
+
+
+def test_a_neighbours_grace_applies_to_the_next_own_read():
+    # The first instance to read after an outage kept the lapsed upstreams and
+    # published them. A neighbour that read 10 ms later treated that list as
+    # fresh, dropped 121 upstreams and published their removal.
+    made, view = store_watcher(list_age_ms=5_000.0)
+    receive_view(
         made,
-        believed,
-        believed.upstreams,
+        view,
+        view.upstreams,
         replicatedview.REREGISTRATION_GRACE_MS,
     )
-    made._note_back()
-    believed.apply_list({}, 3, clock.now_ms())
-    assert "a" in believed.upstreams
-    believed.apply_list(
+    made._record_store_recovered()
+    view.apply_list({}, 3, clock.now_ms())
+    assert "a" in view.upstreams
+    view.apply_list(
         {}, 4, clock.now_ms() + replicatedview.REREGISTRATION_GRACE_MS + 1.0
     )
-    assert not believed.upstreams
+    assert not view.upstreams
 
 
-def test_a_newcomers_list_takes_nothing_away_within_the_grace():
-    # A reader that started during the outage has never seen what lapsed.
-    made, believed = follower(list_age_ms=9_000.0)
-    made._note_back()
-    hear(made, believed, {"b": callplan_test.upstream("b")})
-    assert set(believed.upstreams) == {"a", "b"}
+def test_a_new_instances_list_removes_nothing_within_the_grace():
+    # A reader that started during the outage never saw the lapsed upstreams.
+    made, view = store_watcher(list_age_ms=9_000.0)
+    made._record_store_recovered()
+    receive_view(made, view, {"b": callplan_test.upstream("b")})
+    assert set(view.upstreams) == {"a", "b"}
 
 
 def test_entries_that_lapsed_in_an_outage_are_kept_for_a_while():
-    made, believed = follower(list_age_ms=9_000.0)
-    made._note_back()
-    believed.apply_list({}, 2, clock.now_ms())
-    assert "a" in believed.upstreams
+    made, view = store_watcher(list_age_ms=9_000.0)
+    made._record_store_recovered()
+    view.apply_list({}, 2, clock.now_ms())
+    assert "a" in view.upstreams
     pause_ms = made._list_pause_ms(clock.now_ms())
     assert pause_ms <= replicatedview.REREGISTRATION_GRACE_MS
     later_ms = clock.now_ms() + replicatedview.REREGISTRATION_GRACE_MS + 1.0
-    believed.apply_list({}, 3, later_ms)
-    assert not believed.upstreams
+    view.apply_list({}, 3, later_ms)
+    assert not view.upstreams
 
 
-def test_a_reading_is_due_when_the_grace_ends():
-    made, believed = follower(list_age_ms=9_000.0)
-    believed.store_recovered_ms = 1_000.0
+def test_a_read_is_due_when_the_grace_ends():
+    made, view = store_watcher(list_age_ms=9_000.0)
+    view.store_recovered_ms = 1_000.0
     ends_ms = 1_000.0 + replicatedview.REREGISTRATION_GRACE_MS
     assert made._list_pause_ms(ends_ms - 300.0) <= 310.0
     assert made._list_pause_ms(ends_ms + 1.0) == 1_000.0
 
 
 class _Store:
-    """Notes whether readings may be old, and ends after some."""
+    """Records whether reads may be stale; ends the task after some reads."""
 
     def __init__(self, count):
         self.stale = []
@@ -152,8 +156,8 @@
         return expression.Ok(keyvalue.Listing(items=[], store_revision=1))
 
 
-def test_a_new_instances_first_reading_may_be_old_the_next_is_exact():
-    made, _ = follower(list_age_ms=0.0)
+def test_a_new_instances_first_read_may_be_stale_the_next_is_exact():
+    made, _ = store_watcher(list_age_ms=0.0)
     made._store = _Store(4)
     made._peers.publish_view = lambda: None
     made._readers.read_timings = readerelection.read_timings(0.0)
@@ -162,49 +166,51 @@
     assert made._store.stale == [True, False, True, False]
 
 
-def test_only_the_first_reading_of_the_configuration_may_be_old():
-    made, believed = follower(list_age_ms=0.0)
+def test_only_the_first_read_of_the_configuration_may_be_stale():
+    made, view = store_watcher(list_age_ms=0.0)
     made._store = _Store(3)
-    believed.pools = None
+    view.pools = None
     with contextlib.suppress(asyncio.CancelledError):
         asyncio.run(made.watch_configuration())
     assert made._store.stale == [True, False, False]
 
 
-def test_a_rebirth_within_the_grace_replaces_the_one_before():
-    made, believed = follower(list_age_ms=9_000.0)
-    made._note_back()
+def test_a_restarted_upstream_replaces_its_predecessor_within_the_grace():
+    made, view = store_watcher(list_age_ms=9_000.0)
+    made._record_store_recovered()
     again = dataclasses.replace(
         callplan_test.upstream("a"), upstream_id="a#2", listed_id="a"
     )
-    believed.apply_list({"a#2": again}, 2, clock.now_ms())
-    assert set(believed.upstreams) == {"a#2"}
+    view.apply_list({"a#2": again}, 2, clock.now_ms())
+    assert set(view.upstreams) == {"a#2"}
 
 
-def test_nothing_believed_of_the_one_before_holds_for_a_reborn_upstream():
-    _, believed = follower(list_age_ms=0.0)
+def test_a_restarted_upstream_inherits_no_state_of_its_predecessor():
+    _, view = store_watcher(list_age_ms=0.0)
     now_ms = clock.now_ms()
-    placed = believed.load_balancer
-    placed.begin_call("a", 0.0)
-    placed.record_connect_failure("a", now_ms)
+    load_balancer = view.load_balancer
+    load_balancer.begin_call("a", 0.0)
+    load_balancer.record_connect_failure("a", now_ms)
     again = dataclasses.replace(
         callplan_test.upstream("a"), upstream_id="a#2", listed_id="a"
     )
-    believed.apply_list({"a#2": again}, 2, now_ms)
-    placed.end_call("a")
-    placed.record_answer("r", "a", 900.0, now_ms)
-    standing = placed.upstream_states["a#2"]
+    view.apply_list({"a#2": again}, 2, now_ms)
+    load_balancer.end_call("a")
+    load_balancer.record_answer("r", "a", 900.0, now_ms)
+    standing = load_balancer.upstream_states["a#2"]
     assert standing.in_flight_count == 0
     assert standing.ejected_until_ms <= now_ms
     assert standing.slowness_ratio == 1.0
 
 
-def test_an_unreadable_entry_is_logged_once_and_the_others_hold(monkeypatch):
+def test_an_unreadable_entry_is_logged_once_and_the_others_are_used(
+    monkeypatch,
+):
     lines = []
     monkeypatch.setattr(
         log, "write", lambda event, **fields: lines.append((event, fields))
     )
-    made, believed = follower(list_age_ms=0.0)
+    made, view = store_watcher(list_age_ms=0.0)
     good = {
         "service": "s",
         "address": "10.0.0.1:80",
@@ -217,8 +223,8 @@
         keyvalue.Item(key="servers/b", value=json.dumps(good).encode()),
     ]
     for revision in (2, 3):
-        made._take_list(keyvalue.Listing(items=items, store_revision=revision))
-    assert set(believed.upstreams) == {"b"}
+        made._apply_list(keyvalue.Listing(items=items, store_revision=revision))
+    assert set(view.upstreams) == {"b"}
     found = [
         fields for event, fields in lines if event is log.Event.ENTRY_UNREADABLE
     ]
--- a/hyssoptack/gateway/warmup_test.py
+++ b/hyssoptack/gateway/warmup_test.py
@@ -1,4 +1,4 @@
-"""Cold upstreams get no more than they bear, and callers are served."""
+"""Cold upstreams get no more requests than their warm-up limit allows."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 SETTLED_S = 3.0
 
 
-async def _cold_desk(site: harness.Site, warm: bool) -> None:
+async def _start_cold_desk(site: harness.Site, warm: bool) -> None:
     site.warmup_per_s = PER_S
     await site.add_upstream("cold", "desk")
     if warm:
@@ -31,8 +31,8 @@
     await asyncio.sleep(warmup.WINDOW_MS / 1_000)
 
 
-async def _press(site: harness.Site, count: int) -> list[int]:
-    """Returns the statuses of requests by turns to both gateways."""
+async def _send_requests(site: harness.Site, count: int) -> list[int]:
+    """Sends requests to both gateways in turn; returns their statuses."""
     got = await asyncio.gather(
         *(
             site.get("/one/x", f"r{index}", name=f"g-{1 + index % 2}")
@@ -42,12 +42,12 @@
     return [each.status for each in got]
 
 
-def test_a_cold_upstream_beside_a_warm_one_gets_its_share_only():
+def test_a_cold_upstream_beside_a_warm_one_stays_within_its_limit():
     async def test():
         async with harness.Site() as site:
-            await _cold_desk(site, warm=True)
+            await _start_cold_desk(site, warm=True)
             before = len(site.services["cold"].request_heads)
-            assert await _press(site, 30) == [200] * 30
+            assert await _send_requests(site, 30) == [200] * 30
             assert (
                 len(site.services["cold"].request_heads) - before <= ALL_COUNT
             )
@@ -55,12 +55,12 @@
     asyncio.run(test())
 
 
-def test_where_all_upstreams_are_cold_the_rest_is_refused_at_once():
+def test_requests_beyond_the_limit_of_cold_upstreams_are_refused():
     async def test():
         async with harness.Site() as site:
-            await _cold_desk(site, warm=False)
+            await _start_cold_desk(site, warm=False)
             before = len(site.services["cold"].request_heads)
-            statuses = await _press(site, 20)
+            statuses = await _send_requests(site, 20)
             served = statuses.count(200)
             assert len(site.services["cold"].request_heads) - before == served
             assert 0 < served <= ALL_COUNT
