--- a/hyssoptack/gateway/budgetshare.py
+++ b/hyssoptack/gateway/budgetshare.py
@@ -22,21 +22,23 @@
 
 
 def even_share(
-    shared: gateway.BudgetSettings, known_count: int
+    site_budget: gateway.BudgetSettings, known_count: int
 ) -> windowbudget.BudgetShare:
     """Returns an instance's share if all instances have equal shares.
 
     Args:
-        shared: The budget of all instances together.
+        site_budget: The budget of all instances together.
         known_count: Number of known instances; 0 before the first list of
             instances, when there may be any number.
     """
     instance_count = max(MIN_INSTANCE_COUNT, known_count)
-    return _share(shared, 1.0 / instance_count if known_count else 0.0)
+    return _make_share(
+        site_budget, 1.0 / instance_count if known_count else 0.0
+    )
 
 
 def gather_share(
-    shared: gateway.BudgetSettings,
+    site_budget: gateway.BudgetSettings,
     known_count: int,
     domain_count: int,
     link_ratio: float,
@@ -49,7 +51,7 @@
     query themselves.
 
     Args:
-        shared: The budget of all instances together.
+        site_budget: The budget of all instances together.
         known_count: Number of known instances.
         domain_count: Number of failure domains.
         link_ratio: The instance's bandwidth as a part of the total of its
@@ -57,8 +59,8 @@
     """
     even_ratio = 1.0 / max(MIN_INSTANCE_COUNT, known_count)
     weighted_ratio = min(link_ratio / domain_count, 1.0 / MIN_INSTANCE_COUNT)
-    return _share(
-        shared,
+    return _make_share(
+        site_budget,
         (1.0 - LINK_WEIGHTED_RATIO) * even_ratio
         + LINK_WEIGHTED_RATIO * weighted_ratio,
     )
@@ -90,12 +92,12 @@
         )
 
 
-def _share(
-    shared: gateway.BudgetSettings, slack_ratio: float
+def _make_share(
+    site_budget: gateway.BudgetSettings, slack_ratio: float
 ) -> windowbudget.BudgetShare:
-    slack_count = USED_SLACK_RATIO * shared.slack_count * slack_ratio
+    slack_count = USED_SLACK_RATIO * site_budget.slack_count * slack_ratio
     return windowbudget.BudgetShare(
-        ratio=USED_EXTRA_RATIO * shared.ratio,
+        ratio=USED_EXTRA_RATIO * site_budget.ratio,
         slack_count=slack_count,
-        window_ms=shared.window_ms,
+        window_ms=site_budget.window_ms,
     )
--- a/hyssoptack/gateway/daemon.py
+++ b/hyssoptack/gateway/daemon.py
@@ -126,7 +126,7 @@
             settings.failure_domain,
             self._metrics,
         )
-        self._callers = httpserver.Server(
+        self._caller_server = httpserver.Server(
             handler=self._serving.handle,
             on_refused=requesthandler.log_unreadable_request,
         )
@@ -198,7 +198,7 @@
             self._on_partition_change,
         )
         self._stop = asyncio.Event()
-        self._ports = listeners.Listeners()
+        self._listeners = listeners.Listeners()
 
     def _plan_context(self) -> plancontext.PlanContext:
         return plancontext.PlanContext(
@@ -209,45 +209,45 @@
             suspicions=self._suspicions,
         )
 
-    def _on_peer_message(self, each: gatewaymessage.Message) -> None:
+    def _on_peer_message(self, peer_message: gatewaymessage.Message) -> None:
         ready = self.view.is_complete and not self._stop.is_set()
-        match each:
+        match peer_message:
             case gatewaymessage.DelegationRequest():
-                self._serving.serve_delegated(each, ready)
+                self._serving.serve_delegated(peer_message, ready)
             case gatewaymessage.RelayRequest():
-                self._gathering.accept(each, ready)
+                self._gathering.accept(peer_message, ready)
             case gatewaymessage.RelayBatch():
-                self._relaying.on_batch(each)
+                self._relaying.on_batch(peer_message)
             case gatewaymessage.RelayCancel():
-                self._gathering.on_cancel(each)
+                self._gathering.on_cancel(peer_message)
             case (
                 gatewaymessage.SuspectsNotice()
                 | gatewaymessage.SuspectsRequest()
             ):
-                self._quarantine_sync.on_message(each)
+                self._quarantine_sync.on_message(peer_message)
             case _:
-                self._delegating.on_message(each)
+                self._delegating.on_message(peer_message)
 
-    def _on_undelivered(self, each: gatewaymessage.Message) -> None:
-        match each:
+    def _on_undelivered(self, peer_message: gatewaymessage.Message) -> None:
+        match peer_message:
             case gatewaymessage.RelayRequest():
-                self._relaying.on_undelivered(each)
+                self._relaying.on_undelivered(peer_message)
             case _:
-                self._delegating.on_undelivered(each)
+                self._delegating.on_undelivered(peer_message)
 
     def _on_link_lost(self, address: str) -> None:
         self._delegating.on_link_lost(address)
         self._relaying.on_link_lost(address)
 
     def _on_configuration(self, configuration: traffic.Configuration) -> None:
-        self._callers.limits = configuration.limits
+        self._caller_server.limits = configuration.limits
         self._warmups.set_services(configuration.services)
         self._extra_calls.gathered_services = configuration.shard_services
 
     def _on_partition_change(self) -> None:
         """Takes the instance out of rotation during a network partition."""
-        away = self._partition_detector.leaves_rotation
-        self._callers.closing = away or self._stop.is_set()
+        leaves_rotation = self._partition_detector.leaves_rotation
+        self._caller_server.closing = leaves_rotation or self._stop.is_set()
         if not self._partition_detector.is_partitioned:
             return
         if self._partition_detector.detected_locally:
@@ -268,7 +268,7 @@
             "list_age_ms": now_ms - self.view.list_read_ms,
             "upstream_count": len(self.view.upstreams),
             "running_count": len(self._serving.active_runs),
-            "caller_connection_count": len(self._callers.connections),
+            "caller_connection_count": len(self._caller_server.connections),
             "opened_connection_count": self._pools.opened_count,
             "store_call_count": self._store.call_count,
             "instance_count": self.reader_election.instance_count,
@@ -291,11 +291,11 @@
             callers_port = earlyport.listening_socket(
                 self._settings.callers_address
             )
-        await self._ports.listen(
+        await self._listeners.listen(
             self._settings.readiness_address, self._readiness_server
         )
         if self._settings.metrics_address:
-            await self._ports.listen(
+            await self._listeners.listen(
                 self._settings.metrics_address, self._metrics_server
             )
         log.write(
@@ -329,14 +329,16 @@
                 watcher.maintain_registration(),
                 self._watch_settings_file(),
                 self._delegating.watch_stalls(),
-                self._callers.sweep(),
+                self._caller_server.sweep(),
                 self._readiness_server.sweep(),
                 self._pools.sweep(),
                 self._store_pools.sweep(),
             )
         ]
         tasks.extend(loop.create_task(each) for each in self._optional_tasks())
-        await self._ports.accept_callers(callers_port, self._callers, self.view)
+        await self._listeners.accept_callers(
+            callers_port, self._caller_server, self.view
+        )
         stopped = loop.create_task(self._stop.wait())
         done, _ = await asyncio.wait(
             (*tasks, stopped), return_when=asyncio.FIRST_COMPLETED
@@ -366,9 +368,9 @@
         read_ns = gateway.modified_ns(self._path)
         while True:
             await asyncio.sleep(SETTINGS_CHECK_S)
-            seen_ns = gateway.modified_ns(self._path)
-            if seen_ns != read_ns:
-                read_ns = seen_ns
+            modified_ns = gateway.modified_ns(self._path)
+            if modified_ns != read_ns:
+                read_ns = modified_ns
                 self.reload()
 
     def reload(self) -> None:
@@ -439,16 +441,16 @@
     async def _finish(self) -> None:
         """Closes connections to callers, finishes the work and closes ports."""
         started_ms = clock.now_ms()
-        self._callers.closing = True
+        self._caller_server.closing = True
         end_ms = started_ms + self._settings.grace_ms - KILL_MARGIN_MS
         idle_close_ms = min(started_ms + IDLE_CLOSE_DELAY_MS, end_ms)
         await asyncio.sleep((idle_close_ms - clock.now_ms()) / message.MS_PER_S)
         while clock.now_ms() < end_ms:
-            self._callers.close_idle()
-            if not self._callers.connections and not self._has_work():
+            self._caller_server.close_idle()
+            if not self._caller_server.connections and not self._has_work():
                 break
             await asyncio.sleep(DRAIN_CHECK_MS / message.MS_PER_S)
-        self._ports.close()
+        self._listeners.close()
         log.write(
             log.Event.STOPPED,
             took_ms=round(clock.now_ms() - started_ms),
--- a/hyssoptack/gateway/earlyport.py
+++ b/hyssoptack/gateway/earlyport.py
@@ -1,10 +1,10 @@
 """Opens the callers' port before the rest of the process is loaded.
 
-A small machine takes 0.4 to 0.8 s from the start of the process to its first
-log line, most of it for imports. Without an open port, callers that connect in
-this time would be refused, and their only retry as well, within a few
-milliseconds. With an open port they wait: a caller gives an instance a third of
-its time, 85 to 500 ms, to read its request.
+A small machine takes 0.4 to 0.8 s from power-on to its first log line, most of
+it for imports. Without an open port, callers that connect in this time would be
+refused, and their only retry as well, within a few milliseconds. With an open
+port they wait: a caller gives an instance a third of its time, 85 to 500 ms, to
+read its request.
 
 This module imports only small standard modules. It reports no errors in the
 settings: the daemon checks them when it loads the file.
--- a/hyssoptack/gateway/gateway_crash_test.py
+++ b/hyssoptack/gateway/gateway_crash_test.py
@@ -117,8 +117,8 @@
     tasks = []
     for number in range(int(length_s / period_s)):
         name = next(names)
-        asked = _get_timed(site, path, f"{prefix}-{number}", name, **given)
-        tasks.append(asyncio.create_task(asked))
+        request = _get_timed(site, path, f"{prefix}-{number}", name, **given)
+        tasks.append(asyncio.create_task(request))
         await asyncio.sleep(period_s)
     return await asyncio.gather(*tasks)
 
@@ -134,8 +134,10 @@
     names = itertools.cycle(site.gateways)
     tasks = []
     for number in range(int(length_s / 0.05)):
-        asked = site.get(f"/all/ok-{number}", f"ok-{number}", name=next(names))
-        tasks.append(asyncio.create_task(asked))
+        request = site.get(
+            f"/all/ok-{number}", f"ok-{number}", name=next(names)
+        )
+        tasks.append(asyncio.create_task(request))
         await asyncio.sleep(0.05)
     return [each.status for each in await asyncio.gather(*tasks)]
 
--- a/hyssoptack/gateway/peering.py
+++ b/hyssoptack/gateway/peering.py
@@ -84,10 +84,10 @@
         self.on_undelivered: OnMessage = _ignore
         self.on_link_lost: collections.abc.Callable[[str], None] = _ignore
 
-    def send(self, address: str, each: gatewaymessage.Message) -> None:
+    def send(self, address: str, peer_message: gatewaymessage.Message) -> None:
         """Sends a message to a peer; drops it if there is no peer port."""
         if self._links is not None:
-            self._links.send(address, each)
+            self._links.send(address, peer_message)
 
     def start(self) -> None:
         """Opens the port for peers."""
--- a/hyssoptack/gateway/pool.py
+++ b/hyssoptack/gateway/pool.py
@@ -26,9 +26,9 @@
 """Idle time limit if the upstream states none."""
 
 RECENT_USE_MS = 1_500.0
-"""Maximum age of the last answer on a connection that is known to work: a
-connection that lost its peer shows by then. Calls that must not fail use no
-older connection."""
+"""Maximum age of the last answer on a connection that is known to work: an
+unresponsive one shows by then. Calls that must not fail use no older
+connection."""
 
 SWEEP_PERIOD_S = 0.5
 """Time between two sweeps for connections that have been idle too long."""
@@ -264,7 +264,7 @@
             # This also runs when the call is cancelled.
             if connection is None:
                 self._open_count -= 1
-        connection.on_lost = self._on_lost(connection)
+        connection.on_lost = self._lost_handler(connection)
         return connection
 
     # Exits of the upstream.
@@ -321,16 +321,16 @@
         else:
             self.released()
 
-    def _on_lost(
+    def _lost_handler(
         self, connection: httpclient.UpstreamConnection
     ) -> collections.abc.Callable[[], None]:
-        def lost() -> None:
+        def on_lost() -> None:
             self._open_count -= 1
             if connection in self._idle:
                 self._idle.remove(connection)
             self.released()
 
-        return lost
+        return on_lost
 
     def _use(
         self, call: Call, connection: httpclient.UpstreamConnection
--- a/hyssoptack/gateway/quarantinesync.py
+++ b/hyssoptack/gateway/quarantinesync.py
@@ -31,11 +31,11 @@
 """Delay before new records are sent, so that they share a message. The
 upstreams that one query crashes exit within some tens of milliseconds."""
 
-NEAR_COUNT = 4
-FAR_COUNT = 2
-"""Number of instances of the own (`NEAR_COUNT`) and of other failure domains
-(`FAR_COUNT`) that get new records. Each forwards them to as many: 997 of 1,000
-instances get them so within some tens of milliseconds."""
+DOMAIN_PEER_COUNT = 4
+REMOTE_PEER_COUNT = 2
+"""Number of instances of the own (`DOMAIN_PEER_COUNT`) and of other failure
+domains (`REMOTE_PEER_COUNT`) that get new records. Each forwards them to as
+many: 997 of 1,000 instances get them so within some tens of milliseconds."""
 
 NEW_RECORDS_COUNT = 6
 """Maximum number of new records in one message. At `MAX_BYTES_PER_S` they take
@@ -87,10 +87,10 @@
         self,
         registry: quarantine.SuspectRegistry,
         own: member.Peer,
-        near: Peers,
-        far: Peers,
+        domain_peers: Peers,
+        remote_peers: Peers,
         send: Send,
-        on_blocked: collections.abc.Callable[[str], None],
+        on_quarantined: collections.abc.Callable[[str], None],
         instance_metrics: metrics.Metrics,
     ):
         """Creates the sync of one instance.
@@ -98,19 +98,19 @@
         Args:
             registry: The instance's records of suspected requests.
             own: The instance's id and address.
-            near: Returns the other instances of its failure domain.
-            far: Returns some instances of other failure domains.
+            domain_peers: Returns the other instances of its failure domain.
+            remote_peers: Returns some instances of other failure domains.
             send: Sends a message to an address.
-            on_blocked: Called with the fingerprint of a request that is refused
-                from now on.
+            on_quarantined: Called with the fingerprint of a request that is
+                refused from now on.
             instance_metrics: The instance's metrics.
         """
         self.suspicions = registry
         self._own = own
-        self._near = near
-        self._far = far
+        self._domain_peers = domain_peers
+        self._remote_peers = remote_peers
         self._send = send
-        self._on_blocked = on_blocked
+        self._on_quarantined = on_quarantined
         self._metrics = instance_metrics
         self._random = random.Random()
         self._remaining_request_count = REQUEST_ROUNDS_COUNT
@@ -150,7 +150,7 @@
         if change.kind is quarantine.ChangeKind.QUARANTINED:
             # The call plan that caused the change is still running a command.
             loop = asyncio.get_running_loop()
-            loop.call_soon(self._on_blocked, change.fingerprint)
+            loop.call_soon(self._on_quarantined, change.fingerprint)
 
     # Records that are sent.
 
@@ -163,7 +163,7 @@
                 await self._has_new_records.wait()
             if self._has_new_records.is_set():
                 await asyncio.sleep(NEW_RECORDS_DELAY_S)
-            await asyncio.sleep(self._round())
+            await asyncio.sleep(self._run_round())
 
     async def _wait_for_new_records(self) -> None:
         try:
@@ -173,7 +173,7 @@
             # The round then sends a sample of all records.
             return
 
-    def _round(self) -> float:
+    def _run_round(self) -> float:
         """Runs one round; returns the pause after it in seconds."""
         now_ms = clock.now_ms()
         self.suspicions.expire(now_ms)
@@ -183,7 +183,9 @@
             new_records = self.suspicions.pop_new_notices(
                 NEW_RECORDS_COUNT, now_ms
             )
-            sent_count = self._send_records(new_records, NEAR_COUNT, FAR_COUNT)
+            sent_count = self._send_records(
+                new_records, DOMAIN_PEER_COUNT, REMOTE_PEER_COUNT
+            )
             self._log_shared(new_records)
         else:
             sample = self.suspicions.sample_notices(SAMPLE_COUNT, now_ms)
@@ -191,22 +193,25 @@
         return sent_count * RECORD_BYTES / MAX_BYTES_PER_S
 
     def _send_records(
-        self, suspects: tuple[gatewaymessage.Suspect, ...], near: int, far: int
+        self,
+        suspects: tuple[gatewaymessage.Suspect, ...],
+        domain_count: int,
+        remote_count: int,
     ) -> int:
         """Sends records to a random sample of instances.
 
         Args:
             suspects: The records.
-            near: Number of instances of the own failure domain.
-            far: Number of instances of other failure domains.
+            domain_count: Number of instances of the own failure domain.
+            remote_count: Number of instances of other failure domains.
 
         Returns:
             Number of records sent, over all instances.
         """
         if not suspects:
             return 0
-        peers = self._sample(self._near(), near) + self._sample(
-            self._far(), far
+        peers = self._sample(self._domain_peers(), domain_count) + self._sample(
+            self._remote_peers(), remote_count
         )
         for peer in peers:
             self._send(peer.address, self._notice(suspects))
@@ -236,7 +241,9 @@
     def _request_records(self) -> None:
         if not self._remaining_request_count:
             return
-        peers = self._sample(self._near(), 2) + self._sample(self._far(), 1)
+        peers = self._sample(self._domain_peers(), 2) + self._sample(
+            self._remote_peers(), 1
+        )
         if not peers:
             return
         self._remaining_request_count -= 1
--- a/hyssoptack/gateway/quarantinesync_test.py
+++ b/hyssoptack/gateway/quarantinesync_test.py
@@ -33,21 +33,21 @@
     """
     cut_off = site.gateways[name]
     addresses = {cut_off._settings.peer_address}
-    ends = []
+    replaced = []
     for other in site.gateways.values():
         peering = other._peering
-        kept = peering._links.send
+        original_send = peering._links.send
 
-        def send(address, body, other=other, kept=kept):
+        def send(address, body, other=other, original_send=original_send):
             if (other is cut_off) == (address in addresses):
-                kept(address, body)
+                original_send(address, body)
 
         peering._links.send = send
-        ends.append((peering._links, kept))
+        replaced.append((peering._links, original_send))
 
     def heal():
-        for links, kept in ends:
-            links.send = kept
+        for links, original_send in replaced:
+            links.send = original_send
 
     return heal
 
@@ -150,7 +150,7 @@
             gateway_crash_test.CrashWatch(site, b"/none")
             statuses = []
             for turn in range(6):
-                asked = [
+                requests = [
                     asyncio.create_task(
                         _get_with_retry(site, f"/all/q-{turn}-{n}", name)
                     )
@@ -163,7 +163,9 @@
                     if int(each.upstream_id[-1]) // 2 == turn % 2:
                         each.behaviour.return_ms = 300.0
                         each.crash()
-                statuses += [got.status for got in await asyncio.gather(*asked)]
+                statuses += [
+                    got.status for got in await asyncio.gather(*requests)
+                ]
                 await asyncio.sleep(0.5)
             assert statuses == [200] * len(statuses)
             for name in site.gateways:
@@ -201,22 +203,22 @@
     async def test():
         async with harness.Site() as site:
             await gateway_crash_test.start_sharded_site(site)
-            told = []
+            sent = []
             for each in site.gateways.values():
-                kept = each._quarantine_sync._send
+                original_send = each._quarantine_sync._send
 
-                def send(address, body, kept=kept):
-                    told.append(body)
-                    kept(address, body)
+                def send(address, body, original_send=original_send):
+                    sent.append(body)
+                    original_send(address, body)
 
                 each._quarantine_sync._send = send
             # By then, the instances no longer request records after the start.
             await asyncio.sleep(3.5)
-            told.clear()
+            sent.clear()
             for number in range(9):
                 await site.get(f"/all/{number}", f"r{number}", name="n1")
             await asyncio.sleep(1.5)
-            assert not told
+            assert not sent
 
     asyncio.run(test())
 
--- a/hyssoptack/gateway/replicatedview.py
+++ b/hyssoptack/gateway/replicatedview.py
@@ -66,8 +66,8 @@
     @property
     def version(self) -> int:
         """Version of the configuration in force; 0 before there is one."""
-        found = self.route_table.configuration
-        return found.version if found else 0
+        configuration = self.route_table.configuration
+        return configuration.version if configuration else 0
 
     @property
     def is_complete(self) -> bool:
@@ -179,12 +179,12 @@
     def replace_evacuations(
         self,
         domains: frozenset[str],
-        at: position.Position,
+        store_position: position.Position,
         source: str,
         now_ms: float,
     ) -> bool:
         """Replaces all evacuations; returns whether any changed."""
-        self.evacuations.replace_all(domains, at, now_ms)
+        self.evacuations.replace_all(domains, store_position, now_ms)
         return self.apply_evacuations(source, now_ms)
 
     def remaining_grace_ms(self, now_ms: float) -> float:
--- a/hyssoptack/gateway/startup_test.py
+++ b/hyssoptack/gateway/startup_test.py
@@ -92,13 +92,11 @@
     process = _start_gateway(tmp_path, f"127.0.0.1:{port}")
     try:
         with _connect(port) as caller:
-            not_started_yet = not select.select([process.stdout], [], [], 0.0)[
-                0
-            ]
+            no_output_yet = not select.select([process.stdout], [], [], 0.0)[0]
             caller.sendall(harness.request_bytes("/x", "r1"))
             caller.settimeout(START_LIMIT_S)
             answer = caller.recv(4_096)
-        assert not_started_yet
+        assert no_output_yet
         assert answer.startswith(b"HTTP/1.1 503 ")
     finally:
         process.kill()
--- a/hyssoptack/gateway/storewatch.py
+++ b/hyssoptack/gateway/storewatch.py
@@ -184,7 +184,7 @@
     # The configuration.
 
     async def watch_configuration(self) -> None:
-        """Reads and watches the configuration while the instance is a reader."""
+        """Follows the configuration while this instance is a reader."""
         failure_count = 0
         revision: int | None = None
         # The first read may be stale, at a tenth of the cost: the watch from
@@ -399,9 +399,9 @@
             each for each in peers if each.failure_domain == domain
         )
         self._readers.install(neighbours, len(peers))
-        far = gatherers.select_gatherers(peers, domain)
-        self._on_instances(far)
-        self._peers.publish_instances(neighbours, len(peers), far)
+        far_gatherers = gatherers.select_gatherers(peers, domain)
+        self._on_instances(far_gatherers)
+        self._peers.publish_instances(neighbours, len(peers), far_gatherers)
 
     # The store's reachability.
 
--- a/hyssoptack/gateway/storewatch_test.py
+++ b/hyssoptack/gateway/storewatch_test.py
@@ -43,34 +43,34 @@
         "g", "north", readerelection.read_timings(3_000.0)
     )
     peers = types.SimpleNamespace(reader_election=readers)
-    made = storewatch.StoreWatcher(
+    watcher = storewatch.StoreWatcher(
         settings, view, None, peers, lambda _: None, None
     )
     now_ms = clock.now_ms()
     listed = {"a": callplan_test.upstream("a")}
     view.apply_list(listed, 1, now_ms - list_age_ms)
-    made._store_lost_ms = now_ms - 9_000.0
-    return made, view
+    watcher._store_lost_ms = now_ms - 9_000.0
+    return watcher, view
 
 
 def test_a_list_that_neighbours_kept_fresh_gets_no_grace():
     # The store refused one instance for 9 s. After its return, the instance
     # kept 16 upstreams that had left meanwhile for 3 s more, and published
     # them to its neighbours.
-    made, view = store_watcher(list_age_ms=900.0)
-    made._record_store_recovered()
+    watcher, view = store_watcher(list_age_ms=900.0)
+    watcher._record_store_recovered()
     view.apply_list({}, 2, clock.now_ms())
     assert not view.upstreams
 
 
-def receive_view(made, view, upstreams, grace_ms=0.0, list_age_ms=0.0):
+def receive_view(watcher, view, upstreams, grace_ms=0.0, list_age_ms=0.0):
     """Delivers a neighbour's whole list of upstreams to an instance."""
     peers = peering.Peering(
-        made._settings, view, made._readers, lambda: None, lambda: None
+        watcher._settings, view, watcher._readers, lambda: None, lambda: None
     )
     history = listdelta.ListHistory()
     history.add(upstreams)
-    made = gatewaymessage.ViewNotice(
+    notice = gatewaymessage.ViewNotice(
         sender_id="g2",
         sender_address="",
         version=0,
@@ -80,16 +80,16 @@
         grace_ms=grace_ms,
         list_age_ms=list_age_ms,
     )
-    peers._receive_view(made)
+    peers._receive_view(notice)
 
 
 def test_a_neighbours_notice_does_not_make_an_old_list_fresh():
     # A neighbour that could read the configuration again published it with a
     # list that was 7 s old. The instance's own read 10 ms later treated that
     # list as fresh, and dropped 105 upstreams that had lapsed.
-    made, view = store_watcher(list_age_ms=9_000.0)
-    receive_view(made, view, view.upstreams, list_age_ms=7_000.0)
-    made._record_store_recovered()
+    watcher, view = store_watcher(list_age_ms=9_000.0)
+    receive_view(watcher, view, view.upstreams, list_age_ms=7_000.0)
+    watcher._record_store_recovered()
     view.apply_list({}, 3, clock.now_ms())
     assert "a" in view.upstreams
 
@@ -98,14 +98,14 @@
     # The first instance to read after an outage kept the lapsed upstreams and
     # published them. A neighbour that read 10 ms later treated that list as
     # fresh, dropped 121 upstreams and published their removal.
-    made, view = store_watcher(list_age_ms=5_000.0)
+    watcher, view = store_watcher(list_age_ms=5_000.0)
     receive_view(
-        made,
+        watcher,
         view,
         view.upstreams,
         replicatedview.REREGISTRATION_GRACE_MS,
     )
-    made._record_store_recovered()
+    watcher._record_store_recovered()
     view.apply_list({}, 3, clock.now_ms())
     assert "a" in view.upstreams
     view.apply_list(
@@ -116,18 +116,18 @@
 
 def test_a_new_instances_list_removes_nothing_within_the_grace():
     # A reader that started during the outage never saw the lapsed upstreams.
-    made, view = store_watcher(list_age_ms=9_000.0)
-    made._record_store_recovered()
-    receive_view(made, view, {"b": callplan_test.upstream("b")})
+    watcher, view = store_watcher(list_age_ms=9_000.0)
+    watcher._record_store_recovered()
+    receive_view(watcher, view, {"b": callplan_test.upstream("b")})
     assert set(view.upstreams) == {"a", "b"}
 
 
 def test_entries_that_lapsed_in_an_outage_are_kept_for_a_while():
-    made, view = store_watcher(list_age_ms=9_000.0)
-    made._record_store_recovered()
+    watcher, view = store_watcher(list_age_ms=9_000.0)
+    watcher._record_store_recovered()
     view.apply_list({}, 2, clock.now_ms())
     assert "a" in view.upstreams
-    pause_ms = made._list_pause_ms(clock.now_ms())
+    pause_ms = watcher._list_pause_ms(clock.now_ms())
     assert pause_ms <= replicatedview.REREGISTRATION_GRACE_MS
     later_ms = clock.now_ms() + replicatedview.REREGISTRATION_GRACE_MS + 1.0
     view.apply_list({}, 3, later_ms)
@@ -135,11 +135,11 @@
 
 
 def test_a_read_is_due_when_the_grace_ends():
-    made, view = store_watcher(list_age_ms=9_000.0)
+    watcher, view = store_watcher(list_age_ms=9_000.0)
     view.store_recovered_ms = 1_000.0
     ends_ms = 1_000.0 + replicatedview.REREGISTRATION_GRACE_MS
-    assert made._list_pause_ms(ends_ms - 300.0) <= 310.0
-    assert made._list_pause_ms(ends_ms + 1.0) == 1_000.0
+    assert watcher._list_pause_ms(ends_ms - 300.0) <= 310.0
+    assert watcher._list_pause_ms(ends_ms + 1.0) == 1_000.0
 
 
 class _Store:
@@ -157,27 +157,27 @@
 
 
 def test_a_new_instances_first_read_may_be_stale_the_next_is_exact():
-    made, _ = store_watcher(list_age_ms=0.0)
-    made._store = _Store(4)
-    made._peers.publish_view = lambda: None
-    made._readers.read_timings = readerelection.read_timings(0.0)
+    watcher, _ = store_watcher(list_age_ms=0.0)
+    watcher._store = _Store(4)
+    watcher._peers.publish_view = lambda: None
+    watcher._readers.read_timings = readerelection.read_timings(0.0)
     with contextlib.suppress(asyncio.CancelledError):
-        asyncio.run(made.poll_upstreams())
-    assert made._store.stale == [True, False, True, False]
+        asyncio.run(watcher.poll_upstreams())
+    assert watcher._store.stale == [True, False, True, False]
 
 
 def test_only_the_first_read_of_the_configuration_may_be_stale():
-    made, view = store_watcher(list_age_ms=0.0)
-    made._store = _Store(3)
+    watcher, view = store_watcher(list_age_ms=0.0)
+    watcher._store = _Store(3)
     view.pools = None
     with contextlib.suppress(asyncio.CancelledError):
-        asyncio.run(made.watch_configuration())
-    assert made._store.stale == [True, False, False]
+        asyncio.run(watcher.watch_configuration())
+    assert watcher._store.stale == [True, False, False]
 
 
 def test_a_restarted_upstream_replaces_its_predecessor_within_the_grace():
-    made, view = store_watcher(list_age_ms=9_000.0)
-    made._record_store_recovered()
+    watcher, view = store_watcher(list_age_ms=9_000.0)
+    watcher._record_store_recovered()
     again = dataclasses.replace(
         callplan_test.upstream("a"), upstream_id="a#2", listed_id="a"
     )
@@ -210,7 +210,7 @@
     monkeypatch.setattr(
         log, "write", lambda event, **fields: lines.append((event, fields))
     )
-    made, view = store_watcher(list_age_ms=0.0)
+    watcher, view = store_watcher(list_age_ms=0.0)
     good = {
         "service": "s",
         "address": "10.0.0.1:80",
@@ -223,7 +223,9 @@
         keyvalue.Item(key="servers/b", value=json.dumps(good).encode()),
     ]
     for revision in (2, 3):
-        made._apply_list(keyvalue.Listing(items=items, store_revision=revision))
+        watcher._apply_list(
+            keyvalue.Listing(items=items, store_revision=revision)
+        )
     assert set(view.upstreams) == {"b"}
     found = [
         fields for event, fields in lines if event is log.Event.ENTRY_UNREADABLE
