--- a/hyssoptack/gateway/peering.py
+++ b/hyssoptack/gateway/peering.py
@@ -277,7 +277,10 @@
     def _apply_configuration(self, notice: gatewaymessage.ViewNotice) -> None:
         stored = codec.decompress(notice.configuration)
         if stored is None:
-            log.write(log.Event.CONFIG_REFUSED, errors=["can't be expanded"])
+            log.write(
+                log.Event.CONFIG_REFUSED,
+                errors=["compressed configuration can't be read"],
+            )
             return
         match storeformat.parse_configuration(stored):
             case expression.Result(tag="ok", ok=offered):
--- a/hyssoptack/gateway/quarantinestore.py
+++ b/hyssoptack/gateway/quarantinestore.py
@@ -26,7 +26,7 @@
 STORED_COUNT = 32
 """Maximum number of requests that are written at a time, newest first. The
 store accepts 32 writes in one call, and more than a few such requests at a time
-are made up by somebody."""
+are unlikely to be genuine."""
 
 LEASE_MAX_MS = 600_000.0
 """The longest lease that the store grants; an entry that lasts longer is
--- a/hyssoptack/gateway/quarantinesync.py
+++ b/hyssoptack/gateway/quarantinesync.py
@@ -40,7 +40,7 @@
 NEW_RECORDS_COUNT = 6
 """Maximum number of new records in one message. At `MAX_BYTES_PER_S` they take
 a second, so that the next new record is sent in time. Requests that crash
-upstreams are few; if somebody makes up many of them, sharing their records is
+upstreams are few; if a caller fabricates many of them, sharing their records is
 of no use."""
 
 SAMPLE_COUNT = 16
--- a/hyssoptack/gateway/restarted_test.py
+++ b/hyssoptack/gateway/restarted_test.py
@@ -31,7 +31,7 @@
 
 
 async def _get_part_requests(site, request_id):
-    """Returns a response's status and the ids of the requests of its parts."""
+    """Returns a response's status and the request ids stamped on its parts."""
     got = await site.get("/all/x", request_id, name="narrow")
     stamps = got.headers.get("x-part-stamps", "").split(", ")
     return got.status, {each.rpartition(".")[2] for each in stamps}
--- a/hyssoptack/gateway/startup_test.py
+++ b/hyssoptack/gateway/startup_test.py
@@ -82,7 +82,7 @@
         with contextlib.suppress(ConnectionRefusedError):
             return socket.create_connection(("127.0.0.1", port))
         time.sleep(0.002)
-    raise AssertionError("the port stayed closed")
+    raise AssertionError("the callers' port did not open in time")
 
 
 def test_early_callers_wait_while_the_process_loads(tmp_path):
--- a/hyssoptack/gateway/storewatch.py
+++ b/hyssoptack/gateway/storewatch.py
@@ -159,7 +159,9 @@
                 case expression.Result(tag="ok", ok=upstream):
                     cold_ms = min(max(0.0, upstream.cold_ms), COLD_MAX_MS)
                     if cold_ms != upstream.cold_ms:
-                        unreadable[item.key] = f"cold for {upstream.cold_ms} ms"
+                        unreadable[item.key] = (
+                            f"warm-up of {upstream.cold_ms} ms"
+                        )
                         upstream = dataclasses.replace(
                             upstream, cold_ms=cold_ms
                         )
