--- a/hyssoptack/entry/__init__.py
+++ b/hyssoptack/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry daemon: front, coordinator, executor, operator port."""
+"""The entry daemon: caller and operator ports, coordinators, executor."""
--- a/hyssoptack/entry/actioncoordinator.py
+++ b/hyssoptack/entry/actioncoordinator.py
@@ -1,8 +1,9 @@
-"""The front's side of non-idempotent requests: finds an executor, settles.
+"""Coordinates non-idempotent requests for the instance that received them.
 
-Picks the upstream and its owner, and asks that instance to execute. When the
-executor does not answer, bars the request in its claim before it says "not
-run", so that this stays true even if the executor goes on later.
+Selects the upstream and the instance that owns it, and has that instance
+execute the action. If the executor does not answer, the coordinator bars the
+request in its claim before it reports "not run", so that the report stays true
+even if the executor resumes later.
 """
 
 import asyncio
@@ -27,7 +28,8 @@
 from hyssoptack.relay import relay
 
 SETTLE_SHARE_RATIO = 0.3
-"""Part of the deadline kept to settle what a lost executor did."""
+"""Part of the deadline reserved to determine the outcome if the executor does
+not answer."""
 
 SETTLE_TRY_COUNT = 6
 
@@ -35,35 +37,38 @@
 
 
 class ActionCoordinator:
-    """Owns the actions of this instance's callers; runs on the event loop."""
+    """Coordinates the actions of this instance's callers on the event loop."""
 
     def __init__(
         self,
-        knowledge: state.InstanceState,
+        instance_state: state.InstanceState,
         own_relay: relay.Relay,
         own_executor: actionexecutor.ActionExecutor,
-        own_claims: claimstore.ClaimStore,
+        claim_store: claimstore.ClaimStore,
         send_to: SendTo,
     ):
-        self._state = knowledge
+        self._state = instance_state
         self._relay = own_relay
         self._executor = own_executor
-        self._claims = own_claims
+        self._claim_store = claim_store
         self._send_to = send_to
-        self._own_id = knowledge.settings.instance_id
-        self._numbers = itertools.count(1)
+        self._own_id = instance_state.settings.instance_id
+        self._request_numbers = itertools.count(1)
         self._random = random.Random()
-        self._asked: dict[str, asyncio.Future[action.Outcome | None]] = {}
+        self._pending_outcomes: dict[
+            str, asyncio.Future[action.Outcome | None]
+        ] = {}
         self.in_flight_count = 0
 
-    async def run_action(self, asked: action.Action) -> action.Outcome:
-        """Brings an action to its final outcome.
+    async def run_action(self, request: action.Action) -> action.Outcome:
+        """Runs an action to its final outcome.
 
         Args:
-            asked: The action; its service is known and accepts actions.
+            request: The action. Its service must be in the catalog and accept
+                actions.
 
         Returns:
-            The outcome; `ran` is never `no` when the action may have run.
+            The outcome. `ran` is `no` only if the action certainly did not run.
         """
         limit = self._state.settings.front.max_action_count
         if self.in_flight_count >= limit:
@@ -72,130 +77,136 @@
             )
         self.in_flight_count += 1
         try:
-            outcome = await self._act(asked)
+            outcome = await self._execute(request)
         finally:
             self.in_flight_count -= 1
         reason = outcome.refused.reason.value if outcome.refused else ""
         log.write(
             log.Event.ACTION_SETTLED,
-            service=asked.service,
-            key=claim.key_of(asked),
+            service=request.service,
+            key=claim.key_of(request),
             ran=outcome.ran.value,
             reason=reason,
         )
         return outcome
 
-    async def _act(self, asked: action.Action) -> action.Outcome:
+    async def _execute(self, request: action.Action) -> action.Outcome:
         now_ms = clock.now_ms()
-        service = self._state.catalog.services[asked.service]
-        upstream = _upstream_for(service, asked)
-        lane = self._lane(service, upstream, now_ms)
-        if lane is None:
+        service = self._state.catalog.services[request.service]
+        upstream = _upstream_for(service, request)
+        path = self._select_path(service, upstream, now_ms)
+        if path is None:
             return claim.not_run_outcome(
                 refusal.Reason.UPSTREAM_UNAVAILABLE,
                 f"no way to upstream {upstream.upstream_id} now",
             )
-        request_id = f"{self._state.incarnation}.r{next(self._numbers)}"
-        work_ms = asked.deadline_ms * (1.0 - SETTLE_SHARE_RATIO)
+        request_id = f"{self._state.incarnation}.r{next(self._request_numbers)}"
+        execution_ms = request.deadline_ms * (1.0 - SETTLE_SHARE_RATIO)
         ask = message.ActionAsk(
             origin=self._own_id,
             request_id=request_id,
-            remaining_ms=work_ms,
+            remaining_ms=execution_ms,
             upstream_id=upstream.upstream_id,
-            action=asked,
+            action=request,
         )
-        if lane.instance_id == self._own_id:
+        if path.instance_id == self._own_id:
             return await self._executor.execute(ask)
-        return await self._ask_peer(lane, ask)
+        return await self._ask_peer(path, ask)
 
-    def _lane(
+    def _select_path(
         self,
         service: catalog.Service,
         upstream: catalog.Upstream,
         now_ms: float,
     ) -> routing.RelayPath | None:
-        """Finds a way to the one upstream that an action may go to.
+        """Selects the path to the only upstream that may receive an action.
 
-        Ejection is no bar here: there is no other upstream to prefer.
+        An ejected upstream is still used, because there is no other one.
+
+        Returns:
+            The path; None if the upstream is draining or has no path.
         """
         if self._state.upstream_health.is_draining(
             upstream.upstream_id, now_ms
         ):
             return None
-        lanes = self._state.router.paths(service, upstream.upstream_id)
-        own = [each for each in lanes if each.instance_id == self._own_id]
+        paths = self._state.router.paths(service, upstream.upstream_id)
+        own = [each for each in paths if each.instance_id == self._own_id]
         if own and self._relay.owns(upstream.upstream_id, now_ms):
             return own[0]
-        remote = [each for each in lanes if each.instance_id != self._own_id]
+        remote = [each for each in paths if each.instance_id != self._own_id]
         return self._random.choice(remote) if remote else None
 
     async def _ask_peer(
-        self, lane: routing.RelayPath, ask: message.ActionAsk
+        self, path: routing.RelayPath, ask: message.ActionAsk
     ) -> action.Outcome:
         done = asyncio.get_running_loop().create_future()
-        self._asked[ask.request_id] = done
+        self._pending_outcomes[ask.request_id] = done
         self._state.pending_answers.record_request(
-            lane.instance_id, clock.now_ms()
+            path.instance_id, clock.now_ms()
         )
         try:
-            if not self._send_to(lane.instance_id, ask):
-                return _unsent()
+            if not self._send_to(path.instance_id, ask):
+                return _not_sent_outcome()
             if not await timeouts.wait_until_done(done, ask.remaining_ms):
-                return await self._settle(ask)
+                return await self._settle_unanswered(ask)
             outcome = done.result()
             if outcome is not None:
-                self._state.pending_answers.record_response(lane.instance_id)
-            return outcome if outcome is not None else _unsent()
+                self._state.pending_answers.record_response(path.instance_id)
+            return outcome if outcome is not None else _not_sent_outcome()
         finally:
-            del self._asked[ask.request_id]
+            del self._pending_outcomes[ask.request_id]
 
     def on_reply(self, reply: message.ActionReply) -> None:
-        """Takes an executor's answer."""
-        done = self._asked.get(reply.request_id)
+        """Completes a pending action with the executor's reply."""
+        done = self._pending_outcomes.get(reply.request_id)
         if done is not None and not done.done():
             done.set_result(reply.outcome)
 
     def on_undelivered(self, ask: message.ActionAsk) -> None:
-        """Takes back an ask that certainly was not sent."""
-        done = self._asked.get(ask.request_id)
+        """Completes a pending action whose message was certainly not sent."""
+        done = self._pending_outcomes.get(ask.request_id)
         if done is not None and not done.done():
             done.set_result(None)
 
-    async def _settle(self, ask: message.ActionAsk) -> action.Outcome:
-        """Finds out what may be said after the executor did not answer.
+    async def _settle_unanswered(
+        self, ask: message.ActionAsk
+    ) -> action.Outcome:
+        """Determines the outcome after the executor did not answer.
 
         Bars the request in the claim, so that "not run" stays true even if the
-        executor goes on later.
+        executor resumes later.
         """
         digest = claim.digest_of(ask.action)
         key = claim.key_of(ask.action)
         ttl_ms = self._ttl_ms(ask.action.service)
         for _ in range(SETTLE_TRY_COUNT):
-            read = await self._claims.read(key)
+            read = await self._claim_store.read(key)
             if read is None:
                 break
             found, version = read
             if not claim.may_release(found, digest):
                 return claim.recorded_outcome(found)
             if found is not None and ask.request_id in found.barred:
-                return _lost_executor()
+                return _executor_lost_outcome()
             wanted = claim.released_claim(
                 found, ask.request_id, digest, "the executor did not answer"
             )
-            await self._claims.write(key, wanted, version, ttl_ms)
-            # Read again: only a release that is seen in the store counts.
+            await self._claim_store.write(key, wanted, version, ttl_ms)
+            # The next pass reads the claim again: the write's own result does
+            # not prove that the request is barred.
         return claim.unknown_outcome("the executor did not answer")
 
     async def read_outcome(self, service: str, key: str) -> action.Outcome:
-        """Returns what is on record for an idempotency key."""
-        asked = action.Action(
+        """Returns the recorded outcome for an idempotency key."""
+        request = action.Action(
             idempotency_key=key,
             service=service,
             subject="",
             body_text="",
             deadline_ms=0,
         )
-        read = await self._claims.read(claim.key_of(asked))
+        read = await self._claim_store.read(claim.key_of(request))
         if read is None:
             return claim.unknown_outcome(
                 "the key-value service can't be read now"
@@ -207,23 +218,28 @@
 
 
 def _upstream_for(
-    service: catalog.Service, asked: action.Action
+    service: catalog.Service, request: action.Action
 ) -> catalog.Upstream:
-    """Returns the first upstream of a subject's shard: it takes actions."""
-    key = keyspace.key_of(asked.subject)
+    """Returns the first upstream of the subject's shard.
+
+    Only the first upstream of a shard receives actions.
+    """
+    key = keyspace.key_of(request.subject)
     for shard in service.shards:
         if shard.key_range.contains(key):
             return service.upstreams[shard.upstream_ids[0]]
-    raise chart.BrokenInvariant(f"no shard of {service.name} has key {key}")
+    raise chart.BrokenInvariant(
+        f"no shard of service {service.name} contains key {key}"
+    )
 
 
-def _unsent() -> action.Outcome:
+def _not_sent_outcome() -> action.Outcome:
     return claim.not_run_outcome(
         refusal.Reason.UPSTREAM_UNAVAILABLE, "no executor could be reached"
     )
 
 
-def _lost_executor() -> action.Outcome:
+def _executor_lost_outcome() -> action.Outcome:
     return claim.not_run_outcome(
         refusal.Reason.UPSTREAM_UNAVAILABLE,
         "the executor did not answer and can't run the request any more",
--- a/hyssoptack/entry/actioncoordinator_test.py
+++ b/hyssoptack/entry/actioncoordinator_test.py
@@ -1,4 +1,4 @@
-"""Tests of the front's side of actions, without processes or sockets."""
+"""Tests of the action coordinator without processes or sockets."""
 
 import asyncio
 import types
@@ -16,7 +16,7 @@
 SUSPECT_AFTER_MS = 3_000.0
 
 
-def _asked() -> action.Action:
+def _request() -> action.Action:
     return action.Action(
         idempotency_key="key",
         service="service",
@@ -26,9 +26,9 @@
     )
 
 
-def _state(current) -> types.SimpleNamespace:
-    """Returns a state whose only way to each upstream is another instance."""
-    lane = routing.RelayPath(
+def _state(service) -> types.SimpleNamespace:
+    """Returns a state whose only path to each upstream is another instance."""
+    path = routing.RelayPath(
         upstream_id="any", instance_id=EXECUTOR_ID, slot_count=1
     )
     return types.SimpleNamespace(
@@ -39,29 +39,32 @@
         incarnation=f"{example.OWN_ID}-1",
         catalog=types.SimpleNamespace(services={"service": current}),
         pending_answers=membership.PendingAnswers(),
-        router=types.SimpleNamespace(paths=lambda *_: [lane]),
+        router=types.SimpleNamespace(paths=lambda *_: [path]),
         upstream_health=types.SimpleNamespace(is_draining=lambda *_: False),
     )
 
 
-def test_an_executor_that_answered_owes_nothing():
-    """Else a busy executor is avoided until its next heartbeat comes by."""
-    knowledge = _state(example.service(4, 3))
+def test_answer_clears_the_pending_request_of_the_executor():
+    """An executor that answered has no request pending.
+
+    Otherwise a busy executor is avoided until its next heartbeat arrives.
+    """
+    instance_state = _state(example.service(4, 3))
     done = action.Outcome(ran=refusal.Ran.YES, receipt="r")
 
     async def run() -> action.Outcome:
         def send_to(_instance_id: str, ask: message.ActionAsk) -> bool:
             reply = message.ActionReply(request_id=ask.request_id, outcome=done)
-            asyncio.get_running_loop().call_soon(acting.on_reply, reply)
+            asyncio.get_running_loop().call_soon(coordinator.on_reply, reply)
             return True
 
-        acting = actioncoordinator.ActionCoordinator(
-            knowledge, None, None, None, send_to
+        coordinator = actioncoordinator.ActionCoordinator(
+            instance_state, None, None, None, send_to
         )
-        return await acting.run_action(_asked())
+        return await coordinator.run_action(_request())
 
     assert asyncio.run(run()) == done
     later_ms = clock.now_ms() + 2 * SUSPECT_AFTER_MS
-    assert not knowledge.pending_answers.is_overdue(
+    assert not instance_state.pending_answers.is_overdue(
         EXECUTOR_ID, SUSPECT_AFTER_MS, later_ms
     )
--- a/hyssoptack/entry/actionexecutor.py
+++ b/hyssoptack/entry/actionexecutor.py
@@ -1,8 +1,8 @@
 """Executes non-idempotent requests at most once.
 
 Claims the idempotency key in the platform's key-value service before any byte
-goes to the upstream, sends once, and records what became of it. `policy.claim`
-holds the decisions; here are the calls around them.
+is sent to the upstream, sends the request once, and records the outcome.
+`policy.claim` makes the decisions; this module makes the calls.
 """
 
 import asyncio
@@ -39,25 +39,25 @@
 
 @dataclasses.dataclass(kw_only=True)
 class _Attempt:
-    """One attempt on the executing side.
+    """One attempt to execute an action.
 
     Attributes:
-        attempt_id: Names it in the claim.
-        request_id: The request that it belongs to.
-        asked: The action.
-        upstream: Where it goes.
-        digest: Digest of what is asked.
-        key: The claim's key in the store.
-        ttl_ms: How long the claim is kept.
-        chart_state: Where the attempt stands.
-        version: The store's version of the claim, once held.
-        held: The claim, once held.
-        started_ms: When the attempt began.
+        attempt_id: Identifier of the attempt, stored in the claim.
+        request_id: Identifier of the request that it executes.
+        request: Action to execute.
+        upstream: Upstream that receives the action.
+        digest: Digest of the action's content.
+        key: Key of the claim in the store.
+        ttl_ms: Lifetime of the claim in the store, in milliseconds.
+        started_ms: Time at which the attempt started.
+        chart_state: Current state in the `action` chart.
+        version: The store's version of the claim; 0 until it is held.
+        held: Claim that the attempt holds; None until it is held.
     """
 
     attempt_id: str
     request_id: str
-    asked: action.Action
+    request: action.Action
     upstream: catalog.Upstream
     digest: str
     key: str
@@ -67,11 +67,12 @@
     version: int = 0
     held: action.Claim | None = None
 
-    def take(self, event: str) -> None:
-        """Steps the attempt's chart.
+    def apply_event(self, event: str) -> None:
+        """Applies an event to the attempt's state chart.
 
         Raises:
-            chart.BrokenInvariant: The state does not take the event.
+            chart.BrokenInvariant: The current state has no transition for
+                the event.
         """
         if not _CHART.accepts(self.chart_state, event):
             raise chart.BrokenInvariant(f"{event} in {self.chart_state}")
@@ -79,43 +80,47 @@
 
 
 class ActionExecutor:
-    """Runs attempts on the upstreams that this instance owns."""
+    """Executes actions on the upstreams that this instance owns."""
 
     def __init__(
         self,
-        knowledge: state.InstanceState,
+        instance_state: state.InstanceState,
         own_relay: relay.Relay,
-        own_claims: claimstore.ClaimStore,
+        claim_store: claimstore.ClaimStore,
         send_to: SendTo,
     ):
-        self._state = knowledge
+        self._state = instance_state
         self._relay = own_relay
-        self._claims = own_claims
+        self._claim_store = claim_store
         self._send_to = send_to
-        self._numbers = itertools.count(1)
+        self._attempt_numbers = itertools.count(1)
         self._random = random.Random()
         self._tasks: set[asyncio.Task] = set()
 
     def unfinished_task_count(self) -> int:
-        """Returns attempts and records that are not finished."""
+        """Returns the number of attempts and claim updates still running."""
         return len(self._tasks)
 
     def on_ask(self, ask: message.ActionAsk) -> None:
-        """Takes a peer's ask; the answer goes back as a message."""
-        self._start(self._answer(ask))
+        """Executes an action for a peer and sends the outcome to it."""
+        self._start(self._execute_and_reply(ask))
 
     def _start(self, work: collections.abc.Coroutine) -> None:
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _answer(self, ask: message.ActionAsk) -> None:
+    async def _execute_and_reply(self, ask: message.ActionAsk) -> None:
         outcome = await self.execute(ask)
         reply = message.ActionReply(request_id=ask.request_id, outcome=outcome)
         self._send_to(ask.origin, reply)
 
     async def execute(self, ask: message.ActionAsk) -> action.Outcome:
-        """Claims, sends once and records; returns what became of it."""
+        """Claims the key, sends the action once and records the outcome.
+
+        Returns:
+            The outcome. The claim may be updated after the return.
+        """
         now_ms = clock.now_ms()
         service = self._state.catalog.services.get(ask.action.service)
         upstream = service.upstreams.get(ask.upstream_id) if service else None
@@ -125,23 +130,28 @@
                 f"upstream {ask.upstream_id} is not served from here now",
             )
         attempt = _Attempt(
-            attempt_id=f"{self._state.incarnation}.a{next(self._numbers)}",
+            attempt_id=f"{self._state.incarnation}.a{next(self._attempt_numbers)}",
             request_id=ask.request_id,
-            asked=ask.action,
+            request=ask.action,
             upstream=upstream,
             digest=claim.digest_of(ask.action),
             key=claim.key_of(ask.action),
             ttl_ms=self._ttl_ms(ask.action.service),
             started_ms=now_ms,
         )
-        attempt.take("claim_asked")
-        settled = await self._claim(attempt)
-        if settled is not None:
-            return settled
+        attempt.apply_event("claim_asked")
+        early_outcome = await self._claim(attempt)
+        if early_outcome is not None:
+            return early_outcome
         return await self._send_once(attempt, ask.remaining_ms)
 
     async def _claim(self, attempt: _Attempt) -> action.Outcome | None:
-        """Claims the key; returns an outcome when the attempt must not send."""
+        """Claims the idempotency key for an attempt.
+
+        Returns:
+            None once the claim is held; otherwise the outcome to return without
+            sending the action.
+        """
         found: action.Claim | None = None
         version = store.ABSENT_VERSION
         for _ in range(CLAIM_TRY_COUNT):
@@ -153,10 +163,10 @@
                 attempt.digest,
             ):
                 case claim.Settled(outcome=outcome):
-                    attempt.take("claim_lost")
+                    attempt.apply_event("claim_lost")
                     return outcome
                 case claim.Proceed(version=held_version):
-                    attempt.take("claim_won")
+                    attempt.apply_event("claim_won")
                     attempt.version = held_version
                     attempt.held = found
                     return None
@@ -170,8 +180,9 @@
             if read is None:
                 break
             found, version = read
-        attempt.take("store_unreachable")
-        # The claim may exist although nobody will send: let it go later.
+        attempt.apply_event("store_unreachable")
+        # A write whose answer was lost may have created the claim, but nothing
+        # will be sent: release it in the background.
         self._start(self._record_release(attempt, "the store was lost"))
         return claim.not_run_outcome(
             refusal.Reason.STORE_UNAVAILABLE,
@@ -181,8 +192,13 @@
     async def _write_then_read(
         self, attempt: _Attempt, wanted: action.Claim, version: int
     ) -> tuple[action.Claim | None, int] | None:
-        """Writes a claim and returns what the store holds after it."""
-        written = await self._claims.write(
+        """Writes a claim and returns what the store then holds.
+
+        Returns:
+            The claim (None if absent) and its version; None alone if the store
+            did not answer or its value can't be decoded.
+        """
+        written = await self._claim_store.write(
             attempt.key, wanted, version, attempt.ttl_ms
         )
         match written:
@@ -191,8 +207,8 @@
             case expression.Result(error=store.Conflict(current_value=found)):
                 return claimstore.parse_claim(found)
             case _:
-                # The answer was lost; the write may have taken effect.
-                return await self._claims.read(attempt.key)
+                # Without an answer, the write may or may not have taken effect.
+                return await self._claim_store.read(attempt.key)
 
     async def _send_once(
         self, attempt: _Attempt, remaining_ms: float
@@ -202,29 +218,29 @@
         limit_ms = min(max_age_ms, attempt.ttl_ms / 2, remaining_ms)
         expires_ms = attempt.started_ms + limit_ms
         if now_ms >= expires_ms:
-            attempt.take("too_late")
+            attempt.apply_event("too_late")
             self._start(self._record_release(attempt, "claimed too late"))
             return claim.not_run_outcome(
                 refusal.Reason.UPSTREAM_UNAVAILABLE, "claimed too late to send"
             )
-        attempt.take("send_started")
+        attempt.apply_event("send_started")
         result = await self._relay.send_action(
-            attempt.upstream, attempt.asked, attempt.attempt_id, expires_ms
+            attempt.upstream, attempt.request, attempt.attempt_id, expires_ms
         )
         match result:
             case client.DidRun(receipt=receipt):
-                attempt.take("receipt")
+                attempt.apply_event("receipt")
                 done = action.ClaimState.DONE
                 self._start(self._record(attempt, done, receipt, ""))
                 return action.Outcome(ran=refusal.Ran.YES, receipt=receipt)
             case client.DidNotRun(detail=detail):
-                attempt.take("upstream_did_not_run")
+                attempt.apply_event("upstream_did_not_run")
                 self._start(self._record_release(attempt, detail))
                 return claim.not_run_outcome(
                     refusal.Reason.UPSTREAM_UNAVAILABLE, detail
                 )
             case client.MayHaveRun(detail=detail):
-                attempt.take("answer_lost")
+                attempt.apply_event("answer_lost")
                 lost = action.ClaimState.UNKNOWN
                 self._start(self._record(attempt, lost, "", detail))
                 return claim.unknown_outcome(detail)
@@ -232,31 +248,35 @@
     async def _record(
         self,
         attempt: _Attempt,
-        settled: action.ClaimState,
+        claim_state: action.ClaimState,
         receipt: str,
         note: str,
     ) -> None:
-        """Records an outcome in the claim that this attempt holds."""
+        """Writes the action's outcome into the claim that the attempt holds."""
         wanted = dataclasses.replace(
-            attempt.held, state=settled, receipt=receipt, note=note
+            attempt.held, state=claim_state, receipt=receipt, note=note
         )
-        await self._keep_writing(attempt, wanted)
+        await self._write_with_retries(attempt, wanted)
 
     async def _record_release(self, attempt: _Attempt, note: str) -> None:
-        """Releases the claim, if it exists, so that the key can be used."""
+        """Releases the claim, if it exists, so that the key is usable again."""
         wanted = claim.released_claim(
             attempt.held, attempt.request_id, attempt.digest, note
         )
-        await self._keep_writing(attempt, wanted)
+        await self._write_with_retries(attempt, wanted)
 
-    async def _keep_writing(
+    async def _write_with_retries(
         self, attempt: _Attempt, wanted: action.Claim
     ) -> None:
-        """Writes over this attempt's own held claim, through an outage."""
-        for number in range(RECORD_TRY_COUNT):
-            version = attempt.version or await self._own_version(attempt)
+        """Overwrites the attempt's own claim, with retries if the store fails.
+
+        Stops when the write succeeds or conflicts. Logs `ACTION_UNRECORDED`
+        after the last retry.
+        """
+        for retry in range(RECORD_TRY_COUNT):
+            version = attempt.version or await self._read_own_version(attempt)
             if version:
-                written = await self._claims.write(
+                written = await self._claim_store.write(
                     attempt.key, wanted, version, attempt.ttl_ms
                 )
                 match written:
@@ -264,7 +284,7 @@
                         return
                     case expression.Result(error=store.Conflict()):
                         return
-            wait_ms = RECORD_WAIT_MS * 2**number * self._random.random()
+            wait_ms = RECORD_WAIT_MS * 2**retry * self._random.random()
             await asyncio.sleep(wait_ms / MS_PER_S)
         log.write(
             log.Event.ACTION_UNRECORDED,
@@ -272,9 +292,14 @@
             state=wanted.state.value,
         )
 
-    async def _own_version(self, attempt: _Attempt) -> int:
-        """Finds the version of a claim whose creation was not confirmed."""
-        read = await self._claims.read(attempt.key)
+    async def _read_own_version(self, attempt: _Attempt) -> int:
+        """Reads the version of a claim whose creation was not confirmed.
+
+        Returns:
+            The version; 0 if the store can't be read or holds no claim of this
+            attempt.
+        """
+        read = await self._claim_store.read(attempt.key)
         if read is None or read[0] is None:
             return 0
         found, version = read
--- a/hyssoptack/entry/responses.py
+++ b/hyssoptack/entry/responses.py
@@ -1,4 +1,4 @@
-"""Answers and refusals as HTTP: JSON bodies and problem details (RFC 9457)."""
+"""Builds HTTP responses: JSON bodies and problem details (RFC 9457)."""
 
 import dataclasses
 import math
@@ -50,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Response:
-    """One HTTP answer."""
+    """An HTTP response."""
 
     status: int
     body: bytes
@@ -58,7 +58,7 @@
 
 
 def json_response(value: object) -> Response:
-    """Returns any record as a JSON page."""
+    """Returns a 200 response with a value encoded as JSON."""
     return Response(
         status=200,
         body=msgspec.json.encode(value) + b"\n",
@@ -67,7 +67,7 @@
 
 
 def answer_response(answer: query.Answer) -> Response:
-    """Returns a whole answer."""
+    """Returns the response for an answered query."""
     return json_response(
         {
             "query_id": answer.query_id,
@@ -89,7 +89,7 @@
 
 
 def outcome_response(outcome: action.Outcome) -> Response:
-    """Returns what became of an action."""
+    """Returns the response for an action's outcome."""
     if outcome.refused is not None:
         return refusal_response(outcome.refused, outcome.replayed)
     return json_response(
@@ -104,7 +104,7 @@
 def refusal_response(
     refused: refusal.Refusal, replayed: bool = False
 ) -> Response:
-    """Returns a refusal as problem details."""
+    """Returns the problem-details response for a refusal."""
     status = STATUS_BY_REASON[refused.reason]
     body: dict[str, object] = {
         "type": f"urn:hyssoptack:problem:{refused.reason.value}",
