--- a/hyssoptack/entry/actioncoordinator.py
+++ b/hyssoptack/entry/actioncoordinator.py
@@ -193,8 +193,8 @@
                 found, ask.request_id, digest, "the executor did not answer"
             )
             await self._claim_store.write(key, wanted, version, ttl_ms)
-            # The next pass reads the claim again: the write's own result does
-            # not prove that the request is barred.
+            # The next pass reads the claim back: only a release that is found
+            # in the store counts.
         return claim.unknown_outcome("the executor did not answer")
 
     async def read_outcome(self, service: str, key: str) -> action.Outcome:
--- a/hyssoptack/entry/actioncoordinator_test.py
+++ b/hyssoptack/entry/actioncoordinator_test.py
@@ -37,7 +37,7 @@
             front=types.SimpleNamespace(max_action_count=1),
         ),
         incarnation=f"{example.OWN_ID}-1",
-        catalog=types.SimpleNamespace(services={"service": current}),
+        catalog=types.SimpleNamespace(services={"service": service}),
         pending_answers=membership.PendingAnswers(),
         router=types.SimpleNamespace(paths=lambda *_: [path]),
         upstream_health=types.SimpleNamespace(is_draining=lambda *_: False),
--- a/hyssoptack/entry/burncounts.py
+++ b/hyssoptack/entry/burncounts.py
@@ -1,11 +1,11 @@
-"""Counts what callers got, in slices of time, for the burn report."""
+"""Counts answers, refusals and calls per time slice, for the burn report."""
 
 import collections
 import dataclasses
 
 SLICE_MS = 10_000.0
 KEEP_COUNT = 360
-"""Slices kept: an hour."""
+"""Number of slices kept: one hour."""
 
 LATENCY_BOUNDS_MS = (
     1, 2, 5, 10, 20, 30, 40, 50, 62, 80, 100, 150, 200, 300,
@@ -15,16 +15,17 @@
 
 @dataclasses.dataclass(kw_only=True)
 class ServiceCounts:
-    """Counts of one service in one slice of time.
+    """Counts of one service in one time slice.
 
     Attributes:
-        answered_count: Requests that got a whole answer.
-        late_count: Of these, those after the profile's deadline.
-        refused: Refusals by reason.
-        covered_sum: Sum of coverage ratios of answers.
+        answered_count: Requests with a complete answer.
+        late_count: Those of them answered after the profile's deadline.
+        refused: Number of refusals by reason.
+        covered_sum: Sum of the answers' coverage ratios.
         upstream_call_count: Calls to upstreams.
-        extra_call_count: Calls beyond the first of each shard.
-        latency: Answers by the index of their latency bound.
+        extra_call_count: Calls beyond the first for each shard.
+        latency: Number of answers by index of their bucket in
+            `LATENCY_BOUNDS_MS`; one past its end for slower ones.
     """
 
     answered_count: int = 0
@@ -37,7 +38,7 @@
 
 
 class BurnCounts:
-    """Slices by service; the oldest fall out."""
+    """Time slices of counts by service; keeps the most recent ones."""
 
     def __init__(self) -> None:
         self._slices: dict[
@@ -47,12 +48,12 @@
     def _slice(self, service: str, now_ms: float) -> ServiceCounts:
         slices = self._slices.setdefault(service, collections.OrderedDict())
         index = int(now_ms // SLICE_MS)
-        found = slices.get(index)
-        if found is None:
-            found = slices[index] = ServiceCounts()
+        counts = slices.get(index)
+        if counts is None:
+            counts = slices[index] = ServiceCounts()
             while len(slices) > KEEP_COUNT:
                 slices.popitem(last=False)
-        return found
+        return counts
 
     def record_answer(
         self,
@@ -62,12 +63,12 @@
         coverage_ratio: float,
         now_ms: float,
     ) -> None:
-        """Counts a whole answer."""
-        found = self._slice(service, now_ms)
-        found.answered_count += 1
-        found.late_count += elapsed_ms > deadline_ms
-        found.covered_sum += coverage_ratio
-        _count(found.latency, _bound_index(elapsed_ms), 1)
+        """Counts a complete answer."""
+        counts = self._slice(service, now_ms)
+        counts.answered_count += 1
+        counts.late_count += elapsed_ms > deadline_ms
+        counts.covered_sum += coverage_ratio
+        _add_count(counts.latency, _bound_index(elapsed_ms), 1)
 
     def record_calls(
         self,
@@ -77,25 +78,25 @@
         now_ms: float,
     ) -> None:
         """Counts the calls that a request made to upstreams."""
-        found = self._slice(service, now_ms)
-        found.upstream_call_count += upstream_call_count
-        found.extra_call_count += extra_call_count
+        counts = self._slice(service, now_ms)
+        counts.upstream_call_count += upstream_call_count
+        counts.extra_call_count += extra_call_count
 
     def record_refusal(self, service: str, reason: str, now_ms: float) -> None:
         """Counts a refusal."""
-        _count(self._slice(service, now_ms).refused, reason, 1)
+        _add_count(self._slice(service, now_ms).refused, reason, 1)
 
     def window_sums(
         self, window_ms: tuple[float, ...], now_ms: float
     ) -> dict[str, dict[str, ServiceCounts]]:
-        """Sums slices up.
+        """Sums the counts over windows that end now.
 
         Args:
-            window_ms: Lengths of the windows that end now.
-            now_ms: The time now.
+            window_ms: Lengths of the windows.
+            now_ms: Current time.
 
         Returns:
-            A sum for each service and window length.
+            Sums by service and window length.
         """
         return {
             service: {
@@ -106,7 +107,7 @@
         }
 
 
-def _count(counts: dict, key: str | int, count: int) -> None:
+def _add_count(counts: dict, key: str | int, count: int) -> None:
     counts[key] = counts.get(key, 0) + count
 
 
@@ -121,21 +122,21 @@
     slices: collections.OrderedDict[int, ServiceCounts], since_ms: float
 ) -> ServiceCounts:
     total = ServiceCounts()
-    for index, each in slices.items():
+    for index, part in slices.items():
         if (index + 1) * SLICE_MS <= since_ms:
             continue
-        add_counts(total, each)
+        add_counts(total, part)
     return total
 
 
-def add_counts(total: ServiceCounts, each: ServiceCounts) -> None:
+def add_counts(total: ServiceCounts, part: ServiceCounts) -> None:
     """Adds one slice's counts to a total."""
-    total.answered_count += each.answered_count
-    total.late_count += each.late_count
-    for reason, count in each.refused.items():
-        _count(total.refused, reason, count)
-    total.covered_sum += each.covered_sum
-    total.upstream_call_count += each.upstream_call_count
-    total.extra_call_count += each.extra_call_count
-    for index, count in each.latency.items():
-        _count(total.latency, index, count)
+    total.answered_count += part.answered_count
+    total.late_count += part.late_count
+    for reason, count in part.refused.items():
+        _add_count(total.refused, reason, count)
+    total.covered_sum += part.covered_sum
+    total.upstream_call_count += part.upstream_call_count
+    total.extra_call_count += part.extra_call_count
+    for index, count in part.latency.items():
+        _add_count(total.latency, index, count)
--- a/hyssoptack/entry/callerserver.py
+++ b/hyssoptack/entry/callerserver.py
@@ -1,4 +1,4 @@
-"""The callers' port: HTTP by cheroot; checks input, hands work to the loop."""
+"""HTTP server for callers: checks requests and runs them on the event loop."""
 
 import asyncio
 import collections.abc
@@ -37,12 +37,15 @@
 _SEARCH = re.compile(_SERVICE + r"/search")
 _ACTIONS = re.compile(_SERVICE + r"/actions")
 _OUTCOME = re.compile(_SERVICE + r"/actions/(?P<key>[^/]+)")
-_BODY_UNREAD = (refusal.Reason.TOO_LARGE, refusal.Reason.TIMEOUT_READING)
+_UNREAD_BODY_REASONS = (
+    refusal.Reason.TOO_LARGE,
+    refusal.Reason.TIMEOUT_READING,
+)
 _KEY = re.compile(r"[\x21-\x7e]{1,255}")
 
 
 class SearchBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The JSON body of a search."""
+    """JSON body of a search request."""
 
     text: str
     limit: int = HIT_DEFAULT_COUNT
@@ -51,7 +54,7 @@
 
 
 class ActionBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The JSON body of an action."""
+    """JSON body of an action request."""
 
     subject: str
     request: dict[str, object]
@@ -65,7 +68,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Refused(Exception):
-    """Ends a request early with a refusal; never leaves this module."""
+    """Ends a request with a refusal; raised and handled in this module only."""
 
     refusal: refusal.Refusal
 
@@ -83,14 +86,17 @@
 
 
 _REQUEST = "hyssoptack.request"
-"""Where the HTTP library's own request stands in the environment."""
+"""Key of the HTTP library's request object in the WSGI environment."""
 
 
 class _Gateway(wsgi.Gateway_10):
-    """Lets the application end a connection whose body it has not read."""
+    """Passes the library's request object to the application.
+
+    With it the application can close a connection whose body it has not read.
+    """
 
     def get_environ(self) -> dict[str, object]:
-        """Returns the environment with the library's request in it."""
+        """Returns the WSGI environment with the library's request object."""
         return {**super().get_environ(), _REQUEST: self.req}
 
 
@@ -99,24 +105,24 @@
 
 
 class CallerServer:
-    """Owns the callers' socket and the threads that serve it."""
+    """Serves the callers' port on a pool of threads."""
 
     def __init__(
         self,
-        knowledge: state.InstanceState,
+        instance_state: state.InstanceState,
         queries: querycoordinator.QueryCoordinator,
         actions: actioncoordinator.ActionCoordinator,
-        counts: metrics.Metrics,
+        instance_metrics: metrics.Metrics,
         loop: asyncio.AbstractEventLoop,
     ):
-        self._state = knowledge
+        self._state = instance_state
         self._queries = queries
         self._actions = actions
-        self._metrics = counts
+        self._metrics = instance_metrics
         self._loop = loop
         self._lock = threading.Lock()
         self._open_count = 0
-        settings = knowledge.settings
+        settings = instance_state.settings
         host, _, port = settings.front_address.rpartition(":")
         self._server = wsgi.Server(
             (host, int(port)),
@@ -128,7 +134,8 @@
         )
         self._server.gateway = _Gateway
         self._server.max_request_header_size = HEADER_LIMIT_BYTES
-        # The body limit is checked here, so that the answer names the reason.
+        # The library's body limit stays unset: `_read` checks the size, so that
+        # the response names the reason.
         self._thread = threading.Thread(target=self._server.serve, name="front")
 
     def start(self) -> None:
@@ -140,12 +147,12 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Closes the port and ends its threads."""
+        """Closes the port and stops its threads."""
         self._server.stop()
         self._thread.join()
 
     def open_request_count(self) -> int:
-        """Returns the requests that were read and are not yet answered."""
+        """Returns the number of requests received and not yet answered."""
         with self._lock:
             return self._open_count
 
@@ -155,29 +162,31 @@
         with self._lock:
             self._open_count += 1
         try:
-            page = self._page(environ)
+            response = self._respond(environ)
         finally:
             with self._lock:
                 self._open_count -= 1
         headers = [
-            *page.headers,
-            ("Content-Length", str(len(page.body))),
+            *response.headers,
+            ("Content-Length", str(len(response.body))),
         ]
         if self._state.is_leaving():
             headers.append(("Connection", "close"))
-        start_response(responses.STATUS_LINES[page.status], headers)
-        return [page.body]
+        start_response(responses.STATUS_LINES[response.status], headers)
+        return [response.body]
 
-    def _page(self, environ: Environ) -> responses.Response:
+    def _respond(self, environ: Environ) -> responses.Response:
         try:
-            work = self._work(environ)
-            page = asyncio.run_coroutine_threadsafe(work, self._loop).result()
+            work = self._route(environ)
+            response = asyncio.run_coroutine_threadsafe(
+                work, self._loop
+            ).result()
         except Refused as refused:
-            if refused.refusal.reason in _BODY_UNREAD:
-                # The library would wait for the rest of the body first.
+            if refused.refusal.reason in _UNREAD_BODY_REASONS:
+                # Otherwise the library would first read the rest of the body.
                 environ[_REQUEST].close_connection = True
             return responses.refusal_response(refused.refusal)
-        except Exception as error:  # A fault of ours must still be answered.
+        except Exception as error:  # An internal error still gets a response.
             log.write(log.Event.REQUEST_FAULT, error=repr(error))
             return responses.refusal_response(
                 refusal.Refusal(
@@ -186,21 +195,25 @@
                     detail="a fault of ours; see the log",
                 )
             )
-        return page
+        return response
+
+    def _route(self, environ: Environ) -> Work:
+        """Checks a request and returns the coroutine that executes it.
 
-    def _work(self, environ: Environ) -> Work:
-        """Checks a request and returns what is to be run on the loop."""
+        Raises:
+            Refused: The request is malformed or can't be served.
+        """
         path = urllib.parse.unquote(str(environ["PATH_INFO"]))
         method = environ["REQUEST_METHOD"]
         if found := _SEARCH.fullmatch(path):
-            _want_method(method, "POST")
+            _require_method(method, "POST")
             return self._search(found["service"], environ)
         if found := _ACTIONS.fullmatch(path):
-            _want_method(method, "POST")
-            return self._act(found["service"], environ)
+            _require_method(method, "POST")
+            return self._submit_action(found["service"], environ)
         if found := _OUTCOME.fullmatch(path):
-            _want_method(method, "GET")
-            return self._look_up(found["service"], found["key"])
+            _require_method(method, "GET")
+            return self._query_outcome(found["service"], found["key"])
         raise _refused(
             refusal.Reason.UNKNOWN_PATH,
             "paths are /services/NAME/search, /services/NAME/actions and "
@@ -208,13 +221,15 @@
         )
 
     def _search(self, service_name: str, environ: Environ) -> Work:
-        body = _decoded(_SEARCH_DECODER, self._read(environ))
-        deadline_ms = self._deadline(service_name, body.deadline_ms)
+        body = _decode(_SEARCH_DECODER, self._read(environ))
+        deadline_ms = self._effective_deadline_ms(
+            service_name, body.deadline_ms
+        )
         if not 1 <= len(body.text) <= TEXT_LIMIT_COUNT:
             raise _malformed(f"text: 1 to {TEXT_LIMIT_COUNT} characters")
         if not 1 <= body.limit <= HIT_LIMIT_COUNT:
             raise _malformed(f"limit: 1 to {HIT_LIMIT_COUNT}")
-        asked = query.Query(
+        request = query.Query(
             query_id=self._queries.new_query_id(),
             service=service_name,
             text=body.text,
@@ -222,57 +237,61 @@
             urgency=body.class_ or self._profile(service_name).urgency,
             deadline_ms=deadline_ms,
         )
-        return self._run_query(asked)
+        return self._run_query(request)
 
-    async def _run_query(self, asked: query.Query) -> responses.Response:
-        result = await self._queries.run_query(asked)
+    async def _run_query(self, request: query.Query) -> responses.Response:
+        result = await self._queries.run_query(request)
         decided_s = time.perf_counter()
         match result:
             case query.Answer():
                 return responses.answer_response(result)
             case refusal.Refusal():
-                page = responses.refusal_response(result)
-                took_ms = (time.perf_counter() - decided_s) * MS_PER_S
-                self._metrics.refusal_write_ms.observe({}, took_ms)
-                return page
+                response = responses.refusal_response(result)
+                elapsed_ms = (time.perf_counter() - decided_s) * MS_PER_S
+                self._metrics.refusal_write_ms.observe({}, elapsed_ms)
+                return response
 
-    def _act(self, service_name: str, environ: Environ) -> Work:
+    def _submit_action(self, service_name: str, environ: Environ) -> Work:
         key = str(environ.get("HTTP_IDEMPOTENCY_KEY", ""))
         if not _KEY.fullmatch(key):
             raise _malformed(
                 "header Idempotency-Key: 1 to 255 visible ASCII characters"
             )
-        body = _decoded(_ACTION_DECODER, self._read(environ))
-        deadline_ms = self._deadline(service_name, body.deadline_ms)
+        body = _decode(_ACTION_DECODER, self._read(environ))
+        deadline_ms = self._effective_deadline_ms(
+            service_name, body.deadline_ms
+        )
         if not 1 <= len(body.subject) <= TEXT_LIMIT_COUNT:
             raise _malformed(f"subject: 1 to {TEXT_LIMIT_COUNT} characters")
-        self._want_actions(service_name)
-        asked = action.Action(
+        self._require_actions(service_name)
+        request = action.Action(
             idempotency_key=key,
             service=service_name,
             subject=body.subject,
             body_text=_SORTED_ENCODER.encode(body.request).decode(),
             deadline_ms=deadline_ms,
         )
-        return self._run_action(asked)
+        return self._run_action(request)
 
-    async def _run_action(self, asked: action.Action) -> responses.Response:
-        return responses.outcome_response(await self._actions.run_action(asked))
+    async def _run_action(self, request: action.Action) -> responses.Response:
+        return responses.outcome_response(
+            await self._actions.run_action(request)
+        )
 
-    def _look_up(self, service_name: str, key: str) -> Work:
-        self._deadline(service_name, None)
-        self._want_actions(service_name)
+    def _query_outcome(self, service_name: str, key: str) -> Work:
+        self._effective_deadline_ms(service_name, None)
+        self._require_actions(service_name)
         if not _KEY.fullmatch(key):
             raise _malformed("key: 1 to 255 visible ASCII characters")
-        return self._run_look_up(service_name, key)
+        return self._run_outcome_query(service_name, key)
 
-    async def _run_look_up(
+    async def _run_outcome_query(
         self, service_name: str, key: str
     ) -> responses.Response:
         outcome = await self._actions.read_outcome(service_name, key)
         return responses.outcome_response(outcome)
 
-    def _want_actions(self, service_name: str) -> None:
+    def _require_actions(self, service_name: str) -> None:
         if not self._state.catalog.services[service_name].accepts_actions:
             raise _refused(
                 refusal.Reason.WRONG_KIND,
@@ -283,8 +302,20 @@
         current = self._state.catalog
         return current.profiles[current.services[service_name].profile]
 
-    def _deadline(self, service_name: str, wanted_ms: int | None) -> int:
-        """Returns the deadline: the profile's, or the caller's shorter one."""
+    def _effective_deadline_ms(
+        self, service_name: str, wanted_ms: int | None
+    ) -> int:
+        """Returns the effective deadline, after checks of instance and service.
+
+        Args:
+            service_name: Name of the requested service.
+            wanted_ms: The caller's deadline, at most the profile's; None for
+                the profile's.
+
+        Raises:
+            Refused: The instance does not serve requests, the service is
+                unknown, or the deadline is out of range.
+        """
         if not self._state.accepts_requests():
             raise Refused(
                 refusal=refusal.Refusal(
@@ -333,12 +364,12 @@
         return raw
 
 
-def _want_method(method: object, wanted: str) -> None:
+def _require_method(method: object, wanted: str) -> None:
     if method != wanted:
         raise _malformed(f"this path takes {wanted}")
 
 
-def _decoded(decoder: msgspec.json.Decoder, raw: bytes):
+def _decode(decoder: msgspec.json.Decoder, raw: bytes):
     try:
         return decoder.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/hyssoptack/entry/claimstore.py
+++ b/hyssoptack/entry/claimstore.py
@@ -1,4 +1,4 @@
-"""Reads and writes claims in the platform's key-value service, off the loop."""
+"""Reads and writes claims in the platform's key-value service."""
 
 import asyncio
 import concurrent.futures
@@ -14,7 +14,11 @@
 
 
 class ClaimStore:
-    """Claims by key; each call runs on a thread of its own."""
+    """Store of claims by key; each call runs on a thread of a pool.
+
+    Attributes:
+        write_count: Number of writes started.
+    """
 
     def __init__(
         self,
@@ -28,10 +32,17 @@
     async def write(
         self, key: str, wanted: action.Claim, version: int, ttl_ms: int
     ) -> expression.Result[int, store.WriteFailure]:
-        """Writes a claim over a version; `store.ABSENT_VERSION` to create.
+        """Writes a claim if the key is still at a version.
+
+        Args:
+            key: Key of the claim.
+            wanted: Claim to write.
+            version: Expected version; `store.ABSENT_VERSION` to create.
+            ttl_ms: Lifetime of the claim, in milliseconds.
 
         Returns:
-            The new version, or why it is not known to be written.
+            The new version, or the reason why the claim is not known to be
+            written.
         """
         self.write_count += 1
         text = _ENCODER.encode(wanted).decode()
@@ -44,8 +55,8 @@
         """Reads a claim.
 
         Returns:
-            The claim, or None in its place, and its version; None alone when
-            the store can't be read.
+            The claim (None if absent) and its version; None alone if the store
+            can't be read or its value can't be decoded.
         """
         loop = asyncio.get_running_loop()
         result = await loop.run_in_executor(self._threads, self._store.get, key)
@@ -59,7 +70,12 @@
 def parse_claim(
     found: store.ReadResult,
 ) -> tuple[action.Claim | None, int] | None:
-    """Returns what the store holds as a claim; None when it can't be read."""
+    """Decodes a stored claim.
+
+    Returns:
+        The claim (None if absent) and its version; None alone if the value
+        can't be decoded.
+    """
     match found:
         case store.Absent():
             return None, store.ABSENT_VERSION
--- a/hyssoptack/entry/daemon.py
+++ b/hyssoptack/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The entry daemon: builds the tasks, runs them, and stops without a cut."""
+"""The entry daemon: starts the instance's tasks and shuts down gracefully."""
 
 import asyncio
 import concurrent.futures
@@ -44,26 +44,26 @@
 
 
 class Daemon:
-    """One entry instance."""
+    """One entry instance: its servers, coordinators and background tasks."""
 
     def __init__(
         self,
         settings: instance.InstanceSettings,
-        hedges: hedging.HedgePolicy,
-        admits: admission.Policy,
+        hedge_policy: hedging.HedgePolicy,
+        admission_policy: admission.Policy,
     ):
         self._settings = settings
         self._loop = asyncio.get_running_loop()
-        self._hurried = asyncio.Event()
-        self._stop_asked = asyncio.Event()
+        self._hurry = asyncio.Event()
+        self._stop_requested = asyncio.Event()
         self._threads = concurrent.futures.ThreadPoolExecutor(
             THREAD_COUNT, thread_name_prefix="platform"
         )
-        self._state = state.InstanceState(settings, hedges)
+        self._state = state.InstanceState(settings, hedge_policy)
         self._config = configuration.ActiveConfiguration()
         self._client = client.UpstreamClient()
         self._metrics = metrics.Metrics()
-        self._burn = burncounts.BurnCounts()
+        self._burn_counts = burncounts.BurnCounts()
         store_client = store.StoreClient(settings.platform)
         self._links = link.Links(
             settings.peer_address,
@@ -79,32 +79,32 @@
             self._state.upstream_health,
             self._on_drain,
         )
-        self._coordinator = querycoordinator.QueryCoordinator(
+        self._query_coordinator = querycoordinator.QueryCoordinator(
             self._state,
             self._relay,
             self._send_to,
             self._metrics,
-            self._burn,
-            admits,
+            self._burn_counts,
+            admission_policy,
         )
-        self._claims = claimstore.ClaimStore(store_client, self._threads)
+        self._claim_store = claimstore.ClaimStore(store_client, self._threads)
         self._executor = actionexecutor.ActionExecutor(
             self._state,
             self._relay,
-            self._claims,
+            self._claim_store,
             self._send_to,
         )
-        self._actor = actioncoordinator.ActionCoordinator(
+        self._action_coordinator = actioncoordinator.ActionCoordinator(
             self._state,
             self._relay,
             self._executor,
-            self._claims,
+            self._claim_store,
             self._send_to,
         )
         self._gossip = gossip.Gossip(
             self._state, self._config, self._links.send, self._on_config
         )
-        self._follower = platformwatch.PlatformWatcher(
+        self._platform_watcher = platformwatch.PlatformWatcher(
             self._state,
             self._config,
             store_client,
@@ -112,111 +112,116 @@
             self._threads,
             self._on_config,
         )
-        self._front = callerserver.CallerServer(
+        self._caller_server = callerserver.CallerServer(
             self._state,
-            self._coordinator,
-            self._actor,
+            self._query_coordinator,
+            self._action_coordinator,
             self._metrics,
             self._loop,
         )
-        self._operations = operatorserver.OperatorServer(
+        self._operator_server = operatorserver.OperatorServer(
             operatorserver.StatusSources(
                 state=self._state,
                 configuration=self._config,
-                query_coordinator=self._coordinator,
-                action_coordinator=self._actor,
-                claim_store=self._claims,
+                query_coordinator=self._query_coordinator,
+                action_coordinator=self._action_coordinator,
+                claim_store=self._claim_store,
                 relay=self._relay,
                 links=self._links,
-                platform_watcher=self._follower,
+                platform_watcher=self._platform_watcher,
                 metrics=self._metrics,
-                burn_counts=self._burn,
+                burn_counts=self._burn_counts,
             ),
             self._loop,
         )
 
     async def run(self) -> None:
-        """Runs until a planned stop is complete."""
+        """Runs until a requested shutdown is complete."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self._loop.add_signal_handler(number, self._on_signal)
         self._links.start()
-        self._operations.start()
-        self._front.start()
+        self._operator_server.start()
+        self._caller_server.start()
         tasks = [
             asyncio.ensure_future(each)
             for each in (
-                self._refresh(),
-                self._follower.poll_instances(),
-                self._follower.watch_configuration(),
+                self._refresh_periodically(),
+                self._platform_watcher.poll_instances(),
+                self._platform_watcher.watch_configuration(),
                 self._gossip.run(),
             )
         ]
-        stopping = asyncio.ensure_future(self._stop_asked.wait())
+        stopping = asyncio.ensure_future(self._stop_requested.wait())
         await asyncio.wait(
             [*tasks, stopping], return_when=asyncio.FIRST_COMPLETED
         )
         for task in tasks:
             if task.done():
-                # Only a broken invariant ends one of these.
+                # Only a broken invariant ends one of these tasks: raise it.
                 task.result()
-        await self._leave()
+        await self._shut_down()
         for task in tasks:
             task.cancel()
         await self._close()
 
-    async def _refresh(self) -> None:
+    async def _refresh_periodically(self) -> None:
         while True:
             self._state.refresh(self._relay, clock.now_ms())
             await asyncio.sleep(REFRESH_MS / MS_PER_S)
 
     def _on_signal(self) -> None:
-        hurried = self._stop_asked.is_set()
+        hurried = self._stop_requested.is_set()
         log.write(log.Event.STOP_ASKED, hurried=hurried)
         if hurried:
-            self._hurried.set()
-        self._stop_asked.set()
+            self._hurry.set()
+        self._stop_requested.set()
 
-    async def _leave(self) -> None:
-        """Tells everyone, waits out the balancer's lag, finishes all work."""
+    async def _shut_down(self) -> None:
+        """Announces the shutdown, waits for the load balancer and drains.
+
+        Waits for the balancer's lag, so that it stops sending requests, and
+        then until all work is finished or the drain limit is reached. A second
+        signal ends both waits.
+        """
         shutdown = self._settings.shutdown
         self._state.apply_event("stop_asked")
         self._gossip.broadcast_heartbeat()
         if self._state.chart_state == "leaving":
-            await self._wait_or_hurry(shutdown.balancer_lag_ms)
+            await self._wait_unless_hurried(shutdown.balancer_lag_ms)
             self._state.apply_event("balancer_informed")
-        ends_ms = clock.now_ms() + shutdown.drain_limit_ms
+        limit_at_ms = clock.now_ms() + shutdown.drain_limit_ms
         while not self._is_idle():
-            if clock.now_ms() >= ends_ms or self._hurried.is_set():
+            if clock.now_ms() >= limit_at_ms or self._hurry.is_set():
                 self._state.apply_event("drain_limit")
                 return
             await asyncio.sleep(IDLE_CHECK_MS / MS_PER_S)
         self._state.apply_event("idle")
 
-    async def _wait_or_hurry(self, wait_ms: float) -> None:
+    async def _wait_unless_hurried(self, wait_ms: float) -> None:
         try:
-            await asyncio.wait_for(self._hurried.wait(), wait_ms / MS_PER_S)
+            await asyncio.wait_for(self._hurry.wait(), wait_ms / MS_PER_S)
         except TimeoutError:
             return
 
     def _is_idle(self) -> bool:
         return (
-            self._front.open_request_count() == 0
-            and self._coordinator.in_flight_count() == 0
-            and self._actor.in_flight_count == 0
+            self._caller_server.open_request_count() == 0
+            and self._query_coordinator.in_flight_count() == 0
+            and self._action_coordinator.in_flight_count == 0
             and self._executor.unfinished_task_count() == 0
             and self._relay.open_call_count() == 0
         )
 
     async def _close(self) -> None:
-        await asyncio.to_thread(self._front.stop)
-        await asyncio.to_thread(self._operations.stop)
+        await asyncio.to_thread(self._caller_server.stop)
+        await asyncio.to_thread(self._operator_server.stop)
         await asyncio.to_thread(self._links.stop)
         await self._client.close()
         self._threads.shutdown(wait=False, cancel_futures=True)
 
-    def _on_config(self, taken: configuration.InForce) -> None:
+    def _on_config(self, new_configuration: configuration.InForce) -> None:
         now_ms = clock.now_ms()
-        self._state.apply_catalog(taken.catalog, now_ms)
+        self._state.apply_catalog(new_configuration.catalog, now_ms)
         self._state.refresh(self._relay, now_ms)
         self._gossip.send_heartbeat()
 
@@ -228,14 +233,14 @@
         return True
 
     def _on_drain(self, upstream_id: str) -> None:
-        """Tells the other owners of an upstream that it is leaving."""
+        """Notifies the other owners of an upstream that it is draining."""
         log.write(log.Event.UPSTREAM_DRAINING, upstream_id=upstream_id)
         own = self._settings.instance_id
-        note = message.UpstreamNote(
+        notice = message.UpstreamNote(
             upstream_id=upstream_id, draining=True, observer=own
         )
         for owner in self._state.owners_of(upstream_id) - {own}:
-            self._send_to(owner, note)
+            self._send_to(owner, notice)
 
     def _on_undelivered(self, address: str, body: message.Message) -> None:
         log.write(
@@ -246,9 +251,9 @@
         instance_id = self._state.instance_id_at(address)
         match body:
             case message.SubQuery():
-                self._coordinator.on_undelivered(instance_id, body)
+                self._query_coordinator.on_undelivered(instance_id, body)
             case message.ActionAsk():
-                self._actor.on_undelivered(body)
+                self._action_coordinator.on_undelivered(body)
             case _:
                 pass
 
@@ -265,15 +270,15 @@
     def _on_message(self, body: message.Message) -> None:
         match body:
             case message.SubQuery():
-                self._relay.run_sub_query(body, self._sink_to(body))
+                self._relay.run_sub_query(body, self._reply_sender(body))
             case message.SubAnswer():
-                self._coordinator.on_sub_answer(body)
+                self._query_coordinator.on_sub_answer(body)
             case message.Cancel():
                 self._relay.cancel(body)
             case message.ActionAsk():
                 self._executor.on_ask(body)
             case message.ActionReply():
-                self._actor.on_reply(body)
+                self._action_coordinator.on_reply(body)
             case _:
                 self._on_control_message(body)
 
@@ -291,8 +296,8 @@
             case message.ConfigOffer():
                 self._gossip.on_config_offer(body)
 
-    def _sink_to(self, sub: message.SubQuery) -> relay.OnReplies:
-        def sink(replies: tuple[message.UpstreamReply, ...]) -> None:
+    def _reply_sender(self, sub: message.SubQuery) -> relay.OnReplies:
+        def send_replies(replies: tuple[message.UpstreamReply, ...]) -> None:
             answer = message.SubAnswer(
                 origin=self._settings.instance_id,
                 query_id=sub.query_id,
@@ -300,16 +305,16 @@
             )
             self._send_to(sub.origin, answer)
 
-        return sink
+        return send_replies
 
 
 def _on_loop_error(
     _loop: asyncio.AbstractEventLoop, context: dict[str, object]
 ) -> None:
-    """Logs what a callback raised; a broken invariant stops the process."""
+    """Logs an exception of a callback; a broken invariant ends the process."""
     error = context.get("exception")
     if isinstance(error, chart.BrokenInvariant):
-        _stop_broken(error)
+        _exit_with_error(error)
     log.write(
         log.Event.REQUEST_FAULT,
         error=repr(error),
@@ -317,8 +322,11 @@
     )
 
 
-def _stop_broken(error: BaseException) -> typing.NoReturn:
-    """Stops at once: threads and tasks must not go on with broken state."""
+def _exit_with_error(error: BaseException) -> typing.NoReturn:
+    """Logs an error and exits at once.
+
+    Threads and tasks must not continue with inconsistent state.
+    """
     detail = "".join(traceback.format_exception(error))
     log.write(log.Event.INSTANCE_BROKEN, error=detail)
     os._exit(EXIT_BROKEN)
@@ -326,37 +334,37 @@
 
 async def _main(
     settings: instance.InstanceSettings,
-    hedges: hedging.HedgePolicy,
-    admits: admission.Policy,
+    hedge_policy: hedging.HedgePolicy,
+    admission_policy: admission.Policy,
 ) -> None:
     asyncio.get_running_loop().set_exception_handler(_on_loop_error)
     try:
-        await Daemon(settings, hedges, admits).run()
+        await Daemon(settings, hedge_policy, admission_policy).run()
     except Exception as error:
-        _stop_broken(error)
+        _exit_with_error(error)
 
 
 def run(
     settings: instance.InstanceSettings,
-    hedges: hedging.HedgePolicy | None = None,
-    admits: admission.Policy | None = None,
+    hedge_policy: hedging.HedgePolicy | None = None,
+    admission_policy: admission.Policy | None = None,
 ) -> None:
-    """Runs an entry instance until it is told to stop.
+    """Runs an entry instance until it is stopped by a signal.
 
     Args:
-        settings: What the instance is told at its start.
-        hedges: When to hedge; the profile's quantile unless a bench says
-            otherwise.
-        admits: How queries are admitted; adaptively unless a bench says
-            otherwise.
+        settings: Settings of the instance.
+        hedge_policy: Policy for hedged calls; by default after the profile's
+            quantile. Benchmarks set others.
+        admission_policy: Admission policy for queries; by default adaptive.
+            Benchmarks set others.
     """
     log.open_destination(settings.log_path)
     work = _main(
         settings,
-        hedges or hedging.HedgeAfterQuantile(),
-        admits or admission.Adaptive(),
+        hedge_policy or hedging.HedgeAfterQuantile(),
+        admission_policy or admission.Adaptive(),
     )
     uvloop.run(work)
-    # All work is finished. What may be left is a thread in a long poll of the
-    # store, for which the interpreter would wait until the poll's end.
+    # All work is finished. A thread may still be in a long poll of the store,
+    # and a normal exit of the interpreter would wait for the poll to end.
     os._exit(EXIT_OK)
--- a/hyssoptack/entry/operatorserver.py
+++ b/hyssoptack/entry/operatorserver.py
@@ -1,4 +1,4 @@
-"""The operators' port: metrics, probes and status."""
+"""HTTP server for operators: metrics, probes, status and burn report."""
 
 import asyncio
 import collections.abc
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class StatusSources:
-    """The tasks that the port reads from."""
+    """Components whose state the operator port reports."""
 
     state: state.InstanceState
     configuration: configuration.ActiveConfiguration
@@ -46,7 +46,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class UpstreamStatus:
-    """One upstream as this instance sees it."""
+    """State of one upstream in this instance's view.
+
+    Attributes:
+        upstream_id: Identifier of the upstream.
+        state: State in the `upstream` chart.
+        service_ms: Estimate of the service time, in milliseconds.
+        held_versions: Index versions that it holds, as far as known.
+        owned: Whether this instance may call it now.
+    """
 
     upstream_id: str
     state: str
@@ -57,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Status:
-    """What `/status` shows."""
+    """Body of `/status`; its fields are the JSON keys."""
 
     instance_id: str
     incarnation: str
@@ -85,12 +93,12 @@
 
 
 class OperatorServer:
-    """Owns the operators' socket."""
+    """Serves the operator port on threads of its own."""
 
-    def __init__(self, parts: StatusSources, loop: asyncio.AbstractEventLoop):
-        self._parts = parts
+    def __init__(self, sources: StatusSources, loop: asyncio.AbstractEventLoop):
+        self._sources = sources
         self._loop = loop
-        address = parts.state.settings.operator_address
+        address = sources.state.settings.operator_address
         host, _, port = address.rpartition(":")
         self._server = wsgi.Server(
             (host, int(port)),
@@ -108,7 +116,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Closes the port."""
+        """Closes the port and waits for its thread."""
         self._server.stop()
         self._thread.join()
 
@@ -117,9 +125,9 @@
         environ: dict[str, object],
         start_response: collections.abc.Callable,
     ) -> list[bytes]:
-        accepts = str(environ.get("HTTP_ACCEPT", ""))
+        accept_header = str(environ.get("HTTP_ACCEPT", ""))
         future = asyncio.run_coroutine_threadsafe(
-            self._answer(str(environ["PATH_INFO"]), accepts), self._loop
+            self._respond(str(environ["PATH_INFO"]), accept_header), self._loop
         )
         status, content_type, body = future.result()
         headers = [
@@ -129,95 +137,107 @@
         start_response(status, headers)
         return [body]
 
-    async def _answer(self, path: str, accepts: str) -> tuple[str, str, bytes]:
-        """Reads the tasks' state on the loop, where they write it."""
+    async def _respond(
+        self, path: str, accept_header: str
+    ) -> tuple[str, str, bytes]:
+        """Builds a response on the event loop, which owns the reported state.
+
+        Args:
+            path: Path of the request.
+            accept_header: Value of its `Accept` header.
+
+        Returns:
+            The status line, content type and body.
+        """
         match path:
             case "/metrics":
                 self._set_gauges()
-                body, headers = self._parts.metrics.render(accepts)
+                body, headers = self._sources.metrics.render(accept_header)
                 return STATUS_LINE_OK, headers["Content-Type"], body
             case "/healthz":
                 return STATUS_LINE_OK, TEXT_TYPE, b"alive\n"
             case "/readyz":
-                ready = self._parts.state.is_ready()
+                ready = self._sources.state.is_ready()
                 line = STATUS_LINE_OK if ready else STATUS_LINE_UNAVAILABLE
-                text = self._parts.state.chart_state + "\n"
+                text = self._sources.state.chart_state + "\n"
                 return line, TEXT_TYPE, text.encode()
             case "/status":
-                page = responses.json_response(self._status())
-                return STATUS_LINE_OK, responses.JSON_TYPE, page.body
+                response = responses.json_response(self._status())
+                return STATUS_LINE_OK, responses.JSON_TYPE, response.body
             case "/burn":
-                windows = self._parts.burn_counts.window_sums(
+                windows = self._sources.burn_counts.window_sums(
                     BURN_WINDOWS_MS, clock.now_ms()
                 )
-                page = responses.json_response(windows)
-                return STATUS_LINE_OK, responses.JSON_TYPE, page.body
+                response = responses.json_response(windows)
+                return STATUS_LINE_OK, responses.JSON_TYPE, response.body
             case _:
                 text = b"paths: /metrics /healthz /readyz /status /burn\n"
                 return STATUS_LINE_NOT_FOUND, TEXT_TYPE, text
 
     def _set_gauges(self) -> None:
-        parts = self._parts
-        traffic = parts.links.counters
+        sources = self._sources
+        traffic = sources.links.counters
         facts = {
-            "revision": parts.configuration.revision(),
-            "ready": int(parts.state.is_ready()),
-            "queries_in_flight": parts.query_coordinator.in_flight_count(),
-            "actions_in_flight": parts.action_coordinator.in_flight_count,
-            "claim_writes": parts.claim_store.write_count,
-            "watches": parts.platform_watcher.watch_count,
-            "upstream_calls_made": parts.relay.call_count,
+            "revision": sources.configuration.revision(),
+            "ready": int(sources.state.is_ready()),
+            "queries_in_flight": sources.query_coordinator.in_flight_count(),
+            "actions_in_flight": sources.action_coordinator.in_flight_count,
+            "claim_writes": sources.claim_store.write_count,
+            "watches": sources.platform_watcher.watch_count,
+            "upstream_calls_made": sources.relay.call_count,
             **dataclasses.asdict(traffic),
         }
         for name, value in facts.items():
-            parts.metrics.instance_facts.set({"fact": name}, value)
+            sources.metrics.instance_facts.set({"fact": name}, value)
 
     def _status(self) -> Status:
-        parts = self._parts
+        sources = self._sources
         now_ms = clock.now_ms()
-        settings = parts.state.settings
-        manifest = parts.configuration.manifest
-        since_ms = parts.state.catalog_applied_ms
+        settings = sources.state.settings
+        manifest = sources.configuration.manifest
+        since_ms = sources.state.catalog_applied_ms
         limits = {
-            name: round(gate.limit_count, 2)
-            for name, gate in parts.query_coordinator.limiters().items()
+            name: round(limiter.limit_count, 2)
+            for name, limiter in sources.query_coordinator.limiters().items()
         }
         return Status(
             instance_id=settings.instance_id,
-            incarnation=parts.state.incarnation,
+            incarnation=sources.state.incarnation,
             failure_domain=settings.failure_domain,
-            state=parts.state.chart_state,
-            leaving=parts.state.is_leaving(),
+            state=sources.state.chart_state,
+            leaving=sources.state.is_leaving(),
             peer_address=settings.peer_address,
             operator_address=settings.operator_address,
-            revision=parts.configuration.revision(),
+            revision=sources.configuration.revision(),
             change_id=manifest.change_id if manifest else "",
             in_force_ms=now_ms - since_ms if since_ms else 0.0,
-            is_watcher=parts.platform_watcher.is_watcher(),
-            watch_count=parts.platform_watcher.watch_count,
-            usable_instances=tuple(sorted(parts.state.usable_members(now_ms))),
-            query_count=parts.query_coordinator.in_flight_count(),
-            action_count=parts.action_coordinator.in_flight_count,
-            upstream_call_count=parts.relay.call_count,
-            search_count=parts.query_coordinator.started_count,
-            claim_write_count=parts.claim_store.write_count,
-            peer_traffic=parts.links.counters,
+            is_watcher=sources.platform_watcher.is_watcher(),
+            watch_count=sources.platform_watcher.watch_count,
+            usable_instances=tuple(
+                sorted(sources.state.usable_members(now_ms))
+            ),
+            query_count=sources.query_coordinator.in_flight_count(),
+            action_count=sources.action_coordinator.in_flight_count,
+            upstream_call_count=sources.relay.call_count,
+            search_count=sources.query_coordinator.started_count,
+            claim_write_count=sources.claim_store.write_count,
+            peer_traffic=sources.links.counters,
             admission_limits=limits,
             extra_call_tokens={
                 name: round(
-                    parts.state.retry_budgets.for_service(name).token_count, 2
+                    sources.state.retry_budgets.for_service(name).token_count, 2
                 )
-                for name in parts.state.catalog.services
+                for name in sources.state.catalog.services
             },
             upstream_p95_ms={
-                name: parts.state.upstream_health.quantile_ms(name, 0.95)
-                for name in parts.state.catalog.services
+                name: sources.state.upstream_health.quantile_ms(name, 0.95)
+                for name in sources.state.catalog.services
             },
             upstreams=self._upstreams(now_ms),
         )
 
     def _upstreams(self, now_ms: float) -> tuple[UpstreamStatus, ...]:
-        health = self._parts.state.upstream_health
+        health = self._sources.state.upstream_health
         result = []
         for upstream_id in sorted(health.upstreams):
             view = health.refresh(upstream_id, now_ms)
@@ -227,7 +247,7 @@
                     state=view.state,
                     service_ms=round(view.service_ms, 3),
                     held_versions=view.held_versions or (),
-                    owned=self._parts.relay.owns(upstream_id, now_ms),
+                    owned=self._sources.relay.owns(upstream_id, now_ms),
                 )
             )
         return tuple(result)
--- a/hyssoptack/entry/querycoordinator.py
+++ b/hyssoptack/entry/querycoordinator.py
@@ -1,4 +1,4 @@
-"""Runs queries: admits, carries out a plan's commands, hands back answers."""
+"""Runs queries: admits them, executes their plans and returns the results."""
 
 import asyncio
 import collections.abc
@@ -24,126 +24,143 @@
 MS_PER_S = 1000.0
 
 SendTo = collections.abc.Callable[[str, message.Message], bool]
-"""Sends to an instance by name; False when its address is not known."""
+"""Sends a message to an instance by its id; returns False if its address is
+not known."""
 
 Result = query.Answer | refusal.Refusal
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Sent:
-    """A call in flight: where it went and when."""
+class _SentCall:
+    """An upstream call in flight.
 
-    lane: routing.RelayPath
+    Attributes:
+        path: Path that the call took.
+        sent_ms: Time at which it was sent.
+    """
+
+    path: routing.RelayPath
     sent_ms: float
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Running:
-    """One query in flight."""
+class _RunningQuery:
+    """One query in flight.
+
+    Attributes:
+        plan: Plan that decides the calls.
+        service: The query's service when it started.
+        done: Completed with the query's result.
+        sent: Unanswered calls by call id.
+        timer: Timer of the plan's next deadline.
+    """
 
     plan: queryplan.QueryPlan
     service: catalog.Service
     done: asyncio.Future[Result]
-    sent: dict[int, _Sent] = dataclasses.field(default_factory=dict)
+    sent: dict[int, _SentCall] = dataclasses.field(default_factory=dict)
     timer: asyncio.TimerHandle | None = None
 
 
 class QueryCoordinator:
-    """Owns the queries of this instance's callers; runs on the event loop."""
+    """Coordinates the queries of this instance's callers on the event loop."""
 
     def __init__(
         self,
-        knowledge: state.InstanceState,
+        instance_state: state.InstanceState,
         own_relay: relay.Relay,
         send_to: SendTo,
-        counts: metrics.Metrics,
-        burned: burncounts.BurnCounts,
+        instance_metrics: metrics.Metrics,
+        burn_counts: burncounts.BurnCounts,
         policy: admission.Policy,
     ):
-        self._state = knowledge
+        self._state = instance_state
         self._relay = own_relay
         self._send_to = send_to
-        self._metrics = counts
-        self._burn = burned
+        self._metrics = instance_metrics
+        self._burn_counts = burn_counts
         self._policy = policy
-        self._own_id = knowledge.settings.instance_id
-        self._numbers = itertools.count(1)
+        self._own_id = instance_state.settings.instance_id
+        self._query_numbers = itertools.count(1)
         self._random = random.Random()
-        self._running: dict[str, _Running] = {}
-        self._gates: dict[str, admission.Limiter] = {}
+        self._running: dict[str, _RunningQuery] = {}
+        self._limiters: dict[str, admission.Limiter] = {}
         self.started_count = 0
 
     def in_flight_count(self) -> int:
-        """Returns the queries in flight."""
+        """Returns the number of queries in flight."""
         return len(self._running)
 
     def limiters(self) -> dict[str, admission.Limiter]:
-        """Returns admission's view by service, for the operator port."""
-        return self._gates
+        """Returns the admission limiters by service, for the operator port."""
+        return self._limiters
 
     def new_query_id(self) -> str:
-        """Returns an identifier that no other query has."""
-        return f"{self._state.incarnation}.{next(self._numbers)}"
+        """Returns a new unique query id."""
+        return f"{self._state.incarnation}.{next(self._query_numbers)}"
 
-    async def run_query(self, asked: query.Query) -> Result:
-        """Runs a query to its final answer.
+    async def run_query(self, request: query.Query) -> Result:
+        """Runs a query to its final result.
 
         Args:
-            asked: The query; its service is known to be in the catalog.
+            request: The query. Its service must be in the catalog.
 
         Returns:
-            A whole answer, or a refusal.
+            The complete answer, or a refusal.
         """
         now_ms = clock.now_ms()
-        service = self._state.catalog.services[asked.service]
+        service = self._state.catalog.services[request.service]
         profile = self._state.catalog.profiles[service.profile]
-        gate = self._gate(asked.service)
-        refused = self._admit(gate, asked)
+        limiter = self._limiter(request.service)
+        refused = self._admit(limiter, request)
         if refused is not None:
-            self._count(asked, profile, refused, 0.0)
+            self._count_result(request, profile, refused, 0.0)
             return refused
-        self._gates[asked.service] = admission.begin_query(gate, asked.urgency)
+        self._limiters[request.service] = admission.begin_query(
+            limiter, request.urgency
+        )
         self.started_count += 1
         plan = queryplan.QueryPlan(
-            asked, profile, service, self._state.plan_context, now_ms
+            request, profile, service, self._state.plan_context, now_ms
         )
         result = await self._run(plan, service, now_ms)
-        self._close(plan, profile, result, now_ms)
+        self._record_completion(plan, profile, result, now_ms)
         return result
 
-    def _gate(self, service: str) -> admission.Limiter:
-        front = self._state.settings.front
-        if service not in self._gates:
-            self._gates[service] = admission.new_limiter(
-                front.max_query_count, front.urgent_reserve_count
+    def _limiter(self, service: str) -> admission.Limiter:
+        caller_settings = self._state.settings.front
+        if service not in self._limiters:
+            self._limiters[service] = admission.new_limiter(
+                caller_settings.max_query_count,
+                caller_settings.urgent_reserve_count,
             )
-        return self._gates[service]
+        return self._limiters[service]
 
     def _admit(
-        self, gate: admission.Limiter, asked: query.Query
+        self, limiter: admission.Limiter, request: query.Query
     ) -> refusal.Refusal | None:
         match self._policy:
             case admission.AdmitAll():
                 return None
             case admission.Adaptive():
-                return self._admit_adaptively(gate, asked)
+                return self._admit_adaptively(limiter, request)
 
     def _admit_adaptively(
-        self, gate: admission.Limiter, asked: query.Query
+        self, limiter: admission.Limiter, request: query.Query
     ) -> refusal.Refusal | None:
-        total = len(self._running)
-        if total >= self._state.settings.front.max_query_count:
+        running_count = len(self._running)
+        if running_count >= self._state.settings.front.max_query_count:
             decision: admission.Decision = admission.Overloaded(
                 retry_after_ms=admission.RETRY_MIN_MS
-                + int(gate.duration_ms * (1 + self._random.random()))
+                + int(limiter.duration_ms * (1 + self._random.random()))
             )
         else:
             decision = admission.decide(
-                gate, asked, self._random.random(), clock.now_ms()
+                limiter, request, self._random.random(), clock.now_ms()
             )
         if not isinstance(decision, admission.Admitted):
-            self._gates[asked.service] = admission.record_refusal(
-                gate, asked.urgency, clock.now_ms()
+            self._limiters[request.service] = admission.record_refusal(
+                limiter, request.urgency, clock.now_ms()
             )
         match decision:
             case admission.Admitted():
@@ -169,55 +186,55 @@
         service: catalog.Service,
         now_ms: float,
     ) -> Result:
-        running = _Running(
+        running = _RunningQuery(
             plan=plan,
             service=service,
             done=asyncio.get_running_loop().create_future(),
         )
         self._running[plan.query.query_id] = running
         try:
-            self._carry(running, plan.start(now_ms), now_ms)
+            self._execute_commands(running, plan.start(now_ms), now_ms)
             return await running.done
         finally:
             del self._running[plan.query.query_id]
             if running.timer is not None:
                 running.timer.cancel()
 
-    def _carry(
+    def _execute_commands(
         self,
-        running: _Running,
+        running: _RunningQuery,
         commands: list[querycommand.Command],
         now_ms: float,
     ) -> None:
-        """Carries out a plan's commands, one message for each relay."""
-        asks: dict[str, list[message.UpstreamAsk]] = {}
-        drops: dict[str, list[int]] = {}
+        """Executes a plan's commands, with one message for each relay."""
+        asks_by_instance: dict[str, list[message.UpstreamAsk]] = {}
+        cancelled_ids: dict[str, list[int]] = {}
         result: Result | None = None
         for command in commands:
             match command:
-                case querycommand.Send(path=lane):
-                    group = asks.setdefault(lane.instance_id, [])
-                    group.append(self._note_ask(running, command, now_ms))
+                case querycommand.Send(path=path):
+                    group = asks_by_instance.setdefault(path.instance_id, [])
+                    group.append(self._register_call(running, command, now_ms))
                 case querycommand.Cancel(
                     call_id=call_id, instance_id=instance_id
                 ):
                     running.sent.pop(call_id, None)
-                    drops.setdefault(instance_id, []).append(call_id)
+                    cancelled_ids.setdefault(instance_id, []).append(call_id)
                 case querycommand.Finish(result=finished):
                     result = finished
-        for instance_id, call_ids in drops.items():
+        for instance_id, call_ids in cancelled_ids.items():
             self._send_cancel(running, instance_id, tuple(call_ids))
-        for instance_id, group in asks.items():
+        for instance_id, group in asks_by_instance.items():
             self._send_asks(running, instance_id, tuple(group), now_ms)
         if result is not None and not running.done.done():
             running.done.set_result(result)
         else:
-            self._arm(running, now_ms)
+            self._set_timer(running, now_ms)
 
-    def _note_ask(
-        self, running: _Running, ask: querycommand.Send, now_ms: float
+    def _register_call(
+        self, running: _RunningQuery, ask: querycommand.Send, now_ms: float
     ) -> message.UpstreamAsk:
-        running.sent[ask.call_id] = _Sent(lane=ask.path, sent_ms=now_ms)
+        running.sent[ask.call_id] = _SentCall(path=ask.path, sent_ms=now_ms)
         return message.UpstreamAsk(
             call_id=ask.call_id,
             upstream_id=ask.path.upstream_id,
@@ -225,7 +242,10 @@
         )
 
     def _send_cancel(
-        self, running: _Running, instance_id: str, call_ids: tuple[int, ...]
+        self,
+        running: _RunningQuery,
+        instance_id: str,
+        call_ids: tuple[int, ...],
     ) -> None:
         cancel = message.Cancel(
             query_id=running.plan.query.query_id, call_ids=call_ids
@@ -237,54 +257,60 @@
 
     def _send_asks(
         self,
-        running: _Running,
+        running: _RunningQuery,
         instance_id: str,
         asks: tuple[message.UpstreamAsk, ...],
         now_ms: float,
     ) -> None:
-        asked = running.plan.query
+        request = running.plan.query
         sub = message.SubQuery(
             origin=self._own_id,
-            query_id=asked.query_id,
-            service=asked.service,
-            text=asked.text,
-            limit_count=asked.limit_count,
-            urgency=asked.urgency,
+            query_id=request.query_id,
+            service=request.service,
+            text=request.text,
+            limit_count=request.limit_count,
+            urgency=request.urgency,
             remaining_ms=running.plan.end_ms - now_ms,
             asks=asks,
         )
         if instance_id == self._own_id:
-            self._relay.run_sub_query(sub, self._local_sink(asked.query_id))
+            self._relay.run_sub_query(
+                sub, self._local_reply_handler(request.query_id)
+            )
             return
         self._state.pending_answers.record_request(instance_id, now_ms)
         if not self._send_to(instance_id, sub):
             self.on_undelivered(instance_id, sub)
 
-    def _local_sink(self, query_id: str) -> relay.OnReplies:
-        """Returns where the own relay's replies go: never re-entrant."""
+    def _local_reply_handler(self, query_id: str) -> relay.OnReplies:
+        """Returns the handler for replies of this instance's own relay.
+
+        The handler defers to the event loop, so that a reply given at once does
+        not re-enter the plan.
+        """
         loop = asyncio.get_running_loop()
 
-        def sink(replies: tuple[message.UpstreamReply, ...]) -> None:
+        def on_replies(replies: tuple[message.UpstreamReply, ...]) -> None:
             loop.call_soon(self._on_replies, self._own_id, query_id, replies)
 
-        return sink
+        return on_replies
 
-    def _arm(self, running: _Running, now_ms: float) -> None:
-        """Sets the timer for the plan's next step in time."""
+    def _set_timer(self, running: _RunningQuery, now_ms: float) -> None:
+        """Sets the timer for the plan's next deadline."""
         if running.timer is not None:
             running.timer.cancel()
         wait_s = max(0.0, running.plan.next_deadline_ms() - now_ms) / MS_PER_S
         loop = asyncio.get_running_loop()
-        running.timer = loop.call_later(wait_s, self._on_time, running)
+        running.timer = loop.call_later(wait_s, self._on_timer, running)
 
-    def _on_time(self, running: _Running) -> None:
+    def _on_timer(self, running: _RunningQuery) -> None:
         if running.done.done():
             return
         now_ms = clock.now_ms()
-        self._carry(running, running.plan.on_timeout(now_ms), now_ms)
+        self._execute_commands(running, running.plan.on_timeout(now_ms), now_ms)
 
     def on_sub_answer(self, answer: message.SubAnswer) -> None:
-        """Takes upstream replies from a peer's relay."""
+        """Processes upstream replies from a peer's relay."""
         self._state.pending_answers.record_response(answer.origin)
         now_ms = clock.now_ms()
         service = self._service_of(answer)
@@ -297,7 +323,8 @@
         running = self._running.get(answer.query_id)
         if running is not None:
             return running.service.name
-        # The query is over; what its late answers show is still of use.
+        # The query has ended, but its late replies still update the health of
+        # the upstreams.
         for name, service in self._state.catalog.services.items():
             if (
                 answer.replies
@@ -319,17 +346,22 @@
         commands: list[querycommand.Command] = []
         for reply in replies:
             sent = running.sent.get(reply.call_id)
-            if sent is None or sent.lane.instance_id != instance_id:
+            if sent is None or sent.path.instance_id != instance_id:
                 continue
             del running.sent[reply.call_id]
             if reply.status is message.CallStatus.ANSWERED:
-                added_ms = now_ms - sent.sent_ms - reply.service_ms
-                self._state.router.record_overhead(instance_id, added_ms)
+                overhead_ms = now_ms - sent.sent_ms - reply.service_ms
+                self._state.router.record_overhead(instance_id, overhead_ms)
             commands.extend(running.plan.on_reply(reply, now_ms))
-        self._carry(running, commands, now_ms)
+        self._execute_commands(running, commands, now_ms)
 
     def on_undelivered(self, instance_id: str, sub: message.SubQuery) -> None:
-        """Takes back a sub-query that could not be sent to a peer."""
+        """Treats the calls of a sub-query that could not be sent as not owned.
+
+        Args:
+            instance_id: Peer that could not be reached.
+            sub: Sub-query that was not sent.
+        """
         self._state.pending_answers.record_unreachable(instance_id)
         replies = tuple(
             message.UpstreamReply(
@@ -342,7 +374,7 @@
         loop = asyncio.get_running_loop()
         loop.call_soon(self._on_replies, instance_id, sub.query_id, replies)
 
-    def _close(
+    def _record_completion(
         self,
         plan: queryplan.QueryPlan,
         profile: catalog.Profile,
@@ -351,56 +383,58 @@
     ) -> None:
         now_ms = clock.now_ms()
         elapsed_ms = now_ms - started_ms
-        asked = plan.query
-        good = isinstance(result, query.Answer) and not plan.was_shed
-        self._gates[asked.service] = admission.end_query(
-            self._gates[asked.service],
-            asked.urgency,
+        request = plan.query
+        succeeded = isinstance(result, query.Answer) and not plan.was_shed
+        self._limiters[request.service] = admission.end_query(
+            self._limiters[request.service],
+            request.urgency,
             elapsed_ms,
-            good,
-            asked.deadline_ms,
+            succeeded,
+            request.deadline_ms,
             now_ms,
         )
-        self._burn.record_calls(
-            asked.service,
+        self._burn_counts.record_calls(
+            request.service,
             plan.upstream_call_count,
             plan.extra_call_count,
             now_ms,
         )
-        labels = {"service": asked.service}
+        labels = {"service": request.service}
         self._metrics.upstream_calls.add(labels, plan.upstream_call_count)
         self._metrics.extra_calls.add(labels, plan.extra_call_count)
-        self._count(asked, profile, result, elapsed_ms)
+        self._count_result(request, profile, result, elapsed_ms)
 
-    def _count(
+    def _count_result(
         self,
-        asked: query.Query,
+        request: query.Query,
         profile: catalog.Profile,
         result: Result,
         elapsed_ms: float,
     ) -> None:
         now_ms = clock.now_ms()
-        labels = {"service": asked.service, "kind": asked.urgency.value}
+        labels = {"service": request.service, "kind": request.urgency.value}
         match result:
             case query.Answer(coverage_ratio=coverage_ratio):
-                self._burn.record_answer(
-                    asked.service,
+                self._burn_counts.record_answer(
+                    request.service,
                     elapsed_ms,
                     profile.deadline_ms,
                     coverage_ratio,
                     now_ms,
                 )
                 self._metrics.requests.inc({**labels, "result": "answered"})
-                name = {"service": asked.service}
+                name = {"service": request.service}
                 self._metrics.answer_latency_ms.observe(name, elapsed_ms)
                 self._metrics.last_coverage_ratio.set(name, coverage_ratio)
             case refusal.Refusal(reason=reason):
-                self._burn.record_refusal(asked.service, reason.value, now_ms)
+                self._burn_counts.record_refusal(
+                    request.service, reason.value, now_ms
+                )
                 self._metrics.requests.inc({**labels, "result": reason.value})
                 log.write(
                     log.Event.QUERY_REFUSED,
-                    query_id=asked.query_id,
-                    service=asked.service,
+                    query_id=request.query_id,
+                    service=request.service,
                     reason=reason.value,
                     detail=result.detail,
                 )
--- a/hyssoptack/entry/state.py
+++ b/hyssoptack/entry/state.py
@@ -1,4 +1,4 @@
-"""What one instance knows; owned by the event loop's thread."""
+"""State shared by the tasks of one instance; used on the event loop only."""
 
 import collections
 import secrets
@@ -20,25 +20,45 @@
 
 _CHART = chart.load("instance")
 OWNERSHIP_VALID_RATIO = 0.5
-"""Ownership not renewed for this part of the list's lag is over."""
+"""Ownership expires unless it is renewed within this part of the list's lag."""
 
 GONE_AFTER_LAGS_COUNT = 2.0
-"""Unseen for this many lags while the list is read: gone."""
+"""An instance not seen for this many list lags is gone, provided that the list
+is being read."""
 
 RECENT_SENDER_LIMIT_COUNT = 16
-"""Instances heard from last that heartbeats choose from to pass on."""
+"""Number of most recent senders from which a heartbeat selects the instances
+to pass on."""
 
 RETENTION_LAGS_COUNT = 10
-"""Unseen incarnations are forgotten after this many lags."""
+"""Incarnations not seen for this many list lags are removed from the roster."""
 
 
 class InstanceState:
-    """The shared knowledge of an instance's tasks."""
+    """State that the tasks of an instance share.
+
+    Attributes:
+        settings: Settings of the instance.
+        chart_state: Current state in the `instance` chart.
+        incarnation: Unique identifier of this process.
+        catalog: Configuration in force.
+        catalog_applied_ms: Time at which it came into force; 0 if none did.
+        roster: Known instances and when each was last seen.
+        pending_answers: Instances that have not answered a message yet.
+        peer_addresses: Addresses for messages, by instance id.
+        recent_senders: Most recent senders of messages, newest last.
+        upstream_health: Health of the upstreams.
+        retry_budgets: Budgets of extra calls, by service.
+        router: Selects paths to upstreams.
+        plan_context: State that query plans use.
+        visible_since_ms: Time since which this process is in the platform's
+            list without a long pause; 0 if it is not listed yet.
+    """
 
     def __init__(
         self,
         settings: instance.InstanceSettings,
-        hedges: hedging.HedgePolicy,
+        hedge_policy: hedging.HedgePolicy,
     ):
         self.settings = settings
         self.chart_state = _CHART.initial
@@ -58,16 +78,16 @@
             router=self.router,
             upstream_health=self.upstream_health,
             retry_budgets=self.retry_budgets,
-            hedge_policy=hedges,
+            hedge_policy=hedge_policy,
             current_service=lambda name: self.catalog.services.get(name),
         )
         self.visible_since_ms = 0.0
-        self._refreshed_ms = clock.now_ms()
+        self._last_refresh_ms = clock.now_ms()
         self._view: routing.RoutingView | None = None
         self._owned: frozenset[str] = frozenset()
 
     def apply_event(self, event: str) -> None:
-        """Steps the instance's state chart and logs the step."""
+        """Applies an event to the state chart and logs a change of state."""
         before = self.chart_state
         self.chart_state = _CHART.step(before, event)
         if self.chart_state != before:
@@ -80,19 +100,19 @@
             )
 
     def is_ready(self) -> bool:
-        """Tells whether the balancer may send new requests."""
+        """Returns whether the load balancer may send new requests."""
         return self.chart_state == "serving"
 
     def accepts_requests(self) -> bool:
-        """Tells whether a request that arrives is still served."""
+        """Returns whether an arriving request is served."""
         return self.chart_state in ("serving", "leaving", "draining")
 
     def is_leaving(self) -> bool:
-        """Tells whether this instance has said that it leaves."""
+        """Returns whether this instance has announced that it is leaving."""
         return self.chart_state in ("leaving", "draining", "stopped")
 
     def own_member(self) -> member.Member:
-        """Returns this instance as others should know it."""
+        """Returns the member record that describes this instance to others."""
         return member.Member(
             instance_id=self.settings.instance_id,
             incarnation=self.incarnation,
@@ -103,36 +123,38 @@
         )
 
     def peer_address(self, instance_id: str) -> str | None:
-        """Finds where to send messages for an instance."""
+        """Returns the address for messages to an instance, or None."""
         return self.peer_addresses.get(instance_id)
 
     def instance_id_at(self, peer_address: str) -> str:
-        """Finds whose address this is; empty when nobody's."""
+        """Returns the id of the instance at an address, or an empty string."""
         for name, address in self.peer_addresses.items():
             if address == peer_address:
                 return name
         return ""
 
     def owners_of(self, upstream_id: str) -> set[str]:
-        """Returns the instances that call an upstream."""
+        """Returns the ids of the instances that call an upstream."""
         for service in self.catalog.services.values():
             if upstream_id in service.upstreams:
-                lanes = self.router.paths(service, upstream_id)
-                return {lane.instance_id for lane in lanes}
+                paths = self.router.paths(service, upstream_id)
+                return {path.instance_id for path in paths}
         return set()
 
     def merge_listed(
         self, members: tuple[member.Member, ...], now_ms: float
     ) -> None:
-        """Takes the platform's list."""
+        """Merges the platform's instance list into the roster."""
         self.roster = membership.merge_listed(self.roster, members, now_ms)
-        mine = any(each.incarnation == self.incarnation for each in members)
-        if mine and not self.visible_since_ms:
+        self_listed = any(
+            each.incarnation == self.incarnation for each in members
+        )
+        if self_listed and not self.visible_since_ms:
             self.visible_since_ms = now_ms
         self.peer_addresses = membership.addresses(self.roster)
 
     def record_message(self, sender: member.Member, now_ms: float) -> None:
-        """Takes a sign of life of a peer."""
+        """Records that a message arrived from a peer."""
         if sender.incarnation == self.incarnation:
             return
         known = sender.incarnation in self.roster.sightings
@@ -143,7 +165,7 @@
             self.peer_addresses = membership.addresses(self.roster)
 
     def usable_members(self, now_ms: float) -> dict[str, member.Member]:
-        """Returns the instances that may get new work."""
+        """Returns the instances that may receive new work, by instance id."""
         return membership.usable(
             self.roster,
             self.pending_answers,
@@ -152,38 +174,43 @@
             now_ms,
         )
 
-    def refresh(self, owner: relay.Relay, now_ms: float) -> None:
-        """Computes owners anew where the view changed; renews what is owned.
+    def refresh(self, own_relay: relay.Relay, now_ms: float) -> None:
+        """Updates the routing view and renews the ownership of upstreams.
 
-        Called often. A process that was stopped for long finds its view out of
-        date and drops its shares until it has been visible anew.
+        Runs periodically. After a long pause of the process, its view may be
+        out of date: it gives up its upstreams until it has been visible again
+        for long enough.
+
+        Args:
+            own_relay: Relay that receives the owned upstreams.
+            now_ms: Current time.
         """
         lag_ms = self.settings.platform.instance_list_lag_ms
         valid_ms = OWNERSHIP_VALID_RATIO * lag_ms
-        paused_ms = now_ms - self._refreshed_ms
-        self._refreshed_ms = now_ms
+        paused_ms = now_ms - self._last_refresh_ms
+        self._last_refresh_ms = now_ms
         if paused_ms > valid_ms:
             log.write(log.Event.THAWED, paused_ms=paused_ms)
             self.visible_since_ms = now_ms
         self.roster = membership.pruned(
             self.roster, RETENTION_LAGS_COUNT * max(lag_ms, 1.0), now_ms
         )
-        self._install_view(now_ms)
-        settled = bool(self.visible_since_ms) and ownership.may_use_shares(
+        self._update_view(now_ms)
+        may_own = bool(self.visible_since_ms) and ownership.may_use_shares(
             self.visible_since_ms, lag_ms, now_ms
         )
-        owned = self._owned if settled else frozenset()
-        owner.set_owned_upstreams(
+        owned = self._owned if may_own else frozenset()
+        own_relay.set_owned_upstreams(
             self.catalog, owned, now_ms + max(valid_ms, 100.0)
         )
-        if settled:
+        if may_own:
             self.apply_event("settled")
 
-    def _install_view(self, now_ms: float) -> None:
+    def _update_view(self, now_ms: float) -> None:
         lag_ms = self.settings.platform.instance_list_lag_ms
         domains = {each.failure_domain for each in self._members()}
         domains.add(self.settings.failure_domain)
-        assumed = {
+        recently_seen_by_domain = {
             domain: membership.recently_seen(
                 self.roster, domain, lag_ms, now_ms
             )
@@ -191,16 +218,16 @@
         }
         view = routing.RoutingView(
             catalog=self.catalog,
-            recently_seen=assumed,
+            recently_seen=recently_seen_by_domain,
             usable=self.usable_members(now_ms),
             owner_count=self.settings.relay.owner_count,
             column_size_count=self.settings.relay.column_size_count,
         )
-        if self._view is not None and _same_view(view, self._view):
+        if self._view is not None and _views_equal(view, self._view):
             return
         self._view = view
         self.router.install(view)
-        self._owned = self._upstreams_owned(view)
+        self._owned = self._compute_owned_upstreams(view)
         log.write(
             log.Event.VIEW_CHANGED,
             usable_count=len(view.usable),
@@ -211,7 +238,9 @@
     def _members(self) -> list[member.Member]:
         return [each.member for each in self.roster.sightings.values()]
 
-    def _upstreams_owned(self, view: routing.RoutingView) -> frozenset[str]:
+    def _compute_owned_upstreams(
+        self, view: routing.RoutingView
+    ) -> frozenset[str]:
         domain = self.settings.failure_domain
         names = {*view.recently_seen.get(domain, ()), self.settings.instance_id}
         candidates = tuple(sorted(names))
@@ -228,20 +257,23 @@
         return frozenset(owned)
 
     def apply_catalog(self, current: catalog.Catalog, now_ms: float) -> None:
-        """Replaces the configuration by a later revision.
+        """Replaces the configuration with a later revision.
 
         Raises:
-            chart.BrokenInvariant: The revision is not later.
+            chart.BrokenInvariant: The revision is not later than the current
+                one.
         """
         if current.revision <= self.catalog.revision:
-            raise chart.BrokenInvariant("a revision would step down")
+            raise chart.BrokenInvariant(
+                "a configuration revision must be later than the one in force"
+            )
         self.catalog = current
         self.catalog_applied_ms = now_ms
         self.apply_event("configured")
 
 
-def _same_view(one: routing.RoutingView, other: routing.RoutingView) -> bool:
-    """Compares views cheaply: catalogs by identity."""
+def _views_equal(one: routing.RoutingView, other: routing.RoutingView) -> bool:
+    """Returns whether two views are equal; compares catalogs by identity."""
     return (
         one.catalog is other.catalog
         and one.recently_seen == other.recently_seen
--- a/hyssoptack/relay/__init__.py
+++ b/hyssoptack/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Upstream connections: slots, queues, deadlines and cancellation."""
+"""Calls to upstreams: connections, slots, queues, deadlines, cancellation."""
--- a/hyssoptack/relay/client.py
+++ b/hyssoptack/relay/client.py
@@ -1,7 +1,7 @@
-"""Calls to upstreams over HTTP, by aiohttp.
+"""HTTP client for upstreams, based on aiohttp.
 
-The house style names urllib3, which can't be cancelled in flight and needs
-a thread a call; docs/design/0001-upstream-client.md has the measurement.
+The project's style guide prescribes urllib3, but its calls can't be cancelled
+in flight and each needs a thread; see docs/design/0001-upstream-client.md.
 """
 
 import asyncio
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SearchRequest:
-    """What an upstream is asked, as JSON."""
+    """JSON body of a search request to an upstream."""
 
     query_id: str
     service: str
@@ -41,7 +41,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SearchReply:
-    """What an upstream answers, as JSON; also when it lacks a version."""
+    """JSON body of an upstream's reply to a search.
+
+    An upstream that does not hold the requested index version replies with the
+    versions that it holds.
+    """
 
     query_id: str = ""
     version: int = 0
@@ -53,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ActBody:
-    """A non-idempotent request to an upstream, as JSON."""
+    """JSON body of a non-idempotent request to an upstream."""
 
     key: str
     attempt_id: str
@@ -63,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ActReply:
-    """What an upstream answers to a non-idempotent request, as JSON."""
+    """JSON body of an upstream's reply to a non-idempotent request."""
 
     receipt: str
 
@@ -85,7 +89,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class MayHaveRun:
-    """Bytes went to the upstream and no answer came back."""
+    """The request may have reached the upstream, but no valid reply came."""
 
     detail: str
 
@@ -98,7 +102,7 @@
 
 
 class UpstreamClient:
-    """Owns the connections from this instance to its upstreams."""
+    """HTTP client that owns the connections to this instance's upstreams."""
 
     def __init__(self) -> None:
         connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=60.0)
@@ -107,32 +111,32 @@
         )
 
     async def close(self) -> None:
-        """Closes every connection."""
+        """Closes all connections."""
         await self._session.close()
 
     async def search(
         self,
         upstream: catalog.Upstream,
         ask: message.UpstreamAsk,
-        sub: message.SubQuery,
+        sub_query: message.SubQuery,
         remaining_ms: float,
     ) -> message.UpstreamReply:
-        """Asks one upstream.
+        """Sends a search to an upstream.
 
         Args:
-            upstream: The upstream.
-            ask: What is asked of it.
-            sub: The sub-query that the ask belongs to.
-            remaining_ms: Time left for the call.
+            upstream: Upstream to call.
+            ask: Requested call.
+            sub_query: Sub-query that the call belongs to.
+            remaining_ms: Time left for the call, in milliseconds.
 
         Returns:
-            What became of the call; errors are statuses, not exceptions.
+            The reply; a failed call is reported by its status, not raised.
         """
         body = SearchRequest(
-            query_id=sub.query_id,
-            service=sub.service,
-            text=sub.text,
-            limit=sub.limit_count,
+            query_id=sub_query.query_id,
+            service=sub_query.service,
+            text=sub_query.text,
+            limit=sub_query.limit_count,
             version=ask.index_version,
             deadline_ms=remaining_ms,
         )
@@ -147,8 +151,13 @@
                 raw = await response.read()
                 elapsed_ms = clock.now_ms() - sent_ms
                 state = response.headers.get(STATE_HEADER, "")
-                return _read_search(
-                    ask, response.status, state, raw, elapsed_ms, sub.query_id
+                return _parse_search_response(
+                    ask,
+                    response.status,
+                    state,
+                    raw,
+                    elapsed_ms,
+                    sub_query.query_id,
                 )
         except TimeoutError:
             status = message.CallStatus.TIMED_OUT
@@ -168,29 +177,35 @@
     async def send_action(
         self,
         upstream: catalog.Upstream,
-        asked: action.Action,
+        request: action.Action,
         attempt_id: str,
         remaining_ms: float,
     ) -> ActionResult:
         """Sends a non-idempotent request once.
 
-        Only a failure to connect, or the upstream's own refusal before running,
-        counts as not run.
+        The result is `DidNotRun` only if the connection failed or the upstream
+        refused the request before running it.
+
+        Args:
+            upstream: Upstream to call.
+            request: Action to send.
+            attempt_id: Identifier of the attempt, call to the upstream.
+            remaining_ms: Time left for the call, in milliseconds.
         """
         body = ActBody(
-            key=asked.idempotency_key,
+            key=request.idempotency_key,
             attempt_id=attempt_id,
-            subject=asked.subject,
-            body=asked.body_text,
+            subject=request.subject,
+            body=request.body_text,
         )
-        sent = asyncio.ensure_future(
+        call = asyncio.ensure_future(
             self._post_act(f"http://{upstream.address}/act", body)
         )
         try:
-            if await timeouts.wait_until_done(sent, remaining_ms):
-                return sent.result()
+            if await timeouts.wait_until_done(call, remaining_ms):
+                return call.result()
         finally:
-            sent.cancel()
+            call.cancel()
         return MayHaveRun(detail="no answer from the upstream in time")
 
     async def _post_act(self, url: str, body: ActBody) -> ActionResult:
@@ -202,7 +217,7 @@
                 url, data=_ENCODER.encode(body), timeout=timeout
             ) as response:
                 raw = await response.read()
-                return _read_act(response, raw)
+                return _parse_act_response(response, raw)
         except aiohttp.ClientConnectorError as error:
             return DidNotRun(detail=f"no connection to the upstream: {error}")
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
@@ -216,7 +231,7 @@
     )
 
 
-def _read_search(
+def _parse_search_response(
     ask: message.UpstreamAsk,
     http_status: int,
     state: str,
@@ -224,7 +239,7 @@
     elapsed_ms: float,
     query_id: str,
 ) -> message.UpstreamReply:
-    """Reads an upstream's answer; one to another query is a failure."""
+    """Converts an upstream's response; one for another query is a failure."""
     failed = message.UpstreamReply(
         call_id=ask.call_id,
         upstream_id=ask.upstream_id,
@@ -268,7 +283,9 @@
     )
 
 
-def _read_act(response: aiohttp.ClientResponse, raw: bytes) -> ActionResult:
+def _parse_act_response(
+    response: aiohttp.ClientResponse, raw: bytes
+) -> ActionResult:
     draining = response.headers.get(STATE_HEADER, "") == DRAINING
     if response.status == STATUS_UNAVAILABLE:
         return DidNotRun(
--- a/hyssoptack/relay/relay.py
+++ b/hyssoptack/relay/relay.py
@@ -1,4 +1,7 @@
-"""Calls the upstreams that this instance owns, for itself and for its peers."""
+"""Relays calls to the upstreams that this instance owns.
+
+Calls come from this instance's coordinators and from its peers.
+"""
 
 import asyncio
 import collections.abc
@@ -16,7 +19,8 @@
 from hyssoptack.settings import instance
 
 DEADLINE_MARGIN_MS = 2.0
-"""A relay gives up this much before the asker does, so that it still hears."""
+"""A relay ends a call this long before the coordinator's deadline, so that the
+reply still arrives in time."""
 
 OnReplies = collections.abc.Callable[[tuple[message.UpstreamReply, ...]], None]
 OnDraining = collections.abc.Callable[[str], None]
@@ -24,16 +28,29 @@
 
 @dataclasses.dataclass(kw_only=True)
 class _Batch:
-    """Replies of one sub-query that wait to be sent together."""
+    """Replies of one sub_query-query, collected to be sent together.
+
+    Attributes:
+        on_replies: Receives the replies.
+        open_count: Number of calls without a reply.
+        ready: Replies not sent yet.
+        timer: Timer of the next send.
+    """
 
-    sink: OnReplies
+    on_replies: OnReplies
     open_count: int
     ready: list[message.UpstreamReply] = dataclasses.field(default_factory=list)
     timer: asyncio.TimerHandle | None = None
 
 
 class Relay:
-    """Owns upstream connections and slots; runs on the event loop's thread."""
+    """Makes calls within this instance's share of each upstream's slots.
+
+    Runs on the event loop's thread.
+
+    Attributes:
+        call_count: Number of search calls started.
+    """
 
     def __init__(
         self,
@@ -49,7 +66,7 @@
         self._catalog = catalog.EMPTY
         self._owned: frozenset[str] = frozenset()
         self._owned_until_ms = 0.0
-        self._lanes: dict[str, upstreamqueue.UpstreamQueue] = {}
+        self._queues: dict[str, upstreamqueue.UpstreamQueue] = {}
         self._jobs: dict[tuple[str, int], upstreamqueue.Job] = {}
         self.call_count = 0
         self._action_count = 0
@@ -60,47 +77,58 @@
         owned: frozenset[str],
         until_ms: float,
     ) -> None:
-        """Puts a configuration and the owned upstreams in force.
+        """Sets the configuration and the upstreams that this instance owns.
 
         Args:
-            current: The configuration.
-            owned: The upstreams that this instance may call.
-            until_ms: When that ends unless it is installed again: a process
-                that was stopped must not go on with an old view.
+            current: Configuration in force.
+            owned: Identifiers of the upstreams that this instance may call.
+            until_ms: Time at which the ownership expires unless it is renewed:
+                a process that was paused must not act on an outdated view.
         """
         self._catalog = current
         self._owned = owned
         self._owned_until_ms = until_ms
 
     def open_call_count(self) -> int:
-        """Returns the calls that wait or run."""
+        """Returns the number of waiting and running calls."""
         return len(self._jobs) + self._action_count
 
     def upstream_queues(self) -> dict[str, upstreamqueue.UpstreamQueue]:
-        """Returns the lanes by upstream, for the operator port."""
-        return self._lanes
+        """Returns the queues by upstream id, for the operator port."""
+        return self._queues
 
-    def _lane(self, upstream: catalog.Upstream) -> upstreamqueue.UpstreamQueue:
+    def _queue_for(
+        self, upstream: catalog.Upstream
+    ) -> upstreamqueue.UpstreamQueue:
         share = ownership.share_of(upstream, self._settings.owner_count)
-        found = self._lanes.get(upstream.upstream_id)
-        if found is None:
-            found = upstreamqueue.UpstreamQueue(
+        queue = self._queues.get(upstream.upstream_id)
+        if queue is None:
+            queue = upstreamqueue.UpstreamQueue(
                 share.slot_count, self._settings.queue_limit_count
             )
-            self._lanes[upstream.upstream_id] = found
-        found.slot_count = share.slot_count
-        return found
+            self._queues[upstream.upstream_id] = queue
+        queue.slot_count = share.slot_count
+        return queue
 
-    def run_sub_query(self, sub: message.SubQuery, sink: OnReplies) -> None:
-        """Runs a sub-query; replies reach `sink` in one or more batches."""
-        batch = _Batch(sink=sink, open_count=len(sub.asks))
+    def run_sub_query(
+        self, sub_query: message.SubQuery, on_replies: OnReplies
+    ) -> None:
+        """Makes the calls of a sub_query-query.
+
+        Args:
+            sub_query: The sub_query-query.
+            on_replies: Receives the replies, in one or more batches.
+        """
+        batch = _Batch(on_replies=on_replies, open_count=len(sub_query.asks))
         now_ms = clock.now_ms()
-        expires_ms = now_ms + max(1.0, sub.remaining_ms - DEADLINE_MARGIN_MS)
-        for ask in sub.asks:
-            self._submit(sub, ask, batch, now_ms, expires_ms)
+        expires_ms = now_ms + max(
+            1.0, sub_query.remaining_ms - DEADLINE_MARGIN_MS
+        )
+        for ask in sub_query.asks:
+            self._submit(sub_query, ask, batch, now_ms, expires_ms)
 
     def cancel(self, cancel: message.Cancel) -> None:
-        """Drops calls that wait, and aborts running ones where that pays."""
+        """Cancels calls: drops waiting ones and aborts running ones."""
         for call_id in cancel.call_ids:
             job = self._jobs.pop((cancel.query_id, call_id), None)
             if job is None:
@@ -109,45 +137,47 @@
             if job.task is not None:
                 job.task.cancel()
             if not job.started:
-                # An asker that hears nothing takes the relay for lost.
+                # A coordinator that gets no reply takes the relay for failed.
                 job.on_dropped(message.CallStatus.CANCELLED)
 
     def _submit(
         self,
-        sub: message.SubQuery,
+        sub_query: message.SubQuery,
         ask: message.UpstreamAsk,
         batch: _Batch,
         now_ms: float,
         expires_ms: float,
     ) -> None:
-        refused = self._refusal(sub.service, ask, now_ms)
-        if refused is not None:
-            self._deliver(batch, refused)
+        rejection = self._rejection(sub_query.service, ask, now_ms)
+        if rejection is not None:
+            self._deliver(batch, rejection)
             return
-        upstream = self._catalog.services[sub.service].upstreams[
+        upstream = self._catalog.services[sub_query.service].upstreams[
             ask.upstream_id
         ]
         job = upstreamqueue.Job(
-            query_id=sub.query_id,
+            query_id=sub_query.query_id,
             call_id=ask.call_id,
-            urgency=sub.urgency,
+            urgency=sub_query.urgency,
             expires_ms=expires_ms,
-            run=lambda: self._run(sub, ask, upstream, batch, expires_ms),
-            on_dropped=lambda status: self._give_up(sub, ask, batch, status),
+            run=lambda: self._run(sub_query, ask, upstream, batch, expires_ms),
+            on_dropped=lambda status: self._on_dropped(
+                sub_query, ask, batch, status
+            ),
         )
-        self._jobs[(sub.query_id, ask.call_id)] = job
+        self._jobs[(sub_query.query_id, ask.call_id)] = job
         service_ms = self._health.expected_ms(
-            sub.service, ask.upstream_id, now_ms
+            sub_query.service, ask.upstream_id, now_ms
         )
-        if not self._lane(upstream).submit(job, now_ms, service_ms):
-            del self._jobs[(sub.query_id, ask.call_id)]
+        if not self._queue_for(upstream).submit(job, now_ms, service_ms):
+            del self._jobs[(sub_query.query_id, ask.call_id)]
             shed = _reply_without_call(ask, message.CallStatus.SHED)
             self._deliver(batch, shed)
 
-    def _refusal(
+    def _rejection(
         self, service: str, ask: message.UpstreamAsk, now_ms: float
     ) -> message.UpstreamReply | None:
-        """Returns why an upstream is not called from here, or None."""
+        """Returns the reply that rejects a call, or None if it may be made."""
         known = self._catalog.services.get(service)
         if known is None or ask.upstream_id not in known.upstreams:
             return _reply_without_call(ask, message.CallStatus.NOT_OWNER)
@@ -157,19 +187,19 @@
             return _reply_without_call(ask, message.CallStatus.DRAINING)
         return None
 
-    def _give_up(
+    def _on_dropped(
         self,
-        sub: message.SubQuery,
+        sub_query: message.SubQuery,
         ask: message.UpstreamAsk,
         batch: _Batch,
         status: message.CallStatus,
     ) -> None:
-        self._jobs.pop((sub.query_id, ask.call_id), None)
+        self._jobs.pop((sub_query.query_id, ask.call_id), None)
         self._deliver(batch, _reply_without_call(ask, status))
 
     async def _run(
         self,
-        sub: message.SubQuery,
+        sub_query: message.SubQuery,
         ask: message.UpstreamAsk,
         upstream: catalog.Upstream,
         batch: _Batch,
@@ -177,14 +207,14 @@
     ) -> None:
         started_ms = clock.now_ms()
         self.call_count += 1
-        self._jobs[(sub.query_id, ask.call_id)].started = True
+        self._jobs[(sub_query.query_id, ask.call_id)].started = True
         try:
             reply = await self._client.search(
-                upstream, ask, sub, expires_ms - started_ms
+                upstream, ask, sub_query, expires_ms - started_ms
             )
         except asyncio.CancelledError:
-            # The asker has moved on. What the upstream took so far still counts
-            # as a sign of how slow it is.
+            # The reply is no longer needed, but the time that the call has
+            # taken so far still shows how slow the upstream is.
             reply = message.UpstreamReply(
                 call_id=ask.call_id,
                 upstream_id=ask.upstream_id,
@@ -194,11 +224,11 @@
             )
         finally:
             now_ms = clock.now_ms()
-            self._jobs.pop((sub.query_id, ask.call_id), None)
-        self._learn(sub.service, reply, now_ms)
+            self._jobs.pop((sub_query.query_id, ask.call_id), None)
+        self._record_reply(sub_query.service, reply, now_ms)
         self._deliver(batch, reply)
 
-    def _learn(
+    def _record_reply(
         self, service: str, reply: message.UpstreamReply, now_ms: float
     ) -> None:
         changed = self._health.record_reply(service, reply, now_ms)
@@ -222,25 +252,25 @@
         if batch.ready:
             replies = tuple(batch.ready)
             batch.ready.clear()
-            batch.sink(replies)
+            batch.on_replies(replies)
 
     async def send_action(
         self,
         upstream: catalog.Upstream,
-        asked: action.Action,
+        request: action.Action,
         attempt_id: str,
         expires_ms: float,
     ) -> client.ActionResult:
-        """Sends a non-idempotent request through the upstream's lane, once.
+        """Sends a non-idempotent request once, through the upstream's queue.
 
         Args:
-            upstream: The upstream.
-            asked: The action, whose claim the caller holds.
-            attempt_id: The attempt that holds the claim.
-            expires_ms: After this time nothing is sent any more.
+            upstream: Upstream that receives the request.
+            request: Action to send; the caller holds its claim.
+            attempt_id: Identifier of the attempt that holds the claim.
+            expires_ms: Time after which nothing is sent.
 
         Returns:
-            What became of it; `DidNotRun` when it was never sent.
+            The result; `DidNotRun` if the request was never sent.
         """
         done: asyncio.Future[client.ActionResult] = (
             asyncio.get_running_loop().create_future()
@@ -253,11 +283,11 @@
                 done.set_result(late)
                 return
             result = await self._client.send_action(
-                upstream, asked, attempt_id, expires_ms - now_ms
+                upstream, request, attempt_id, expires_ms - now_ms
             )
             done.set_result(result)
 
-        def give_up(_status: message.CallStatus) -> None:
+        def on_dropped(_status: message.CallStatus) -> None:
             done.set_result(client.DidNotRun(detail="no free slot in time"))
 
         job = upstreamqueue.Job(
@@ -266,11 +296,11 @@
             urgency=query.Urgency.URGENT,
             expires_ms=expires_ms,
             run=run,
-            on_dropped=give_up,
+            on_dropped=on_dropped,
         )
         now_ms = clock.now_ms()
         view = self._health.refresh(upstream.upstream_id, now_ms)
-        if not self._lane(upstream).submit(job, now_ms, view.service_ms):
+        if not self._queue_for(upstream).submit(job, now_ms, view.service_ms):
             return client.DidNotRun(detail="the upstream's slots are taken")
         self._action_count += 1
         try:
@@ -288,7 +318,7 @@
         return result
 
     def owns(self, upstream_id: str, now_ms: float) -> bool:
-        """Tells whether this instance may call an upstream now."""
+        """Returns whether this instance may call an upstream now."""
         return upstream_id in self._owned and now_ms < self._owned_until_ms
 
 
