--- a/hyssoptack/entry/claimstore.py
+++ b/hyssoptack/entry/claimstore.py
@@ -32,7 +32,7 @@
     async def write(
         self, key: str, wanted: action.Claim, version: int, ttl_ms: int
     ) -> expression.Result[int, store.WriteFailure]:
-        """Writes a claim if the key is still at a version.
+        """Writes a claim if the key is still at the expected version.
 
         Args:
             key: Key of the claim.
--- a/hyssoptack/relay/client.py
+++ b/hyssoptack/relay/client.py
@@ -43,8 +43,8 @@
 class SearchReply:
     """JSON body of an upstream's reply to a search.
 
-    An upstream that does not hold the requested index version replies with the
-    versions that it holds.
+    Also the reply of an upstream that does not hold the requested index
+    version; `held` lists the versions that it holds.
     """
 
     query_id: str = ""
@@ -189,7 +189,7 @@
         Args:
             upstream: Upstream to call.
             request: Action to send.
-            attempt_id: Identifier of the attempt, call to the upstream.
+            attempt_id: Identifier of the attempt, sent to the upstream.
             remaining_ms: Time left for the call, in milliseconds.
         """
         body = ActBody(
--- a/hyssoptack/relay/client_test.py
+++ b/hyssoptack/relay/client_test.py
@@ -59,8 +59,9 @@
 
 
 def test_receipt_received_during_a_process_stall_is_returned():
-    # uvloop runs timers before it reads sockets. After a stall, the client would
-    # report "may have run" although the receipt is already in the socket.
+    # uvloop runs timers before it reads sockets. After a stall, the client
+    # would report "may have run" although the receipt is already in the
+    # socket.
     server = http.server.HTTPServer(("127.0.0.1", 0), _Upstream)
     server.arrived = threading.Event()
     threading.Thread(target=server.handle_request, daemon=True).start()
--- a/hyssoptack/relay/relay.py
+++ b/hyssoptack/relay/relay.py
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class _Batch:
-    """Replies of one sub_query-query, collected to be sent together.
+    """Replies of one sub-query, collected to be sent together.
 
     Attributes:
         on_replies: Receives the replies.
@@ -113,10 +113,10 @@
     def run_sub_query(
         self, sub_query: message.SubQuery, on_replies: OnReplies
     ) -> None:
-        """Makes the calls of a sub_query-query.
+        """Makes the calls of a sub-query.
 
         Args:
-            sub_query: The sub_query-query.
+            sub_query: The sub-query.
             on_replies: Receives the replies, in one or more batches.
         """
         batch = _Batch(on_replies=on_replies, open_count=len(sub_query.asks))
--- a/hyssoptack/revisions/__init__.py
+++ b/hyssoptack/revisions/__init__.py
@@ -1,1 +1,1 @@
-"""The chain of configuration revisions of the product's own interface."""
+"""Configuration revisions: storage, changes and distribution to instances."""
--- a/hyssoptack/revisions/change.py
+++ b/hyssoptack/revisions/change.py
@@ -1,7 +1,8 @@
-"""An operator's change of the configuration, applied by compare-and-swap.
+"""Applies an operator's configuration change by compare-and-swap of the head.
 
-The change names itself, so that when the store's answer is lost a read tells
-whether it took effect. Operators who race get "overtaken", never a silent loss.
+Each change has a unique id, so that after a lost answer of the store a read
+shows whether the change took effect. If two operators apply changes at once,
+one gets `Overtaken`; no change is lost silently.
 """
 
 import dataclasses
@@ -25,23 +26,33 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Head:
-    """The head of the chain as read; None when there is none yet."""
+    """The head of the chain of revisions.
+
+    Attributes:
+        manifest: Manifest of the latest revision; None if there is none yet.
+        version: The store's version of the head.
+    """
 
     manifest: catalog.Manifest | None
     version: int
 
     def revision(self) -> int:
-        """Returns the head's revision; 0 when there is none."""
+        """Returns the head's revision; 0 if there is none."""
         return self.manifest.revision if self.manifest else 0
 
     def part_digests(self) -> dict[str, str]:
-        """Returns the head's digests by part name."""
+        """Returns the digests of the head's parts, by part name."""
         return self.manifest.parts if self.manifest else {}
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Applied:
-    """The change is in the chain."""
+    """The change was applied.
+
+    Attributes:
+        revision: Its revision.
+        changed_parts: Names of the parts that it changed.
+    """
 
     revision: int
     changed_parts: tuple[str, ...]
@@ -49,14 +60,23 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Unchanged:
-    """The head already holds exactly this."""
+    """The head already has the offered content; nothing was written.
+
+    Attributes:
+        revision: The head's revision.
+    """
 
     revision: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Overtaken:
-    """Another change came first; this one is not applied."""
+    """Another change came first; this one was not applied.
+
+    Attributes:
+        by: Manifest of the other change.
+        changed_parts: Names of the parts that differ between the two.
+    """
 
     by: catalog.Manifest
     changed_parts: tuple[str, ...]
@@ -64,14 +84,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NotApplied:
-    """The store can't be reached; the change certainly is not applied."""
+    """The store can't be reached; the change was certainly not applied."""
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Unsettled:
-    """The store was lost after the write: `config history` will tell."""
+    """The store became unreachable after the write.
+
+    `config history` shows later whether the change was applied.
+
+    Attributes:
+        change_id: Identifier of the change.
+        detail: The store client's last error.
+    """
 
     change_id: str
     detail: str
@@ -83,12 +110,12 @@
 def read_head(
     client: store.StoreClient,
 ) -> expression.Result[Head, store.Unreachable]:
-    """Reads the head of the chain."""
+    """Reads the head of the chain from the store."""
     result = client.get(configuration.HEAD_KEY)
-    return result.map(_head_of)
+    return result.map(_parse_head)
 
 
-def _head_of(found: store.ReadResult) -> Head:
+def _parse_head(found: store.ReadResult) -> Head:
     match found:
         case store.Stored(value=value, version=version):
             manifest = configuration.read_manifest(value)
@@ -98,7 +125,7 @@
 
 
 def changed(old: dict[str, str], new: dict[str, str]) -> tuple[str, ...]:
-    """Returns the part names whose digests differ."""
+    """Returns the changed_names of the parts whose digests differ."""
     names = sorted(set(old) | set(new))
     return tuple(name for name in names if old.get(name) != new.get(name))
 
@@ -112,14 +139,14 @@
     """Applies a configuration on top of the head.
 
     Args:
-        client: The store.
-        parts: Checked part texts by part name.
-        author: Who applies it.
-        expected_revision: The revision that the change was made on; None to
-            take whatever is the head now.
+        client: Client for the store.
+        parts: Validated texts of the parts, by part name.
+        author: Name of the operator.
+        expected_revision: Revision that the change is based on; None for the
+            current head, whatever its revision.
 
     Returns:
-        What became of the change.
+        The outcome of the change.
     """
     match read_head(client):
         case expression.Result(tag="ok", ok=head):
@@ -129,31 +156,35 @@
     digests = {
         name: catalog_settings.digest_of(text) for name, text in parts.items()
     }
-    names = changed(head.part_digests(), digests)
+    changed_names = changed(head.part_digests(), digests)
     if expected_revision not in (None, head.revision()):
-        return Overtaken(by=head.manifest or _nothing(), changed_parts=names)
-    if not names:
+        return Overtaken(
+            by=head.manifest or _empty_manifest(), changed_parts=changed_names
+        )
+    if not changed_names:
         return Unchanged(revision=head.revision())
-    for name in names:
+    for name in changed_names:
         if name in digests:
-            failure = _write_part(client, digests[name], parts[name])
-            if failure:
-                return NotApplied(detail=failure)
-    manifest = _next_manifest(head, digests, names, author)
-    return _swap_head(client, head, manifest, names)
+            error = _write_part(client, digests[name], parts[name])
+            if error:
+                return NotApplied(detail=error)
+    manifest = _next_manifest(head, digests, changed_names, author)
+    return _swap_head(client, head, manifest, changed_names)
 
 
-def _nothing() -> catalog.Manifest:
+def _empty_manifest() -> catalog.Manifest:
     return catalog.Manifest(
         revision=0, change_id="", author="", applied_at_text="", parts={}
     )
 
 
 def _write_part(client: store.StoreClient, digest: str, text: str) -> str:
-    """Writes a part under its digest; one that is there already is the same.
+    """Writes a part under its digest.
+
+    A conflict is no error: a part already stored under the digest is the same.
 
     Returns:
-        Why it failed, or an empty text.
+        The error, or an empty string.
     """
     key = configuration.PART_PREFIX + digest
     match client.put(key, text, store.ABSENT_VERSION):
@@ -164,7 +195,10 @@
 
 
 def _next_manifest(
-    head: Head, digests: dict[str, str], names: tuple[str, ...], author: str
+    head: Head,
+    digests: dict[str, str],
+    changed_names: tuple[str, ...],
+    author: str,
 ) -> catalog.Manifest:
     now = datetime.datetime.now(datetime.UTC).isoformat(timespec="seconds")
     entry = catalog.TrailEntry(
@@ -172,7 +206,7 @@
         change_id=secrets.token_hex(8),
         author=author,
         applied_at_text=now,
-        changed_parts=names,
+        changed_parts=changed_names,
     )
     earlier = head.manifest.trail if head.manifest else ()
     return catalog.Manifest(
@@ -189,7 +223,7 @@
     client: store.StoreClient,
     head: Head,
     manifest: catalog.Manifest,
-    names: tuple[str, ...],
+    changed_names: tuple[str, ...],
 ) -> Outcome:
     text = configuration.manifest_text(manifest)
     detail = ""
@@ -197,27 +231,29 @@
         written = client.put(configuration.HEAD_KEY, text, head.version)
         match written:
             case expression.Result(tag="ok"):
-                return Applied(revision=manifest.revision, changed_parts=names)
+                return Applied(
+                    revision=manifest.revision, changed_parts=changed_names
+                )
             case expression.Result(error=store.Conflict(current_value=found)):
-                now: Head | None = _head_of(found)
+                current_head: Head | None = _parse_head(found)
             case expression.Result(error=store.Unreachable(detail=detail)):
-                now = _read_again(client)
-        if now is None:
+                current_head = _read_head_with_retries(client)
+        if current_head is None:
             break
         match revision.resolve_lost_write(
-            now.manifest, head.revision(), manifest.change_id
+            current_head.manifest, head.revision(), manifest.change_id
         ):
             case revision.Applied(revision=number):
-                return Applied(revision=number, changed_parts=names)
+                return Applied(revision=number, changed_parts=changed_names)
             case revision.Overtaken(by=by):
-                differs = changed(by.parts, manifest.parts)
-                return Overtaken(by=by, changed_parts=differs)
+                differing_names = changed(by.parts, manifest.parts)
+                return Overtaken(by=by, changed_parts=differing_names)
             case revision.NotWritten():
                 continue
     return Unsettled(change_id=manifest.change_id, detail=detail)
 
 
-def _read_again(client: store.StoreClient) -> Head | None:
+def _read_head_with_retries(client: store.StoreClient) -> Head | None:
     for _ in range(SETTLE_TRY_COUNT):
         match read_head(client):
             case expression.Result(tag="ok", ok=head):
@@ -230,14 +266,14 @@
 def read_parts(
     client: store.StoreClient, head: Head
 ) -> expression.Result[dict[str, str], store.Unreachable]:
-    """Reads every part of the head, by part name."""
+    """Returns the texts of the head's parts, by part name."""
     parts = {}
     for name, digest in head.part_digests().items():
         match client.get(configuration.PART_PREFIX + digest):
             case expression.Result(tag="ok", ok=store.Stored(value=value)):
                 parts[name] = value
             case expression.Result(tag="ok"):
-                detail = f"part {name} is missing"
+                detail = f"part {name} is missing in the store"
                 return expression.Error(store.Unreachable(detail=detail))
             case expression.Result(error=unreachable):
                 return expression.Error(unreachable)
@@ -245,7 +281,7 @@
 
 
 def difference(old: dict[str, str], new: dict[str, str]) -> str:
-    """Returns the unified difference of two sets of part texts."""
+    """Returns the unified diff of two sets of part texts."""
     lines: list[str] = []
     for name in sorted(set(old) | set(new)):
         lines.extend(
--- a/hyssoptack/revisions/configuration.py
+++ b/hyssoptack/revisions/configuration.py
@@ -1,8 +1,9 @@
-"""One instance's configuration: takes offers of heads and parts, only upwards.
+"""The configuration in force on one instance, updated from offered manifests.
 
-Parts are kept under their digests, so an offer needs to bring only the parts
-that changed. Whatever the source, a manifest is in force only once all its
-parts are here and the whole reads without errors.
+Only a manifest of a later revision is accepted. Parts are kept by digest, so an
+offer needs to include only the parts that changed. Whatever its source, a
+manifest comes into force only once all its parts are present and the
+configuration as a whole is valid.
 """
 
 import dataclasses
@@ -24,12 +25,12 @@
 
 
 def manifest_text(manifest: catalog.Manifest) -> str:
-    """Returns a manifest as the store keeps it."""
+    """Encodes a manifest in its stored form."""
     return _ENCODER.encode(manifest).decode()
 
 
 def read_manifest(text: str) -> catalog.Manifest | None:
-    """Reads a manifest, or None when the text is not one."""
+    """Decodes a stored manifest; returns None if the text is not one."""
     try:
         return _DECODER.decode(text)
     except msgspec.DecodeError:
@@ -38,7 +39,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class InForce:
-    """A new revision to put in force."""
+    """The offer was accepted: its revision replaces the one in force.
+
+    Attributes:
+        catalog: Decoded configuration of the revision.
+        manifest: Manifest of the revision.
+    """
 
     catalog: catalog.Catalog
     manifest: catalog.Manifest
@@ -46,14 +52,22 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Lacking:
-    """Parts that have to be fetched first."""
+    """The offer is pending: parts are missing.
+
+    Attributes:
+        digests: Digests of the missing parts.
+    """
 
     digests: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Ignored:
-    """The offer changes nothing."""
+    """The offer was not accepted.
+
+    Attributes:
+        reason: Why it was not.
+    """
 
     reason: str
 
@@ -62,17 +76,22 @@
 
 
 class ActiveConfiguration:
-    """The manifest in force and the parts that are known."""
+    """The manifest in force and the known parts.
+
+    Attributes:
+        manifest: Manifest in force; None if there is none yet.
+        head_version: The store's version of the last head that was processed.
+    """
 
     def __init__(self) -> None:
         self.manifest: catalog.Manifest | None = None
         self.head_version = 0
         self._parts: dict[str, str] = {}
-        self._refused_revision = 0
+        self._rejected_revision = 0
         self._state = _CHART.initial
 
     def revision(self) -> int:
-        """Returns the revision in force; 0 when there is none."""
+        """Returns the revision in force; 0 if there is none."""
         return self.manifest.revision if self.manifest else 0
 
     def part_digests(self) -> tuple[str, ...]:
@@ -80,26 +99,31 @@
         return tuple(sorted(self._parts))
 
     def parts_for_peer(self, held_digests: tuple[str, ...]) -> dict[str, str]:
-        """Returns the parts in force that an asker lacks, by digest."""
+        """Returns the parts in force that a peer does not hold, by digest.
+
+        Args:
+            held_digests: Digests of the parts that the peer holds.
+        """
         if self.manifest is None:
             return {}
         wanted = set(self.manifest.parts.values()) - set(held_digests)
         return {digest: self._parts[digest] for digest in wanted}
 
     def merge_offer(self, text: str, parts: dict[str, str]) -> OfferResult:
-        """Takes a head, and whatever parts came with it.
+        """Processes an offered manifest and the parts that came with it.
 
         Args:
-            text: The manifest as the store keeps it.
-            parts: Part texts by digest; a part that does not match its digest
-                is left out.
+            text: The manifest in its stored form.
+            parts: Texts of parts by digest; a part that does not match its
+                digest is ignored.
 
         Returns:
-            What to do: put in force, fetch parts, or nothing.
+            `InForce` if the revision was accepted, `Lacking` if parts must be
+            fetched first, otherwise `Ignored`.
         """
         manifest = read_manifest(text)
         if manifest is None:
-            return Ignored(reason="the head is no manifest")
+            return Ignored(reason="the offered head is not a valid manifest")
         if not revision.is_newer(self.revision(), manifest.revision):
             if manifest.revision < self.revision():
                 log.write(
@@ -107,22 +131,24 @@
                     offered=manifest.revision,
                     in_force=self.revision(),
                 )
-            return Ignored(reason="not later than what is in force")
-        if manifest.revision == self._refused_revision:
-            return Ignored(reason="refused before")
-        self._step("head_seen")
-        self._step("later_head_seen")
+            return Ignored(
+                reason="the revision is not later than the one in force"
+            )
+        if manifest.revision == self._rejected_revision:
+            return Ignored(reason="the revision was rejected before")
+        self._apply_event("head_seen")
+        self._apply_event("later_head_seen")
         for digest, part in parts.items():
             if catalog_settings.digest_of(part) == digest:
                 self._parts[digest] = part
-        lacking = tuple(sorted(set(manifest.parts.values()) - set(self._parts)))
-        if lacking:
-            return Lacking(digests=lacking)
+        missing = tuple(sorted(set(manifest.parts.values()) - set(self._parts)))
+        if missing:
+            return Lacking(digests=missing)
         return self._assemble(manifest)
 
     def on_fetch_failed(self) -> None:
-        """Notes that lacking parts could not be had."""
-        self._step("fetch_failed")
+        """Records that the missing parts could not be fetched."""
+        self._apply_event("fetch_failed")
 
     def _assemble(self, manifest: catalog.Manifest) -> OfferResult:
         parts = {
@@ -132,22 +158,22 @@
             manifest.revision, parts, f"revision {manifest.revision}"
         )
         if errors:
-            self._refused_revision = manifest.revision
+            self._rejected_revision = manifest.revision
             log.write(
                 log.Event.CONFIG_REFUSED,
                 revision=manifest.revision,
                 errors=[str(each) for each in errors],
             )
-            self._step("fetch_failed")
+            self._apply_event("fetch_failed")
             return Ignored(reason=str(errors[0]))
         self.manifest = manifest
-        kept = set(manifest.parts.values())
+        used = set(manifest.parts.values())
         self._parts = {
             digest: part
             for digest, part in self._parts.items()
-            if digest in kept
+            if digest in used
         }
-        self._step("parts_complete")
+        self._apply_event("parts_complete")
         log.write(
             log.Event.CONFIG_IN_FORCE,
             revision=manifest.revision,
@@ -155,5 +181,5 @@
         )
         return InForce(catalog=current, manifest=manifest)
 
-    def _step(self, event: str) -> None:
+    def _apply_event(self, event: str) -> None:
         self._state = _CHART.step(self._state, event)
--- a/hyssoptack/revisions/configuration_test.py
+++ b/hyssoptack/revisions/configuration_test.py
@@ -1,4 +1,4 @@
-"""Tests of taking configuration offers: only upwards, only whole."""
+"""Tests of configuration offers: only later, valid revisions are accepted."""
 
 from hyssoptack.core import catalog
 from hyssoptack.revisions import configuration
@@ -21,49 +21,49 @@
     return configuration.manifest_text(manifest), {digest: text}
 
 
-def _taken(config, *offer):
+def _offer_result(config, *offer):
     return type(config.merge_offer(*offer)).__name__
 
 
-def test_later_revisions_come_into_force_and_older_ones_do_not():
+def test_only_later_revisions_come_into_force():
     config = configuration.ActiveConfiguration()
-    assert _taken(config, *_offer(5)) == "InForce"
-    assert _taken(config, *_offer(4)) == "Ignored"
-    assert _taken(config, *_offer(5)) == "Ignored"
+    assert _offer_result(config, *_offer(5)) == "InForce"
+    assert _offer_result(config, *_offer(4)) == "Ignored"
+    assert _offer_result(config, *_offer(5)) == "Ignored"
     assert config.revision() == 5
-    assert _taken(config, *_offer(9)) == "InForce"
+    assert _offer_result(config, *_offer(9)) == "InForce"
 
 
-def test_a_head_without_its_parts_is_not_in_force():
+def test_revision_with_missing_parts_is_not_in_force():
     config = configuration.ActiveConfiguration()
     text, parts = _offer(1)
-    lacking = config.merge_offer(text, {})
-    assert lacking == configuration.Lacking(digests=tuple(parts))
+    result = config.merge_offer(text, {})
+    assert result == configuration.Lacking(digests=tuple(parts))
     assert config.revision() == 0
-    assert _taken(config, text, parts) == "InForce"
+    assert _offer_result(config, text, parts) == "InForce"
 
 
-def test_a_part_that_does_not_match_its_digest_is_left_out():
+def test_part_that_does_not_match_its_digest_is_ignored():
     config = configuration.ActiveConfiguration()
     text, parts = _offer(1)
     forged = dict.fromkeys(parts, _PROFILE % 999)
-    assert _taken(config, text, forged) == "Lacking"
+    assert _offer_result(config, text, forged) == "Lacking"
 
 
-def test_a_revision_with_errors_leaves_the_one_in_force():
+def test_revision_with_errors_does_not_replace_the_one_in_force():
     config = configuration.ActiveConfiguration()
     config.merge_offer(*_offer(1))
-    assert _taken(config, *_offer(2, "{profiles: 3}")) == "Ignored"
+    assert _offer_result(config, *_offer(2, "{profiles: 3}")) == "Ignored"
     assert config.revision() == 1
-    assert _taken(config, *_offer(3)) == "InForce"
+    assert _offer_result(config, *_offer(3)) == "InForce"
 
 
-def test_a_head_that_can_not_be_read_is_ignored():
+def test_unreadable_head_is_ignored():
     config = configuration.ActiveConfiguration()
-    assert _taken(config, "not a manifest", {}) == "Ignored"
+    assert _offer_result(config, "not a manifest", {}) == "Ignored"
 
 
-def test_a_peer_is_offered_only_what_it_lacks():
+def test_peer_is_offered_only_the_parts_it_lacks():
     config = configuration.ActiveConfiguration()
     text, parts = _offer(1)
     config.merge_offer(text, parts)
--- a/hyssoptack/revisions/members.py
+++ b/hyssoptack/revisions/members.py
@@ -1,4 +1,4 @@
-"""Client of the platform's list of live and leaving instances."""
+"""Client for the platform's list of live and leaving instances."""
 
 import dataclasses
 
@@ -16,11 +16,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Listing:
-    """The platform's list, as late as the platform has it.
+    """The platform's instance list, which may lag behind the instances' state.
 
     Attributes:
-        members: Instances, live and leaving.
-        leaving_upstream_ids: Upstreams that the platform says are leaving.
+        members: Live and leaving instances.
+        leaving_upstream_ids: Identifiers of the upstreams that the platform
+            reports as leaving.
     """
 
     members: tuple[member.Member, ...] = ()
@@ -31,7 +32,7 @@
 
 
 class MembersClient:
-    """Blocking calls; an unchanged list is answered without a body."""
+    """Blocking client that fetches the list only if its ETag has changed."""
 
     def __init__(self, settings: instance.PlatformSettings):
         self._settings = settings
@@ -40,13 +41,13 @@
             host, int(port), maxsize=2, retries=False
         )
         self._etag = ""
-        self._last = Listing()
+        self._last_listing = Listing()
 
     def read(self) -> expression.Result[Listing, str]:
-        """Reads the list.
+        """Returns the current list.
 
         Returns:
-            The list, or why it can't be had.
+            The list, or the reason why it can't be read.
         """
         timeout = urllib3.Timeout(total=self._settings.timeout_ms / MS_PER_S)
         try:
@@ -60,12 +61,14 @@
         except urllib3.exceptions.HTTPError as error:
             return expression.Error(repr(error))
         if response.status == STATUS_UNCHANGED:
-            return expression.Ok(self._last)
+            return expression.Ok(self._last_listing)
         if response.status != STATUS_OK:
-            return expression.Error(f"the list answered {response.status}")
+            return expression.Error(
+                f"the instance list answered with HTTP status {response.status}"
+            )
         try:
-            self._last = _DECODER.decode(response.data)
+            self._last_listing = _DECODER.decode(response.data)
         except msgspec.DecodeError as error:
             return expression.Error(str(error))
         self._etag = response.headers.get("ETag", "")
-        return expression.Ok(self._last)
+        return expression.Ok(self._last_listing)
--- a/hyssoptack/revisions/store.py
+++ b/hyssoptack/revisions/store.py
@@ -1,7 +1,7 @@
-"""Client of the platform's key-value service, over HTTP by urllib3.
+"""HTTP client for the platform's key-value service, based on urllib3.
 
-The client never repeats a write by itself: what a lost answer means is for the
-caller to decide, who knows what was written.
+The client never retries a write: after a lost answer, only the caller knows
+what was written and can decide what to do.
 """
 
 import dataclasses
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Stored:
-    """A value and the version that the store gave it."""
+    """A stored value and its version."""
 
     value: str
     version: int
@@ -31,12 +31,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Absent:
-    """The store holds no value under the key."""
+    """The store holds no value for the key."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Conflict:
-    """The compare failed; nothing was written. Holds what is there instead."""
+    """The key is at another version; nothing was written.
+
+    Attributes:
+        current_value: Value that the store holds for the key.
+    """
 
     current_value: Stored | Absent
 
@@ -55,7 +59,7 @@
 
 
 class StoreClient:
-    """Blocking calls; tasks run them on threads of their own."""
+    """Blocking client, to be called on threads outside the event loop."""
 
     def __init__(self, settings: instance.PlatformSettings):
         self._settings = settings
@@ -65,20 +69,21 @@
         )
 
     def get(self, key: str) -> expression.Result[ReadResult, Unreachable]:
-        """Reads a value."""
+        """Returns the value of a key."""
         return self._read(f"/kv/{key}", self._settings.timeout_ms)
 
     def watch(
         self, key: str, after_version: int
     ) -> expression.Result[ReadResult, Unreachable]:
-        """Waits until a value's version passes one, or the poll's time ends.
+        """Waits until a value has a later version or the long poll ends.
 
         Args:
             key: The key.
-            after_version: Answers at once when the version is above this.
+            after_version: Version to wait past; a later one is returned at
+                once.
 
         Returns:
-            The value as it stands then.
+            The value at that time.
         """
         wait_ms = self._settings.watch_ms
         path = f"/kv/{key}?after={after_version}&wait_ms={int(wait_ms)}"
@@ -87,16 +92,19 @@
     def put(
         self, key: str, value: str, expected_version: int, ttl_ms: int = 0
     ) -> expression.Result[int, WriteFailure]:
-        """Writes a value if the key is still at a version.
+        """Writes a value if the key is still at the expected version.
 
         Args:
             key: The key.
             value: The new value.
-            expected_version: `ABSENT_VERSION` to create.
-            ttl_ms: Length of the lease that removes the value; 0 for none.
+            expected_version: Version that the key must have; `ABSENT_VERSION`
+                to create.
+            ttl_ms: Length of the lease after which the store removes the
+                value, in milliseconds; 0 for none.
 
         Returns:
-            The new version, or why it is not known to be written.
+            The new version, or the reason why the value is not known to be
+            written.
         """
         path = f"/kv/{key}?expect={expected_version}&ttl_ms={ttl_ms}"
         try:
@@ -110,9 +118,11 @@
         except urllib3.exceptions.HTTPError as error:
             return expression.Error(Unreachable(detail=repr(error)))
         if response.status == STATUS_OK:
-            return _decoded(response.data).map(lambda found: found.version)
+            return _decode_stored(response.data).map(
+                lambda found: found.version
+            )
         if response.status == STATUS_CONFLICT:
-            return _conflict(response.data)
+            return _parse_conflict(response.data)
         detail = f"the store answered {response.status}"
         return expression.Error(Unreachable(detail=detail))
 
@@ -128,7 +138,7 @@
         if response.status == STATUS_NOT_FOUND:
             return expression.Ok(Absent())
         if response.status == STATUS_OK:
-            return _decoded(response.data)
+            return _decode_stored(response.data)
         detail = f"the store answered {response.status}"
         return expression.Error(Unreachable(detail=detail))
 
@@ -137,15 +147,15 @@
     return urllib3.Timeout(total=timeout_ms / MS_PER_S)
 
 
-def _decoded(data: bytes) -> expression.Result[Stored, Unreachable]:
+def _decode_stored(data: bytes) -> expression.Result[Stored, Unreachable]:
     try:
         return expression.Ok(_DECODER.decode(data))
     except msgspec.DecodeError as error:
         return expression.Error(Unreachable(detail=str(error)))
 
 
-def _conflict(data: bytes) -> expression.Result[int, WriteFailure]:
-    match _decoded(data):
+def _parse_conflict(data: bytes) -> expression.Result[int, WriteFailure]:
+    match _decode_stored(data):
         case expression.Result(tag="ok", ok=found):
             if found.version == ABSENT_VERSION:
                 return expression.Error(Conflict(current_value=Absent()))
