--- a/hyssoptack/entry/actioncoordinator.py
+++ b/hyssoptack/entry/actioncoordinator.py
@@ -189,10 +189,10 @@
                 return claim.recorded_outcome(found)
             if found is not None and ask.request_id in found.barred:
                 return _executor_lost_outcome()
-            wanted = claim.released_claim(
+            new_claim = claim.released_claim(
                 found, ask.request_id, digest, "the executor did not answer"
             )
-            await self._claim_store.write(key, wanted, version, ttl_ms)
+            await self._claim_store.write(key, new_claim, version, ttl_ms)
             # The next pass reads the claim back: only a release that is found
             # in the store counts.
         return claim.unknown_outcome("the executor did not answer")
--- a/hyssoptack/entry/actionexecutor.py
+++ b/hyssoptack/entry/actionexecutor.py
@@ -170,27 +170,27 @@
                     attempt.version = held_version
                     attempt.held = found
                     return None
-            wanted = claim.held_claim(
+            new_claim = claim.held_claim(
                 found,
                 attempt.attempt_id,
                 attempt.digest,
                 attempt.upstream.upstream_id,
             )
-            read = await self._write_then_read(attempt, wanted, version)
+            read = await self._write_then_read(attempt, new_claim, version)
             if read is None:
                 break
             found, version = read
         attempt.apply_event("store_unreachable")
         # A write whose answer was lost may have created the claim, but nothing
         # will be sent: release it in the background.
-        self._start(self._record_release(attempt, "the store was lost"))
+        self._start(self._release_claim(attempt, "the store was lost"))
         return claim.not_run_outcome(
             refusal.Reason.STORE_UNAVAILABLE,
             "the claim could not be made; nothing was sent",
         )
 
     async def _write_then_read(
-        self, attempt: _Attempt, wanted: action.Claim, version: int
+        self, attempt: _Attempt, new_claim: action.Claim, version: int
     ) -> tuple[action.Claim | None, int] | None:
         """Writes a claim and returns what the store then holds.
 
@@ -199,11 +199,11 @@
             did not answer or its value can't be decoded.
         """
         written = await self._claim_store.write(
-            attempt.key, wanted, version, attempt.ttl_ms
+            attempt.key, new_claim, version, attempt.ttl_ms
         )
         match written:
             case expression.Result(tag="ok", ok=new_version):
-                return wanted, new_version
+                return new_claim, new_version
             case expression.Result(error=store.Conflict(current_value=found)):
                 return claimstore.parse_claim(found)
             case _:
@@ -219,7 +219,7 @@
         expires_ms = attempt.started_ms + limit_ms
         if now_ms >= expires_ms:
             attempt.apply_event("too_late")
-            self._start(self._record_release(attempt, "claimed too late"))
+            self._start(self._release_claim(attempt, "claimed too late"))
             return claim.not_run_outcome(
                 refusal.Reason.UPSTREAM_UNAVAILABLE, "claimed too late to send"
             )
@@ -231,21 +231,21 @@
             case client.DidRun(receipt=receipt):
                 attempt.apply_event("receipt")
                 done = action.ClaimState.DONE
-                self._start(self._record(attempt, done, receipt, ""))
+                self._start(self._record_outcome(attempt, done, receipt, ""))
                 return action.Outcome(ran=refusal.Ran.YES, receipt=receipt)
             case client.DidNotRun(detail=detail):
                 attempt.apply_event("upstream_did_not_run")
-                self._start(self._record_release(attempt, detail))
+                self._start(self._release_claim(attempt, detail))
                 return claim.not_run_outcome(
                     refusal.Reason.UPSTREAM_UNAVAILABLE, detail
                 )
             case client.MayHaveRun(detail=detail):
                 attempt.apply_event("answer_lost")
                 lost = action.ClaimState.UNKNOWN
-                self._start(self._record(attempt, lost, "", detail))
+                self._start(self._record_outcome(attempt, lost, "", detail))
                 return claim.unknown_outcome(detail)
 
-    async def _record(
+    async def _record_outcome(
         self,
         attempt: _Attempt,
         claim_state: action.ClaimState,
@@ -253,20 +253,20 @@
         note: str,
     ) -> None:
         """Writes the action's outcome into the claim that the attempt holds."""
-        wanted = dataclasses.replace(
+        new_claim = dataclasses.replace(
             attempt.held, state=claim_state, receipt=receipt, note=note
         )
-        await self._write_with_retries(attempt, wanted)
+        await self._write_with_retries(attempt, new_claim)
 
-    async def _record_release(self, attempt: _Attempt, note: str) -> None:
+    async def _release_claim(self, attempt: _Attempt, note: str) -> None:
         """Releases the claim, if it exists, so that the key is usable again."""
-        wanted = claim.released_claim(
+        new_claim = claim.released_claim(
             attempt.held, attempt.request_id, attempt.digest, note
         )
-        await self._write_with_retries(attempt, wanted)
+        await self._write_with_retries(attempt, new_claim)
 
     async def _write_with_retries(
-        self, attempt: _Attempt, wanted: action.Claim
+        self, attempt: _Attempt, new_claim: action.Claim
     ) -> None:
         """Overwrites the attempt's own claim, with retries if the store fails.
 
@@ -277,7 +277,7 @@
             version = attempt.version or await self._read_own_version(attempt)
             if version:
                 written = await self._claim_store.write(
-                    attempt.key, wanted, version, attempt.ttl_ms
+                    attempt.key, new_claim, version, attempt.ttl_ms
                 )
                 match written:
                     case expression.Result(tag="ok"):
@@ -289,7 +289,7 @@
         log.write(
             log.Event.ACTION_UNRECORDED,
             key=attempt.key,
-            state=wanted.state.value,
+            state=new_claim.state.value,
         )
 
     async def _read_own_version(self, attempt: _Attempt) -> int:
--- a/hyssoptack/entry/callerserver.py
+++ b/hyssoptack/entry/callerserver.py
@@ -303,13 +303,13 @@
         return current.profiles[current.services[service_name].profile]
 
     def _effective_deadline_ms(
-        self, service_name: str, wanted_ms: int | None
+        self, service_name: str, requested_ms: int | None
     ) -> int:
         """Returns the effective deadline, after checks of instance and service.
 
         Args:
             service_name: Name of the requested service.
-            wanted_ms: The caller's deadline, at most the profile's; None for
+            requested_ms: The caller's deadline, at most the profile's; None for
                 the profile's.
 
         Raises:
@@ -334,14 +334,14 @@
                 + ", ".join(sorted(current.services)),
             )
         longest_ms = self._profile(service_name).deadline_ms
-        if wanted_ms is None:
+        if requested_ms is None:
             return longest_ms
-        if not DEADLINE_MIN_MS <= wanted_ms <= longest_ms:
+        if not DEADLINE_MIN_MS <= requested_ms <= longest_ms:
             raise _malformed(
                 f"deadline_ms: {DEADLINE_MIN_MS} to {longest_ms}, the "
                 f"deadline of profile {service.profile}"
             )
-        return wanted_ms
+        return requested_ms
 
     def _read(self, environ: Environ) -> bytes:
         limit = self._state.settings.front.body_limit_bytes
@@ -364,9 +364,9 @@
         return raw
 
 
-def _require_method(method: object, wanted: str) -> None:
-    if method != wanted:
-        raise _malformed(f"this path takes {wanted}")
+def _require_method(method: object, expected: str) -> None:
+    if method != expected:
+        raise _malformed(f"this path takes {expected}")
 
 
 def _decode(decoder: msgspec.json.Decoder, raw: bytes):
--- a/hyssoptack/entry/claimstore.py
+++ b/hyssoptack/entry/claimstore.py
@@ -30,13 +30,13 @@
         self.write_count = 0
 
     async def write(
-        self, key: str, wanted: action.Claim, version: int, ttl_ms: int
+        self, key: str, new_claim: action.Claim, version: int, ttl_ms: int
     ) -> expression.Result[int, store.WriteFailure]:
         """Writes a claim if the key is still at the expected version.
 
         Args:
             key: Key of the claim.
-            wanted: Claim to write.
+            new_claim: Claim to write.
             version: Expected version; `store.ABSENT_VERSION` to create.
             ttl_ms: Lifetime of the claim, in milliseconds.
 
@@ -45,7 +45,7 @@
             written.
         """
         self.write_count += 1
-        text = _ENCODER.encode(wanted).decode()
+        text = _ENCODER.encode(new_claim).decode()
         loop = asyncio.get_running_loop()
         return await loop.run_in_executor(
             self._threads, self._store.put, key, text, version, ttl_ms
--- a/hyssoptack/entry/daemon.py
+++ b/hyssoptack/entry/daemon.py
@@ -296,14 +296,14 @@
             case message.ConfigOffer():
                 self._gossip.on_config_offer(body)
 
-    def _reply_sender(self, sub: message.SubQuery) -> relay.OnReplies:
+    def _reply_sender(self, sub_query: message.SubQuery) -> relay.OnReplies:
         def send_replies(replies: tuple[message.UpstreamReply, ...]) -> None:
             answer = message.SubAnswer(
                 origin=self._settings.instance_id,
-                query_id=sub.query_id,
+                query_id=sub_query.query_id,
                 replies=replies,
             )
-            self._send_to(sub.origin, answer)
+            self._send_to(sub_query.origin, answer)
 
         return send_replies
 
--- a/hyssoptack/entry/operatorserver.py
+++ b/hyssoptack/entry/operatorserver.py
@@ -65,7 +65,34 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Status:
-    """Body of `/status`; its fields are the JSON keys."""
+    """Body of `/status`; its fields are the JSON keys.
+
+    Attributes:
+        instance_id: Identifier of the instance.
+        incarnation: Unique identifier of its process.
+        failure_domain: Failure domain of the instance.
+        state: State in the `instance` chart.
+        leaving: Whether the instance has announced that it is leaving.
+        peer_address: Address for messages of peers.
+        operator_address: Address of the operator port.
+        revision: Configuration revision in force; 0 if there is none.
+        change_id: Identifier of the change that made the revision.
+        in_force_ms: Time since the revision came into force, in milliseconds.
+        is_watcher: Whether the instance watches the store for its domain.
+        watch_count: Number of long polls of the store in progress.
+        usable_instances: Identifiers of the instances that may receive work.
+        query_count: Number of queries in flight.
+        action_count: Number of actions in flight.
+        upstream_call_count: Number of search calls to upstreams so far.
+        search_count: Number of queries started so far.
+        claim_write_count: Number of claim writes started so far.
+        peer_traffic: Counters of the links to peers.
+        admission_limits: Limit of queries in flight, by service.
+        extra_call_tokens: Remaining budget of extra calls, by service.
+        upstream_p95_ms: 95th percentile of service times, by service; None if
+            not known.
+        upstreams: State of each known upstream.
+    """
 
     instance_id: str
     incarnation: str
--- a/hyssoptack/entry/querycoordinator.py
+++ b/hyssoptack/entry/querycoordinator.py
@@ -263,7 +263,7 @@
         now_ms: float,
     ) -> None:
         request = running.plan.query
-        sub = message.SubQuery(
+        sub_query = message.SubQuery(
             origin=self._own_id,
             query_id=request.query_id,
             service=request.service,
@@ -275,12 +275,12 @@
         )
         if instance_id == self._own_id:
             self._relay.run_sub_query(
-                sub, self._local_reply_handler(request.query_id)
+                sub_query, self._local_reply_handler(request.query_id)
             )
             return
         self._state.pending_answers.record_request(instance_id, now_ms)
-        if not self._send_to(instance_id, sub):
-            self.on_undelivered(instance_id, sub)
+        if not self._send_to(instance_id, sub_query):
+            self.on_undelivered(instance_id, sub_query)
 
     def _local_reply_handler(self, query_id: str) -> relay.OnReplies:
         """Returns the handler for replies of this instance's own relay.
@@ -355,12 +355,14 @@
             commands.extend(running.plan.on_reply(reply, now_ms))
         self._execute_commands(running, commands, now_ms)
 
-    def on_undelivered(self, instance_id: str, sub: message.SubQuery) -> None:
+    def on_undelivered(
+        self, instance_id: str, sub_query: message.SubQuery
+    ) -> None:
         """Treats the calls of a sub-query that could not be sent as not owned.
 
         Args:
             instance_id: Peer that could not be reached.
-            sub: Sub-query that was not sent.
+            sub_query: Sub-query that was not sent.
         """
         self._state.pending_answers.record_unreachable(instance_id)
         replies = tuple(
@@ -369,10 +371,12 @@
                 upstream_id=ask.upstream_id,
                 status=message.CallStatus.NOT_OWNER,
             )
-            for ask in sub.asks
+            for ask in sub_query.asks
         )
         loop = asyncio.get_running_loop()
-        loop.call_soon(self._on_replies, instance_id, sub.query_id, replies)
+        loop.call_soon(
+            self._on_replies, instance_id, sub_query.query_id, replies
+        )
 
     def _record_completion(
         self,
--- a/hyssoptack/relay/relay.py
+++ b/hyssoptack/relay/relay.py
@@ -137,7 +137,7 @@
             if job.task is not None:
                 job.task.cancel()
             if not job.started:
-                # A coordinator that gets no reply takes the relay for failed.
+                # A coordinator that gets no reply considers the relay failed.
                 job.on_dropped(message.CallStatus.CANCELLED)
 
     def _submit(
--- a/hyssoptack/revisions/change.py
+++ b/hyssoptack/revisions/change.py
@@ -125,7 +125,7 @@
 
 
 def changed(old: dict[str, str], new: dict[str, str]) -> tuple[str, ...]:
-    """Returns the changed_names of the parts whose digests differ."""
+    """Returns the names of the parts whose digests differ."""
     names = sorted(set(old) | set(new))
     return tuple(name for name in names if old.get(name) != new.get(name))
 
--- a/hyssoptack/revisions/configuration.py
+++ b/hyssoptack/revisions/configuration.py
@@ -106,8 +106,8 @@
         """
         if self.manifest is None:
             return {}
-        wanted = set(self.manifest.parts.values()) - set(held_digests)
-        return {digest: self._parts[digest] for digest in wanted}
+        needed = set(self.manifest.parts.values()) - set(held_digests)
+        return {digest: self._parts[digest] for digest in needed}
 
     def merge_offer(self, text: str, parts: dict[str, str]) -> OfferResult:
         """Processes an offered manifest and the parts that came with it.
