--- a/hyssoptack/gateway/querydelegation.py
+++ b/hyssoptack/gateway/querydelegation.py
@@ -1,10 +1,11 @@
-"""Hands queries over to neighbours, and runs those that neighbours hand over.
-
-`policy.delegation` decides; here are the messages. A query that was handed over
-is answered by the neighbour's whole answer. It comes back, to be run here, when
-the neighbour declines, can't be reached, or does not say in time that it has
-begun. One that began may have used up the route's attempts: when it is lost,
-the query fails at once, and its caller may try again with all of them.
+"""Delegates queries to neighbours and accepts queries that they delegate.
+
+`policy.delegation` selects the neighbour; this module exchanges the messages.
+The neighbour's complete answer is the answer to a delegated query. The query is
+taken back and run on this instance if the neighbour declines, is unreachable,
+or does not report in time that it has started. Once started, the query may have
+used all attempts of its route. If it is lost after that, it fails at once, and
+the caller may retry it with all attempts.
 """
 
 import asyncio
@@ -26,29 +27,31 @@
 from hyssoptack.policy import delegation
 
 Send = collections.abc.Callable[[str, gatewaymessage.Message], None]
+"""Sends a message to the instance at an address."""
 
-STALL_CHECK_S = 0.1
-"""How often an instance that runs others' queries looks whether it stood still;
-20 such wakings cost 1 ms of processor."""
+STALL_CHECK_PERIOD_S = 0.1
+"""Interval at which an instance checks whether its event loop has stalled; 20
+checks cost 1 ms of processor time."""
 
 STALL_MS = 300.0
-"""An instance that ran nothing for so long takes no query that may have waited
-as long: its sender has run it by then."""
+"""Stall of the event loop after which an instance declines queries that may
+have waited during the stall. Their senders have run those queries by then."""
 
-WAKE_MS = 100.0
-"""After such a stop, for so long messages may still be those that waited: what
-lies in a link is read within some tens of milliseconds."""
+RESUME_WINDOW_MS = 100.0
+"""Time after a stall during which received messages may date from the stall.
+Messages buffered in a link are read within some tens of milliseconds."""
 
 
 @dataclasses.dataclass(kw_only=True)
 class PeerExchange:
-    """A query that a neighbour handed over, as an exchange to be answered.
+    """The exchange of a query that a neighbour has delegated.
 
     Attributes:
         request: The request as the neighbour's caller sent it.
-        send_reply: Sends the answer back.
-        on_abandoned: Called when the neighbour wants no answer any more.
-        on_commit: Called when the neighbour will not take it back.
+        send_reply: Sends the answer to the neighbour.
+        on_abandoned: Called when the neighbour cancels the query.
+        on_commit: Called when the neighbour confirms that it will not take the
+            query back.
     """
 
     request: message.Request
@@ -57,123 +60,134 @@
     on_commit: collections.abc.Callable[[], None] | None = None
 
     def answer(self, reply: message.Reply) -> None:
-        """Sends the answer to the neighbour."""
+        """Sends the answer to the neighbour and clears the callbacks."""
         self.on_abandoned = self.on_commit = None
         self.send_reply(reply)
 
 
 class _State(enum.Enum):
-    """How far a query that was handed over has come."""
+    """The state of a delegated query, as the neighbour last reported it."""
 
     SENT = "sent"
     BEGUN = "begun"
 
 
 RunLocally = collections.abc.Callable[[inbound.Request, bool], None]
-"""Runs a query here; told whether a neighbour may have run some of it."""
+"""Runs a query on this instance; the flag says whether a neighbour may have run
+part of it."""
 
 
 CanRerunLocally = collections.abc.Callable[[inbound.Request], bool]
+"""Returns whether a query that a neighbour may have started can run here."""
 
 
 class Delegator:
-    """Queries of this instance at neighbours, and of neighbours here."""
+    """Tracks the queries that this instance delegates and accepts."""
 
     def __init__(
         self,
-        known: delegation.DelegateSelector,
+        selector: delegation.DelegateSelector,
         own_address: str,
         send: Send,
-        run_here: RunLocally,
-        can_take_back: CanRerunLocally,
+        run_locally: RunLocally,
+        can_rerun_locally: CanRerunLocally,
     ):
-        """Makes the queries of one instance, of which there are none yet.
+        """Creates a delegator without any queries.
 
         Args:
-            known: Chooses whom queries are handed to.
-            own_address: Where this instance takes messages.
+            selector: Selects the neighbour that a query is delegated to.
+            own_address: Address at which this instance receives messages.
             send: Sends a message to an address.
-            run_here: Runs a query here.
-            can_take_back: Whether one that may have begun could be run here.
+            run_locally: Runs a query on this instance.
+            can_rerun_locally: Returns whether a query that a neighbour may have
+                started can run on this instance.
         """
-        self.can_rerun_locally = can_take_back
-        self.selector = known
+        self.can_rerun_locally = can_rerun_locally
+        self.selector = selector
         self.own_address = own_address
         self.send = send
-        self.run_locally = run_here
+        self.run_locally = run_locally
         self.pending: dict[int, DelegatedQuery] = {}
         self._ask_ids = correlationids.new_sequence()
-        self._taken: dict[tuple[str, int], PeerExchange] = {}
-        self._ticked_ms = clock.now_ms()
-        self._woke_ms = -math.inf
+        self._accepted: dict[tuple[str, int], PeerExchange] = {}
+        self._last_tick_ms = clock.now_ms()
+        self._resumed_ms = -math.inf
 
     def try_delegate(self, query: inbound.Request, version: int) -> bool:
-        """Hands a query over if that is better; tells whether it did."""
+        """Delegates a query if a neighbour is better; returns whether it did.
+
+        Args:
+            query: The query.
+            version: Configuration version under which the query must run.
+        """
         now_ms = clock.now_ms()
         route = query.route_match.route
         if not route.is_rerunnable:
             return False
         match route.target:
             case traffic.AllShards(shards=shards):
-                weighed = delegation.Query(
+                candidate = delegation.Query(
                     route_name=route.name,
                     part_count=len(shards),
                     to_goal_ms=query.goal_at_ms(now_ms) - now_ms,
                 )
-                peer = self.selector.choose(weighed, now_ms)
+                peer = self.selector.choose(candidate, now_ms)
             case _:
                 return False
         if peer is None:
             return False
-        handed = DelegatedQuery(self, query, peer, next(self._ask_ids))
-        handed.start(version)
+        delegated = DelegatedQuery(self, query, peer, next(self._ask_ids))
+        delegated.start(version)
         return True
 
-    # What neighbours hand over.
+    # Queries received from neighbours.
 
     async def watch_stalls(self) -> None:
-        """Notes that this process runs, for as long as it does."""
+        """Records stalls of the event loop until cancelled."""
         while True:
             now_ms = clock.now_ms()
-            if now_ms - self._ticked_ms >= STALL_MS:
-                self._woke_ms = now_ms
-            self._ticked_ms = now_ms
-            await asyncio.sleep(STALL_CHECK_S)
+            if now_ms - self._last_tick_ms >= STALL_MS:
+                self._resumed_ms = now_ms
+            self._last_tick_ms = now_ms
+            await asyncio.sleep(STALL_CHECK_PERIOD_S)
 
     def messages_may_be_stale(self) -> bool:
-        """Whether messages may be old: this process stood still until now.
+        """Returns whether received messages may date from a recent stall.
 
-        After a stop the loop runs this watch before it reads messages.
+        After a stall the event loop runs `watch_stalls` before it reads
+        messages, so its last tick alone does not show the stall.
         """
         now_ms = clock.now_ms()
-        stalled = now_ms - self._ticked_ms >= STALL_MS
-        return stalled or now_ms - self._woke_ms < WAKE_MS
+        stalled = now_ms - self._last_tick_ms >= STALL_MS
+        return stalled or now_ms - self._resumed_ms < RESUME_WINDOW_MS
 
     def accept(
         self, ask: gatewaymessage.DelegationRequest, can_serve: bool
     ) -> PeerExchange | None:
-        """Takes a neighbour's query, or declines it.
+        """Accepts or declines a neighbour's query and reports which to it.
 
         Args:
-            ask: The query.
-            can_serve: Whether this instance can serve it as its sender would.
+            ask: The neighbour's request.
+            can_serve: Whether this instance is ready and has the configuration
+                version of the sender.
 
         Returns:
-            The exchange to be answered; None where there is none to begin.
+            The exchange to answer, or None if no new query is to be started.
         """
         now_ms = clock.now_ms()
         key = ask.sender_address, ask.ask_id
-        running_already = key in self._taken
+        already_running = key in self._accepted
         stale = self.messages_may_be_stale()
-        begun = running_already or (can_serve and not stale and ask.fresh)
-        taken = gatewaymessage.DelegationStatus(
+        begun = already_running or (can_serve and not stale and ask.fresh)
+        status = gatewaymessage.DelegationStatus(
             sender_address=self.own_address, ask_id=ask.ask_id, begun=begun
         )
-        self.send(ask.sender_address, taken)
-        if running_already:
+        self.send(ask.sender_address, status)
+        if already_running:
             if not ask.fresh:
-                # Only a sender that has heard of the beginning asks so.
-                self._granted(key)
+                # A sender sends a request that is not fresh only after it has
+                # received the report that the query has started.
+                self._on_commit(key)
             return None
         request = message.Request(
             method=ask.method,
@@ -199,15 +213,15 @@
         route_name = ask.route_name
         exchange = PeerExchange(
             request=request,
-            send_reply=lambda reply: self._reply(key, route_name, reply),
+            send_reply=lambda reply: self._send_answer(key, route_name, reply),
         )
-        self._taken[key] = exchange
+        self._accepted[key] = exchange
         return exchange
 
-    def _reply(
+    def _send_answer(
         self, key: tuple[str, int], route_name: str, reply: message.Reply
     ) -> None:
-        self._taken.pop(key, None)
+        self._accepted.pop(key, None)
         address, ask_id = key
         answer = gatewaymessage.DelegationAnswer(
             sender_address=self.own_address,
@@ -219,90 +233,90 @@
         )
         self.send(address, answer)
 
-    def _granted(self, key: tuple[str, int]) -> None:
-        exchange = self._taken.get(key)
+    def _on_commit(self, key: tuple[str, int]) -> None:
+        exchange = self._accepted.get(key)
         if exchange is not None and exchange.on_commit is not None:
             exchange.on_commit()
 
-    # What comes back.
+    # Queries delegated to neighbours.
 
-    def on_message(self, each: gatewaymessage.Message) -> None:
-        """Takes a neighbour's word on a query."""
-        match each:
+    def on_message(self, received: gatewaymessage.Message) -> None:
+        """Handles a message about a delegated or accepted query."""
+        match received:
             case gatewaymessage.DelegationStatus(ask_id=ask_id, begun=begun):
-                if (found := self.pending.get(ask_id)) is not None:
-                    found.on_status(begun)
+                if (delegated := self.pending.get(ask_id)) is not None:
+                    delegated.on_status(begun)
             case gatewaymessage.DelegationAnswer(ask_id=ask_id):
-                if (found := self.pending.get(ask_id)) is not None:
-                    found.on_answer(each)
+                if (delegated := self.pending.get(ask_id)) is not None:
+                    delegated.on_answer(received)
                 else:
                     log.write(
                         log.Event.QUERY_ANSWER_UNUSED,
-                        neighbour_address=each.sender_address,
+                        neighbour_address=received.sender_address,
                         ask_id=ask_id,
-                        status=each.status,
+                        status=received.status,
                     )
             case gatewaymessage.DelegationCommit(
                 sender_address=address, ask_id=ask_id
             ):
-                self._granted((address, ask_id))
+                self._on_commit((address, ask_id))
             case gatewaymessage.DelegationCancel(
                 sender_address=address, ask_id=ask_id
             ):
-                exchange = self._taken.pop((address, ask_id), None)
+                exchange = self._accepted.pop((address, ask_id), None)
                 if exchange is not None and exchange.on_abandoned is not None:
                     exchange.on_abandoned()
 
-    def on_undelivered(self, each: gatewaymessage.Message) -> None:
-        """Takes that a message did not reach its neighbour."""
-        match each:
+    def on_undelivered(self, undelivered: gatewaymessage.Message) -> None:
+        """Handles a delegation request that could not be delivered."""
+        match undelivered:
             case gatewaymessage.DelegationRequest(ask_id=ask_id):
-                if (found := self.pending.get(ask_id)) is not None:
-                    found.on_undelivered()
+                if (delegated := self.pending.get(ask_id)) is not None:
+                    delegated.on_undelivered()
 
     def on_link_lost(self, address: str) -> None:
-        """Takes that the connection to a neighbour has ended."""
+        """Handles the loss of the connection to a neighbour."""
         for each in tuple(self.pending.values()):
             if each.address == address:
                 each.on_lost("link_lost")
 
 
 class DelegatedQuery:
-    """One query that a neighbour was asked to run."""
+    """A query of this instance that is delegated to a neighbour."""
 
     def __init__(
         self,
-        owner: Delegator,
+        delegator: Delegator,
         query: inbound.Request,
         peer: member.Peer,
         ask_id: int,
     ):
-        self._owner = owner
+        self._delegator = delegator
         self._query = query
         self._peer = peer
         self._ask_id = ask_id
         self._state = _State.SENT
-        self._hop_ms = owner.selector.hop_delays.estimate_ms
+        self._hop_delay_ms = delegator.selector.hop_delays.estimate_ms
         self._goal_at_ms = query.goal_at_ms(clock.now_ms())
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self, version: int) -> None:
-        """Sends the query to the neighbour."""
-        self._owner.pending[self._ask_id] = self
-        self._owner.selector.begin_delegation(self._peer.address)
-        self._query.exchange.on_abandoned = self._left
-        self._ask(version, fresh=True)
-        self._wait(delegation.ACCEPT_TIMEOUT_MS, self._not_begun)
+        """Sends the query to the neighbour and starts the accept timeout."""
+        self._delegator.pending[self._ask_id] = self
+        self._delegator.selector.begin_delegation(self._peer.address)
+        self._query.exchange.on_abandoned = self._on_caller_left
+        self._send_request(version, fresh=True)
+        self._start_timer(delegation.ACCEPT_TIMEOUT_MS, self._on_accept_timeout)
 
     @property
     def address(self) -> str:
-        """Where the neighbour takes messages."""
+        """Address at which the neighbour receives messages."""
         return self._peer.address
 
-    def _ask(self, version: int, fresh: bool) -> None:
+    def _send_request(self, version: int, fresh: bool) -> None:
         request = self._query.exchange.request
         ask = gatewaymessage.DelegationRequest(
-            sender_address=self._owner.own_address,
+            sender_address=self._delegator.own_address,
             ask_id=self._ask_id,
             version=version,
             route_name=self._query.route_match.route.name,
@@ -311,12 +325,12 @@
             headers=request.headers,
             body=request.body,
             elapsed_ms=clock.now_ms() - request.received_ms,
-            away_ms=self._query.reserved_ms + self._hop_ms,
+            away_ms=self._query.reserved_ms + self._hop_delay_ms,
             fresh=fresh,
         )
-        self._owner.send(self._peer.address, ask)
+        self._delegator.send(self._peer.address, ask)
 
-    def _wait(
+    def _start_timer(
         self, wait_ms: float, function: collections.abc.Callable[[], None]
     ) -> None:
         if self._timer is not None:
@@ -324,10 +338,10 @@
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(wait_ms / message.MS_PER_S, function)
 
-    def _not_begun(self) -> None:
-        """Takes the query back, or waits on where it could not be run here."""
+    def _on_accept_timeout(self) -> None:
+        """Takes the query back, or waits if it can't be rerun here."""
         now_ms = clock.now_ms()
-        if now_ms < self._goal_at_ms and not self._owner.can_rerun_locally(
+        if now_ms < self._goal_at_ms and not self._delegator.can_rerun_locally(
             self._query
         ):
             log.write(
@@ -337,64 +351,77 @@
                 ask_id=self._ask_id,
                 to_goal_ms=round(self._goal_at_ms - now_ms),
             )
-            # Asked again, a neighbour that has run it would run it once more.
-            self._wait(self._goal_at_ms - now_ms, self._not_begun)
+            # The request is not repeated: a neighbour that has already answered
+            # would run the query again.
+            self._start_timer(
+                self._goal_at_ms - now_ms, self._on_accept_timeout
+            )
             return
-        self._say_left()
-        self._back("not_begun", may_have_run=True)
-
-    def _check(self) -> None:
-        """Asks whether the neighbour still runs the query."""
-        self._ask(version=0, fresh=False)
-        self._wait(delegation.ACCEPT_TIMEOUT_MS, lambda: self.on_lost("silent"))
+        self._send_cancel()
+        self._take_back("not_begun", may_have_run=True)
+
+    def _check_liveness(self) -> None:
+        """Checks whether the neighbour still runs the query."""
+        self._send_request(version=0, fresh=False)
+        self._start_timer(
+            delegation.ACCEPT_TIMEOUT_MS, lambda: self.on_lost("silent")
+        )
 
     def on_status(self, begun: bool) -> None:
-        """Takes whether the neighbour runs the query."""
+        """Handles the neighbour's report on whether it runs the query."""
         match self._state, begun:
             case _State.SENT, True:
                 self._state = _State.BEGUN
-                self._say_granted()
+                self._send_commit()
                 request = self._query.exchange.request
                 due_ms = (
                     request.received_ms
                     + self._query.route_match.route.latency_goal_ms
                 )
                 left_ms = max(0.0, due_ms - clock.now_ms())
-                self._wait(left_ms + delegation.ANSWER_SLACK_MS, self._check)
+                self._start_timer(
+                    left_ms + delegation.ANSWER_SLACK_MS, self._check_liveness
+                )
             case _State.SENT, False:
-                self._back("declined", may_have_run=False)
+                self._take_back("declined", may_have_run=False)
             case _State.BEGUN, True:
-                self._wait(delegation.LIVENESS_CHECK_PERIOD_MS, self._check)
+                self._start_timer(
+                    delegation.LIVENESS_CHECK_PERIOD_MS, self._check_liveness
+                )
             case _State.BEGUN, False:
                 self.on_lost("forgotten")
 
     def on_undelivered(self) -> None:
-        """Takes that the last ask did not reach the neighbour."""
+        """Handles a request message that could not be delivered."""
         match self._state:
             case _State.SENT:
-                self._back("unreachable", may_have_run=False)
+                self._take_back("unreachable", may_have_run=False)
             case _:
                 self.on_lost("unreachable")
 
     def on_lost(self, reason: str) -> None:
-        """Takes that the neighbour is gone with the query, or may be."""
+        """Takes back or fails the query, as the neighbour may have lost it."""
         if self._state is _State.SENT:
-            self._back(reason, may_have_run=True)
+            self._take_back(reason, may_have_run=True)
             return
-        self._owner.selector.record_failure(self._peer.address, clock.now_ms())
-        self._say_left()
+        self._delegator.selector.record_failure(
+            self._peer.address, clock.now_ms()
+        )
+        self._send_cancel()
         self._end()
-        self._log_back(reason, may_have_run=True)
+        self._log_taken_back(reason, may_have_run=True)
         status = http.HTTPStatus.BAD_GATEWAY
         self._query.exchange.answer(
             message.problem_reply(status, "neighbour_lost")
         )
 
     def on_answer(self, answer: gatewaymessage.DelegationAnswer) -> None:
-        """Passes the neighbour's answer on."""
-        self._owner.selector.record_answer(self._peer.address)
+        """Sends the neighbour's answer to the caller."""
+        self._delegator.selector.record_answer(self._peer.address)
         route_name = self._query.route_match.route.name
-        self._owner.selector.record_reply_size(route_name, answer.reply_bytes)
+        self._delegator.selector.record_reply_size(
+            route_name, answer.reply_bytes
+        )
         self._end()
         reply = message.Reply(
             status=answer.status, headers=answer.headers, body=answer.body
@@ -402,9 +429,12 @@
         request = self._query.exchange.request
         self._query.exchange.answer(reply)
         if headers.has_missing_parts(reply):
-            # Given at the goal: the rest is what the way back took.
+            # A partial answer is sent at the goal, so any remaining delay is
+            # the time that it took to travel back.
             late_ms = clock.now_ms() - self._goal_at_ms
-            self._owner.selector.hop_delays.record(self._hop_ms + late_ms)
+            self._delegator.selector.hop_delays.record(
+                self._hop_delay_ms + late_ms
+            )
         log.write(
             log.Event.QUERY_HANDED,
             request_id=self._query.request_id,
@@ -413,14 +443,16 @@
             took_ms=round(clock.now_ms() - request.received_ms, 1),
         )
 
-    def _back(self, reason: str, may_have_run: bool) -> None:
-        """Runs the query here, as the neighbour won't."""
-        self._owner.selector.record_failure(self._peer.address, clock.now_ms())
+    def _take_back(self, reason: str, may_have_run: bool) -> None:
+        """Records the neighbour's failure and runs the query here."""
+        self._delegator.selector.record_failure(
+            self._peer.address, clock.now_ms()
+        )
         self._end()
-        self._log_back(reason, may_have_run)
-        self._owner.run_locally(self._query, may_have_run)
+        self._log_taken_back(reason, may_have_run)
+        self._delegator.run_locally(self._query, may_have_run)
 
-    def _log_back(self, reason: str, may_have_run: bool) -> None:
+    def _log_taken_back(self, reason: str, may_have_run: bool) -> None:
         log.write(
             log.Event.QUERY_BACK,
             request_id=self._query.request_id,
@@ -430,24 +462,24 @@
             may_have_run=may_have_run,
         )
 
-    def _left(self) -> None:
-        self._say_left()
+    def _on_caller_left(self) -> None:
+        self._send_cancel()
         self._end()
 
-    def _say_left(self) -> None:
-        left = gatewaymessage.DelegationCancel(
-            sender_address=self._owner.own_address, ask_id=self._ask_id
+    def _send_cancel(self) -> None:
+        cancel = gatewaymessage.DelegationCancel(
+            sender_address=self._delegator.own_address, ask_id=self._ask_id
         )
-        self._owner.send(self._peer.address, left)
+        self._delegator.send(self._peer.address, cancel)
 
-    def _say_granted(self) -> None:
-        granted = gatewaymessage.DelegationCommit(
-            sender_address=self._owner.own_address, ask_id=self._ask_id
+    def _send_commit(self) -> None:
+        commit = gatewaymessage.DelegationCommit(
+            sender_address=self._delegator.own_address, ask_id=self._ask_id
         )
-        self._owner.send(self._peer.address, granted)
+        self._delegator.send(self._peer.address, commit)
 
     def _end(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._owner.pending.pop(self._ask_id, None)
-        self._owner.selector.end_delegation(self._peer.address)
+        self._delegator.pending.pop(self._ask_id, None)
+        self._delegator.selector.end_delegation(self._peer.address)
--- a/hyssoptack/gateway/statuspages.py
+++ b/hyssoptack/gateway/statuspages.py
@@ -1,4 +1,4 @@
-"""What an instance says of itself: whether it is ready, and its metrics."""
+"""The readiness and metrics endpoints of an instance."""
 
 import collections.abc
 
@@ -9,38 +9,38 @@
 from hyssoptack.http1 import message
 from hyssoptack.platform import headers
 
-Facts = collections.abc.Callable[[float], dict[str, float]]
-"""Returns facts of the instance by name, at a time."""
+GaugeSource = collections.abc.Callable[[float], dict[str, float]]
+"""Returns gauge values by name for a time in milliseconds."""
 
 
 class StatusPages:
-    """The pages of one instance."""
+    """Answers readiness checks and metrics requests for one instance."""
 
     def __init__(
         self,
-        counted: metrics.Metrics,
+        collectors: metrics.Metrics,
         is_ready: collections.abc.Callable[[], bool],
-        facts: Facts,
+        read_gauges: GaugeSource,
     ):
-        """Makes the pages.
+        """Creates the endpoints.
 
         Args:
-            counted: The instance's metrics.
-            is_ready: Whether it takes callers.
-            facts: Returns what else the page of metrics shows.
+            collectors: The instance's metrics.
+            is_ready: Returns whether the instance accepts callers.
+            read_gauges: Returns the instance's gauges for the metrics page.
         """
-        self._metrics = counted
+        self._metrics = collectors
         self._is_ready = is_ready
-        self._facts = facts
-        self._said_ready = False
+        self._read_gauges = read_gauges
+        self._last_logged_ready = False
 
     def answer_readiness(self, exchange: httpserver.Exchange) -> None:
-        """Tells the balancer whether to send callers."""
+        """Answers the load balancer's readiness check."""
         if exchange.request.path != headers.READINESS_PATH:
             exchange.answer(message.problem_reply(404, "unknown_path"))
             return
         ready = self._is_ready()
-        self._note_ready(ready)
+        self._log_readiness_change(ready)
         if ready:
             reply = message.Reply(status=200, headers=(), body=b"")
         else:
@@ -48,8 +48,8 @@
         exchange.answer(reply)
 
     def answer_metrics(self, exchange: httpserver.Exchange) -> None:
-        """Shows the metrics, at any path."""
-        for name, value in self._facts(clock.now_ms()).items():
+        """Answers with the metrics page, whatever the path."""
+        for name, value in self._read_gauges(clock.now_ms()).items():
             self._metrics.instance_facts.set({"name": name}, value)
         page = self._metrics.render_text()
         page_headers = ((b"Content-Type", b"text/plain; version=0.0.4"),)
@@ -57,7 +57,7 @@
             message.Reply(status=200, headers=page_headers, body=page)
         )
 
-    def _note_ready(self, ready: bool) -> None:
-        if ready != self._said_ready:
-            self._said_ready = ready
+    def _log_readiness_change(self, ready: bool) -> None:
+        if ready != self._last_logged_ready:
+            self._last_logged_ready = ready
             log.write(log.Event.READY, ready=ready)
