--- a/hyssoptack/policy/admission.py
+++ b/hyssoptack/policy/admission.py
@@ -22,7 +22,7 @@
 SMOOTHING_RATIO = 0.1
 LIMIT_MIN_COUNT = 2.0
 BROWSING_PAUSE_MS = 500.0
-"""Browsing queries are refused for this long after a refused urgent lookup."""
+"""Browsing queries are refused for this long after a refused urgent query."""
 
 RETRY_MIN_MS = 50
 RETRY_MAX_MS = 10_000
@@ -35,12 +35,12 @@
     Attributes:
         limit_count: Number of queries allowed in flight now.
         ceiling_count: Upper bound of the limit.
-        reserve_count: Part of the ceiling reserved for urgent lookups.
+        reserve_count: Part of the ceiling reserved for urgent queries.
         urgent_count: Number of urgent queries in flight.
         browsing_count: Number of browsing queries in flight.
         duration_ms: Smoothed duration of a query, in milliseconds.
         shrunk_at_ms: Time at which the limit last shrank.
-        urgent_refused_ms: Time at which an urgent lookup was last refused.
+        urgent_refused_at_ms: Time at which an urgent query was last refused.
     """
 
     limit_count: float
@@ -50,7 +50,7 @@
     browsing_count: int = 0
     duration_ms: float = 0.0
     shrunk_at_ms: float = 0.0
-    urgent_refused_ms: float = -math.inf
+    urgent_refused_at_ms: float = -math.inf
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -103,7 +103,7 @@
         case query.Urgency.URGENT:
             return limiter.limit_count - total
         case query.Urgency.BROWSING:
-            if now_ms - limiter.urgent_refused_ms < BROWSING_PAUSE_MS:
+            if now_ms - limiter.urgent_refused_at_ms < BROWSING_PAUSE_MS:
                 return 0.0
             reserve = (
                 limiter.reserve_count
@@ -151,7 +151,7 @@
     """Returns the limiter after a refusal."""
     match urgency:
         case query.Urgency.URGENT:
-            return dataclasses.replace(limiter, urgent_refused_ms=now_ms)
+            return dataclasses.replace(limiter, urgent_refused_at_ms=now_ms)
         case query.Urgency.BROWSING:
             return limiter
 
@@ -179,7 +179,7 @@
     limiter: Limiter,
     urgency: query.Urgency,
     elapsed_ms: float,
-    good: bool,
+    timely: bool,
     deadline_ms: float,
     now_ms: float,
 ) -> Limiter:
@@ -189,7 +189,7 @@
         limiter: The limiter before.
         urgency: Class of the query.
         elapsed_ms: Duration of the query in milliseconds.
-        good: Whether the query was answered in time and no upstream shed a
+        timely: Whether the query was answered in time and no upstream shed a
             call.
         deadline_ms: Deadline of the query in milliseconds; the limit shrinks at
             most once in this time.
@@ -204,7 +204,7 @@
     )
     limit = limiter.limit_count
     shrunk_at_ms = limiter.shrunk_at_ms
-    if good and elapsed_ms <= TIMELY_RATIO * deadline_ms:
+    if timely and elapsed_ms <= TIMELY_RATIO * deadline_ms:
         limit = min(float(limiter.ceiling_count), limit + 1.0 / limit)
     elif now_ms - shrunk_at_ms >= deadline_ms:
         limit = max(LIMIT_MIN_COUNT, limit * SHRINK_RATIO)
--- a/hyssoptack/policy/callerlatency.py
+++ b/hyssoptack/policy/callerlatency.py
@@ -47,8 +47,8 @@
 
     Attributes:
         round_trip_ms: Median of the recent round trips to callers.
-        answer_delay: Estimate of how late answers leave that are due at the
-            latency goal.
+        answer_delay: Estimate of the delay with which answers that are due at
+            the latency goal are sent.
     """
 
     def __init__(self) -> None:
@@ -103,5 +103,8 @@
 
     @property
     def margin_ms(self) -> float:
-        """Time to reserve before a goal counted from sending the request."""
+        """Time to subtract from a goal that counts from the caller's sending.
+
+        This is the round trip plus the usual delay of sending an answer.
+        """
         return self.round_trip_ms + self.answer_delay.estimate_ms
--- a/hyssoptack/policy/callfeedback.py
+++ b/hyssoptack/policy/callfeedback.py
@@ -16,7 +16,7 @@
     load_balancer: loadbalancer.LoadBalancer,
     route_name: str,
     upstream_id: str,
-    sent_ms: float,
+    created_ms: float,
     outcome: callcommand.Outcome,
     now_ms: float,
 ) -> None:
@@ -26,7 +26,7 @@
         load_balancer: The load balancer, which keeps the upstreams' state.
         route_name: Name of the request's route.
         upstream_id: The upstream that was called.
-        sent_ms: The time at which the call was created.
+        created_ms: The time at which the call was created.
         outcome: The outcome of the call.
         now_ms: The current time.
     """
@@ -34,7 +34,7 @@
         return
     match outcome.kind:
         case callcommand.OutcomeKind.ANSWERED:
-            elapsed_ms = now_ms - sent_ms
+            elapsed_ms = now_ms - created_ms
             load_balancer.record_answer(
                 route_name, upstream_id, elapsed_ms, now_ms
             )
--- a/hyssoptack/policy/callplan.py
+++ b/hyssoptack/policy/callplan.py
@@ -44,7 +44,8 @@
         request: The request.
         calls: The open calls.
         finished: Whether the request has ended.
-        caution: Guard against requests that crash upstreams.
+        caution: Queues calls while the request is sent as a probe, and rejects
+            requests that crash upstreams.
         attempts: The attempts that the request may make from this instance.
     """
 
@@ -267,7 +268,7 @@
     def on_caller_left(self, now_ms: float) -> list[callcommand.Command]:
         """Cancels all calls because the caller has disconnected."""
         self.finished = True
-        self.caution.record_failure()
+        self.caution.record_end()
         return self._cancel_all(now_ms)
 
     # Call outcomes.
@@ -334,24 +335,24 @@
     # Calls.
 
     def _send(
-        self, part: callpart.Part, now_ms: float, extra: str = ""
+        self, part: callpart.Part, now_ms: float, extra_reason: str = ""
     ) -> list[callcommand.Command]:
         upstream = self._upstream_choice.untried_upstream(part, now_ms)
         if upstream is None:
             if not part.calls:
                 self._parts.abandon(part)
             return []
-        return self._send_to(part, upstream, now_ms, extra)
+        return self._send_to(part, upstream, now_ms, extra_reason)
 
     def _send_to(
         self,
         part: callpart.Part,
         upstream: traffic.Upstream,
         now_ms: float,
-        extra: str,
+        extra_reason: str,
     ) -> list[callcommand.Command]:
         queued = probeguard.QueuedCall(
-            part=part, upstream=upstream, extra=extra
+            part=part, upstream=upstream, extra_reason=extra_reason
         )
         if self.caution.queue_if_probing(queued, self.calls.all()):
             return []
@@ -368,7 +369,7 @@
             callcommand.Send(
                 call_id=call.call_id,
                 upstream=upstream,
-                extra_reason=extra,
+                extra_reason=extra_reason,
                 is_probe=call.is_probe,
                 cross_domain_only=self._upstream_choice.is_cross_domain_only(
                     part
@@ -383,13 +384,15 @@
             queued = self.caution.next_queued(self.calls, now_ms)
             if queued is None:
                 break
-            part, extra = queued.part, queued.extra
+            part, extra_reason = queued.part, queued.extra_reason
             if len(part.reached_upstream_ids) < self.attempts.limit_count:
-                sends = self._send(part, now_ms, extra)
+                sends = self._send(part, now_ms, extra_reason)
             else:
                 # The route allows no further upstream, so the call goes to
                 # one that shed the request before.
-                sends = self._send_to(part, queued.upstream, now_ms, extra)
+                sends = self._send_to(
+                    part, queued.upstream, now_ms, extra_reason
+                )
             commands += sends + self._finish_if_due(now_ms)
         return commands
 
@@ -489,5 +492,5 @@
         self._context.partition_detector.record_wait(
             self._remote_tally, now_ms - self._started_ms
         )
-        self.caution.record_failure()
+        self.caution.record_end()
         return [*self._cancel_all(now_ms), callcommand.Finish(result=result)]
--- a/hyssoptack/policy/callplan_partition_test.py
+++ b/hyssoptack/policy/callplan_partition_test.py
@@ -121,7 +121,7 @@
 def test_marking_a_call_that_was_already_cancelled_is_ignored():
     # A partition moves one part to the local domain and then ends the query.
     # The runner still reports the new call, now cancelled, as waiting for a
-    # connection. This ended the process.
+    # connection. Ignoring it avoids an exception that ends the process.
     context = callplan_test.plan_context(
         callplan_test.upstream("f0", zone="south"),
         callplan_test.upstream("n0"),
--- a/hyssoptack/policy/callplan_test.py
+++ b/hyssoptack/policy/callplan_test.py
@@ -114,7 +114,7 @@
     assert not first.extra_reason
 
 
-def test_a_slow_call_is_hedged_elsewhere_and_the_loser_cancelled():
+def test_a_slow_call_is_hedged_elsewhere_and_cancelled_after_the_answer():
     context = plan_context(upstream("a"), upstream("b"))
     running = plan(context)
     (first,) = sends(running.start(0.0))
--- a/hyssoptack/policy/claim.py
+++ b/hyssoptack/policy/claim.py
@@ -4,10 +4,12 @@
 compare-and-swap. Only the attempt that created it may send, only once, and only
 until the claim reaches its maximum age.
 
-A front whose executor does not answer writes the claim itself, released and
-with its own request barred. If that write succeeds, the executor will find its
-request barred and never send, so the outcome "not run" is final. An attempt of
-a request that is not barred may take over a released claim.
+The instance that accepted the request (the front) asks another one (the
+executor) to send it. If the executor does not answer, the front writes the
+claim itself, released and with its own request barred. If that write succeeds,
+the executor will find its request barred and never send, so the outcome "not
+run" is final. An attempt of a request that is not barred may take over a
+released claim.
 """
 
 import dataclasses
@@ -20,7 +22,8 @@
 RETRY_AFTER_STORE_MS = 1_000
 RETRY_AFTER_PENDING_MS = 500
 BARRED_LIMIT_COUNT = 32
-"""Most requests that a claim can bar; beyond that its key is refused."""
+"""Largest number of requests that a claim can bar; beyond it the claim's key is
+refused."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -94,7 +97,7 @@
     match found.state:
         case action.ClaimState.RELEASED:
             if len(found.barred) >= BARRED_LIMIT_COUNT:
-                return Settled(outcome=_too_many_bars_outcome())
+                return Settled(outcome=_too_many_barred_outcome())
             return TakeOver(version=version)
         case _:
             return Settled(outcome=recorded_outcome(found))
@@ -159,7 +162,7 @@
                 ran=refusal.Ran.YES, receipt=found.receipt, replayed=True
             )
         case action.ClaimState.RELEASED:
-            note = found.note or "the action was abandoned before it was sent"
+            note = found.note or "the action was given up before it was sent"
             return not_run_outcome(
                 refusal.Reason.UPSTREAM_UNAVAILABLE,
                 note,
@@ -212,14 +215,13 @@
 
 def _barred_outcome() -> action.Outcome:
     return not_run_outcome(
-        refusal.Reason.UPSTREAM_UNAVAILABLE,
-        "the request was abandoned before it was sent",
+        refusal.Reason.UPSTREAM_UNAVAILABLE, "the request was given up before"
     )
 
 
-def _too_many_bars_outcome() -> action.Outcome:
+def _too_many_barred_outcome() -> action.Outcome:
     return not_run_outcome(
         refusal.Reason.KEY_REUSED,
-        "requests with this key were abandoned too often; use a new key",
+        "this key was given up too many times; use a new key",
         None,
     )
--- a/hyssoptack/policy/connections_test.py
+++ b/hyssoptack/policy/connections_test.py
@@ -23,7 +23,7 @@
     assert total <= most
 
 
-def test_every_instance_has_the_least_limit_among_very_many_instances():
+def test_the_limit_is_never_below_the_minimum():
     counts = connections.InstanceCounts(
         same_domain_count=600, other_domain_count=2_600
     )
--- a/hyssoptack/policy/delegation.py
+++ b/hyssoptack/policy/delegation.py
@@ -1,13 +1,13 @@
-"""Delegates queries to neighbours with a wider link.
+"""Delegates queries to neighbours with more link bandwidth.
 
 All parts of a query arrive over the link of the instance that gathers them: 36
 parts of 1,250 bytes occupy a link of 7.7 Mbit/s for 47 ms, a third of the time
 in which the answer is of use, while the answer to the caller is a fiftieth of
-that. If a neighbour in the failure domain has a far wider link, it gathers the
-parts and returns the merged answer.
+that. If a neighbour in the failure domain has far more link bandwidth, it
+gathers the parts and returns the merged answer.
 
-A neighbour confirms at once that it has begun. One that stays silent or
-declines is excluded for a while, longer each time, and the query is run
+A neighbour confirms at once that it has begun. One that does not confirm, or
+declines, is ejected for a while, longer each time, and the query is run
 locally. Nothing is tuned to a site: instances announce their own link
 bandwidths, and reply sizes come from the replies seen.
 """
@@ -19,23 +19,25 @@
 from hyssoptack.policy import delayestimate
 from hyssoptack.policy import ejectionstate
 
-WIDER_RATIO = 2.0
-"""Least ratio of a neighbour's link bandwidth to this instance's. Below it both
-links are of one kind, and the neighbour's own queries fill its link as well."""
+MIN_BANDWIDTH_RATIO = 2.0
+"""Smallest ratio of a neighbour's link bandwidth to this instance's at which
+queries are delegated. Below it both links are similar, and the neighbour's own
+queries fill its link as well."""
 
 GAIN_RATIO = 0.05
 """Part of the time to the latency goal that delegation must save: the extra hop
 costs 1 to 3 ms, of goals of 73 to 151 ms."""
 
 IN_FLIGHT_LIMIT_COUNT = 32
-"""Most queries in flight from one instance to one neighbour. Each takes 0.15 s
-at most, so the limit is far above the load of one instance; it bounds how many
-queries the loss of a neighbour affects."""
+"""Largest number of queries in flight from one instance to one neighbour. Each
+takes 0.15 s at most, so the limit is far above the load of one instance; it
+bounds how many queries the loss of a neighbour affects."""
 
 ACCEPT_TIMEOUT_MS = 30.0
-"""Timeout of a neighbour's confirmation that it has begun. It comes within 2
-ms, or some 20 while one of the links is busy. Silence for longer means a
-stopped process or a broken link, and leaves time to run the query locally."""
+"""Timeout of a neighbour's confirmation that it has begun. The confirmation
+takes up to 2 ms, or about 20 ms while one of the links is busy. No confirmation
+within the timeout means a stopped process or a broken link. The timeout is
+short enough to run the query locally afterwards."""
 
 ANSWER_SLACK_MS = 25.0
 """Time after the latency goal at which a neighbour that has not answered is
@@ -43,8 +45,8 @@
 met."""
 
 HOP_MS = 2.0
-"""Least cost of delegating and returning the answer, subtracted from the time
-to the goal."""
+"""Smallest cost of delegating and returning the answer, subtracted from the
+time to the goal."""
 
 LIVENESS_CHECK_PERIOD_MS = 250.0
 """Interval of further liveness checks, while the caller waits."""
@@ -66,12 +68,12 @@
     """State of delegation to one neighbour.
 
     Attributes:
-        in_flight_count: Queries in flight there.
-        exclusion: Its exclusion after failures.
+        in_flight_count: Number of delegated queries in flight at the neighbour.
+        ejection: Its ejection after failures.
     """
 
     in_flight_count: int = 0
-    exclusion: ejectionstate.EjectionState = dataclasses.field(
+    ejection: ejectionstate.EjectionState = dataclasses.field(
         default_factory=ejectionstate.EjectionState
     )
 
@@ -137,7 +139,7 @@
         candidates = [
             each
             for each in self._peers
-            if each.link_mbps >= WIDER_RATIO * self.link_mbps
+            if each.link_mbps >= MIN_BANDWIDTH_RATIO * self.link_mbps
             and self._is_available(each.address, now_ms)
             and own_ms - bits / (each.link_mbps * BITS_PER_MBIT_MS)
             >= GAIN_RATIO * query.to_goal_ms
@@ -150,7 +152,7 @@
     def _is_available(self, address: str, now_ms: float) -> bool:
         state = self._states.get(address, _NeighbourState())
         is_full = state.in_flight_count >= IN_FLIGHT_LIMIT_COUNT
-        return not is_full and not state.exclusion.is_ejected(now_ms)
+        return not is_full and not state.ejection.is_ejected(now_ms)
 
     def _load(self, peer: member.Peer) -> float:
         state = self._states.get(peer.address, _NeighbourState())
@@ -170,9 +172,9 @@
     def record_answer(self, address: str) -> None:
         """Records that a neighbour answered."""
         state = self._states.setdefault(address, _NeighbourState())
-        state.exclusion.record_answer()
+        state.ejection.record_answer()
 
     def record_failure(self, address: str, now_ms: float) -> None:
         """Records that a neighbour did not begin or answer a query."""
         state = self._states.setdefault(address, _NeighbourState())
-        state.exclusion.record_failure(now_ms)
+        state.ejection.record_failure(now_ms)
--- a/hyssoptack/policy/domaincover.py
+++ b/hyssoptack/policy/domaincover.py
@@ -14,20 +14,20 @@
 
 
 def preferred_domains(
-    own_domain: str, domains: collections.abc.Mapping[str, set[str]]
+    local_domain: str, domains: collections.abc.Mapping[str, set[str]]
 ) -> dict[str, str]:
     """Returns the preferred domain of each shard that the local domain lacks.
 
     Args:
-        own_domain: The local failure domain.
+        local_domain: The local failure domain.
         domains: For each shard, the failure domains of its upstreams.
     """
     remote = {
         shard: found
         for shard, found in domains.items()
-        if found and own_domain not in found
+        if found and local_domain not in found
     }
-    cover = _cover(own_domain, list(remote.values()))
+    cover = _cover(local_domain, list(remote.values()))
     counts = dict.fromkeys(cover, 0)
     found: dict[str, str] = {}
     # Shards with the fewest candidate domains are assigned first.
@@ -42,12 +42,12 @@
     return found
 
 
-def _cover(own_domain: str, shard_domains: list[set[str]]) -> list[str]:
+def _cover(local_domain: str, shard_domains: list[set[str]]) -> list[str]:
     """Returns a small set of domains that covers all shards, found greedily."""
     total_counts = collections.Counter(
         each for at in shard_domains for each in at
     )
-    name = f"cover/{own_domain}"
+    name = f"cover/{local_domain}"
     uncovered = shard_domains
     cover: list[str] = []
     while uncovered:
--- a/hyssoptack/policy/ejectionstate.py
+++ b/hyssoptack/policy/ejectionstate.py
@@ -16,11 +16,11 @@
     """The ejection of one instance or of a whole failure domain.
 
     Attributes:
-        failure_count: Number of ejections since the last answer.
+        ejection_count: Number of ejections since the last answer.
         ejected_until_ms: When the ejection ends.
     """
 
-    failure_count: int = 0
+    ejection_count: int = 0
     ejected_until_ms: float = float("-inf")
 
     def is_ejected(self, now_ms: float) -> bool:
@@ -35,15 +35,15 @@
         """
         if self.is_ejected(now_ms):
             return
-        wait_ms = BASE_EJECTION_MS * 2**self.failure_count
-        self.failure_count += 1
+        wait_ms = BASE_EJECTION_MS * 2**self.ejection_count
+        self.ejection_count += 1
         self.ejected_until_ms = now_ms + min(MAX_EJECTION_MS, wait_ms)
 
     def record_answer(self) -> None:
         """Records an answer, so that the next failure counts as the first."""
-        self.failure_count = 0
+        self.ejection_count = 0
 
     def end_ejection(self) -> None:
-        """Ends the ejection early, after a sign of life."""
+        """Ends the ejection early, after proof that the target is alive."""
         self.record_answer()
         self.ejected_until_ms = float("-inf")
--- a/hyssoptack/policy/evacuation.py
+++ b/hyssoptack/policy/evacuation.py
@@ -12,7 +12,8 @@
 from hyssoptack.core import position
 
 REWRITE_GRACE_MS = 2_000.0
-"""Time for operators to write an evacuation again after such a restore."""
+"""How long an evacuation stays in force after a restore of the store that lost
+it, so that operators can write it again."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/hyssoptack/policy/example.py
+++ b/hyssoptack/policy/example.py
@@ -85,7 +85,7 @@
     current: catalog.Service,
     hedges: hedging.HedgePolicy | None = None,
 ) -> queryplan.QueryPlanContext:
-    """Returns the planning context of a fresh instance for a service.
+    """Returns the context of query plans on an instance that made no calls.
 
     Args:
         current: The service.
--- a/hyssoptack/policy/gatherers.py
+++ b/hyssoptack/policy/gatherers.py
@@ -30,9 +30,10 @@
 """Instances of the using domain for each additional gatherer: a gatherer then
 makes about as many calls for others as it would make for itself."""
 
-ALIKE_RATIO = 0.5
-"""Links of at least this part of the widest one count as equally wide. Where
-some links are narrower, only instances with wide ones gather."""
+SIMILAR_BANDWIDTH_RATIO = 0.5
+"""Links with at least this part of the highest bandwidth count as equally fast.
+Where some links are slower, only instances with fast ones make calls for
+others."""
 
 REPORT_RATIO = 0.4
 """Part of the time to the latency goal at which a gatherer reports what it has,
@@ -52,25 +53,25 @@
 
 
 def select_gatherers(
-    peers: collections.abc.Iterable[member.Peer], own_domain: str
+    peers: collections.abc.Iterable[member.Peer], local_domain: str
 ) -> tuple[member.Peer, ...]:
     """Returns the gatherers in each other domain for a failure domain.
 
-    Instances with the widest links are preferred; among equals, each domain
-    prefers different ones.
+    Instances with the highest link bandwidth are preferred; among equals, each
+    domain prefers different ones.
 
     Args:
         peers: All live instances.
-        own_domain: The domain whose queries are gathered.
+        local_domain: The domain whose queries are gathered.
     """
     domains: dict[str, list[member.Peer]] = {}
     for each in peers:
         domains.setdefault(each.failure_domain, []).append(each)
-    user_count = len(domains.pop(own_domain, ()))
+    user_count = len(domains.pop(local_domain, ()))
     most_count = (
         GATHERERS_PER_DOMAIN_COUNT + user_count // INSTANCES_PER_GATHERER_COUNT
     )
-    name = f"gatherer/{own_domain}"
+    name = f"gatherer/{local_domain}"
 
     def order(peer: member.Peer) -> tuple[float, int]:
         return -peer.link_mbps, rendezvous.rank(name, peer.instance_id)
@@ -78,18 +79,20 @@
     selected: list[member.Peer] = []
     for members in domains.values():
         selected.extend(
-            sorted(widest_link_peers(members), key=order)[:most_count]
+            sorted(highest_bandwidth_peers(members), key=order)[:most_count]
         )
     return tuple(selected)
 
 
-def widest_link_peers(
+def highest_bandwidth_peers(
     peers: collections.abc.Sequence[member.Peer],
 ) -> list[member.Peer]:
-    """Returns the instances whose links are about as wide as the widest."""
-    widest_mbps = max(each.link_mbps for each in peers)
+    """Returns the instances whose bandwidth is about equal to the highest."""
+    highest_mbps = max(each.link_mbps for each in peers)
     return [
-        each for each in peers if each.link_mbps >= ALIKE_RATIO * widest_mbps
+        each
+        for each in peers
+        if each.link_mbps >= SIMILAR_BANDWIDTH_RATIO * highest_mbps
     ]
 
 
@@ -98,12 +101,12 @@
     """State of calls through one gatherer.
 
     Attributes:
-        open_count: Queries in flight there.
-        exclusion: Its exclusion after failures.
+        in_flight_count: Number of queries with calls in flight at the gatherer.
+        ejection: Its ejection after failures.
     """
 
-    open_count: int = 0
-    exclusion: ejectionstate.EjectionState = dataclasses.field(
+    in_flight_count: int = 0
+    ejection: ejectionstate.EjectionState = dataclasses.field(
         default_factory=ejectionstate.EjectionState
     )
 
@@ -115,7 +118,7 @@
         self._random = source
         self._by_domain: dict[str, list[member.Peer]] = {}
         self._states: dict[str, _GathererState] = {}
-        self._domain_exclusions: dict[str, ejectionstate.EjectionState] = {}
+        self._domain_ejections: dict[str, ejectionstate.EjectionState] = {}
         self._first_report_times = latencyestimate.LatencyEstimate()
 
     def install(self, peers: tuple[member.Peer, ...]) -> None:
@@ -127,7 +130,7 @@
         self._states = {
             address: each
             for address, each in self._states.items()
-            if address in addresses or each.open_count
+            if address in addresses or each.in_flight_count
         }
 
     def peers(self) -> list[member.Peer]:
@@ -136,19 +139,20 @@
 
     def choose(self, failure_domain: str, now_ms: float) -> member.Peer | None:
         """Returns the gatherer for calls in a domain; None to call directly."""
-        domain = self._domain_exclusions.get(failure_domain)
+        domain = self._domain_ejections.get(failure_domain)
         if domain is not None and domain.is_ejected(now_ms):
             return None
         available = [
             each
             for each in self._by_domain.get(failure_domain, ())
-            if not self._state(each.address).exclusion.is_ejected(now_ms)
+            if not self._state(each.address).ejection.is_ejected(now_ms)
         ]
         if not available:
             return None
         self._random.shuffle(available)
         return min(
-            available, key=lambda each: self._state(each.address).open_count
+            available,
+            key=lambda each: self._state(each.address).in_flight_count,
         )
 
     def _state(self, address: str) -> _GathererState:
@@ -156,11 +160,11 @@
 
     def begin_query(self, peer: member.Peer) -> None:
         """Records that calls of a query are sent to a gatherer."""
-        self._state(peer.address).open_count += 1
+        self._state(peer.address).in_flight_count += 1
 
     def end_query(self, peer: member.Peer) -> None:
         """Records that a gatherer has no more calls of a query."""
-        self._state(peer.address).open_count -= 1
+        self._state(peer.address).in_flight_count -= 1
 
     def first_report_timeout_ms(self, to_goal_ms: float) -> float:
         """Returns the timeout of a gatherer's first report."""
@@ -172,31 +176,31 @@
         self._first_report_times.record(took_ms)
 
     def record_report(self, peer: member.Peer) -> None:
-        """Records a report, which ends the exclusion of gatherer and domain."""
-        self._state(peer.address).exclusion.end_ejection()
-        domain = self._domain_exclusions.get(peer.failure_domain)
+        """Records a report, which ends the ejection of gatherer and domain."""
+        self._state(peer.address).ejection.end_ejection()
+        domain = self._domain_ejections.get(peer.failure_domain)
         if domain is not None:
             domain.end_ejection()
 
     def record_decline(self, peer: member.Peer, now_ms: float) -> None:
         """Records that a gatherer declined to make calls."""
-        self._state(peer.address).exclusion.record_failure(now_ms)
+        self._state(peer.address).ejection.record_failure(now_ms)
 
     def record_loss(self, peer: member.Peer, now_ms: float) -> None:
-        """Records that a gatherer is gone or silent.
+        """Records that a gatherer is gone or does not report.
 
-        If a second gatherer of a domain is lost while the first is excluded,
-        the whole domain is excluded: a partition affects all of it.
+        If a second gatherer of a domain is lost while the first is ejected,
+        the whole domain is ejected: a partition affects all of it.
         """
         domain = self._by_domain.get(peer.failure_domain, ())
         others_lost = any(
-            self._state(each.address).exclusion.is_ejected(now_ms)
+            self._state(each.address).ejection.is_ejected(now_ms)
             for each in domain
             if each.address != peer.address
         )
-        self._state(peer.address).exclusion.record_failure(now_ms)
+        self._state(peer.address).ejection.record_failure(now_ms)
         if others_lost:
-            domain_exclusion = self._domain_exclusions.setdefault(
+            domain_ejection = self._domain_ejections.setdefault(
                 peer.failure_domain, ejectionstate.EjectionState()
             )
-            domain_exclusion.record_failure(now_ms)
+            domain_ejection.record_failure(now_ms)
--- a/hyssoptack/policy/health.py
+++ b/hyssoptack/policy/health.py
@@ -1,9 +1,9 @@
 """Tracks health and latency of upstreams from the results of calls.
 
 Latency estimates decay towards the service's typical latency, so that an
-upstream that was slow is tried again without a probe. `policy.routing` uses
-avoided upstreams all the same when all candidates are avoided: the fault may
-then lie in this instance.
+upstream that was slow is tried again without a probe. If all candidates are
+ejected or draining, `policy.routing` still uses the ejected ones, because the
+fault may lie in this instance.
 """
 
 import collections
--- a/hyssoptack/policy/hedgequeue.py
+++ b/hyssoptack/policy/hedgequeue.py
@@ -24,19 +24,19 @@
         self,
         timing: hedgetiming.HedgeTiming,
         may_hedge: MayHedge,
-        stall_hedges: bool,
+        hedge_on_stall: bool,
     ):
         """Creates an empty queue.
 
         Args:
             timing: Hedge times of the calls that this instance makes.
             may_hedge: Function that returns whether a part may be hedged.
-            stall_hedges: Whether all missing calls are hedged once no more
+            hedge_on_stall: Whether all missing calls are hedged once no more
                 answers arrive.
         """
         self._timing = timing
         self._may_hedge = may_hedge
-        self._stall_hedges = stall_hedges
+        self._stall_hedge_pending = hedge_on_stall
         self._own: collections.deque[callpart.Call] = collections.deque()
         self._relayed: collections.deque[callpart.Call] = collections.deque()
 
@@ -78,7 +78,7 @@
         """Removes and returns the calls that are due."""
         due: list[callpart.Call] = []
         if now_ms >= self._stall_hedge_at_ms():
-            self._stall_hedges = False
+            self._stall_hedge_pending = False
             due.extend(each for each in self._own if self._is_hedgeable(each))
             self._own.clear()
         while call := self._oldest_hedgeable(self._own):
@@ -93,7 +93,7 @@
 
     def _stall_hedge_at_ms(self) -> float:
         """Returns when all missing calls are hedged; infinity for never."""
-        if not self._stall_hedges:
+        if not self._stall_hedge_pending:
             return math.inf
         at_ms = self._timing.stall_at_ms()
         return math.inf if at_ms is None else at_ms
--- a/hyssoptack/policy/hedgetiming.py
+++ b/hyssoptack/policy/hedgetiming.py
@@ -56,10 +56,11 @@
 is longer, so the end of a stream is detected at most two or three intervals (1
 to 9 ms) late."""
 
-ALL_SILENT_RATIO = 2.0
-"""Factor on the delay before a hedge while no shard has answered. All upstreams
-being paused or slow at once is rarer than a stop or a queue of this process.
-Only a network partition looks the same, and a hedge does not help there."""
+NO_ANSWER_RATIO = 2.0
+"""Factor on the delay before a hedge while no shard has answered. That this
+instance is paused or has a backlog is more likely than that all upstreams are
+paused or slow at once. Only a network partition looks the same, and a hedge
+does not help there."""
 
 
 class HedgeTiming:
@@ -109,7 +110,7 @@
         if self._part_count < 2:
             return due_ms
         if self._first_answer_at_ms is None:
-            return created_ms + ALL_SILENT_RATIO * self._single_delay_ms
+            return created_ms + NO_ANSWER_RATIO * self._single_delay_ms
         return max(due_ms, self._last_answer_at_ms + self._stream_gap_ms())
 
     def stall_at_ms(self) -> float | None:
@@ -128,7 +129,7 @@
         return self._last_answer_at_ms + gap_ms
 
     def _stream_gap_ms(self) -> float:
-        """Returns the age of the last answer at which the stream has paused."""
+        """Returns how long after the last answer the stream counts as ended."""
         gaps_count = max(1, self._answered_count - 1)
         mean_gap_ms = (
             self._last_answer_at_ms - self._first_answer_at_ms
--- a/hyssoptack/policy/loadbalancer.py
+++ b/hyssoptack/policy/loadbalancer.py
@@ -38,9 +38,9 @@
 COLD_RATIO = 1.6
 """How many times slower an upstream is while it warms up after a start."""
 
-SHED_QUIET_MS = 150.0
-"""How long other upstreams are preferred after an upstream shed a call: about
-the time that its queue takes to clear."""
+SHED_PENALTY_MS = 150.0
+"""Time added to the score of an upstream that shed a call, and how long it is
+added: about the time that the upstream's queue takes to clear."""
 
 SHED_SLOWNESS_RATIO = 6.0
 """A shed call counts as one that took this many times the typical time, at this
@@ -176,7 +176,7 @@
         service: str,
         excluded_ids: frozenset[str],
         now_ms: float,
-        own_domain_only: bool = False,
+        local_domain_only: bool = False,
         preferred_domain: str = "",
         prefer_idle: bool = False,
         priority: int = 0,
@@ -189,7 +189,7 @@
             excluded_ids: Ids of upstreams that must not be chosen, such as
                 those that this request was already sent to.
             now_ms: The time now.
-            own_domain_only: Whether only upstreams in the failure domain of
+            local_domain_only: Whether only upstreams in the failure domain of
                 this instance may be chosen.
             preferred_domain: The failure domain to prefer among upstreams with
                 similar scores; empty for none.
@@ -205,7 +205,7 @@
             for each in self._by_service.get(service, ())
             if each.upstream.upstream_id not in excluded_ids
             and not each.upstream.draining
-            and not (own_domain_only and self._is_far(each))
+            and not (local_domain_only and self._is_cross_domain(each))
             and self._may_send(each, priority, now_ms)
         ]
         available = [
@@ -256,19 +256,19 @@
     def own_domain_covers(
         self, services: collections.abc.Iterable[str]
     ) -> bool:
-        """Returns whether the own failure domain serves all given services.
+        """Returns whether the local failure domain serves all given services.
 
         Services without an upstream in any failure domain are ignored.
         """
-        far_flags = [
+        cross_domain_flags = [
             [
-                self._is_far(each)
+                self._is_cross_domain(each)
                 for each in self._by_service.get(service, ())
                 if not each.upstream.draining
             ]
             for service in services
         ]
-        return not any(far and all(far) for far in far_flags)
+        return not any(each and all(each) for each in cross_domain_flags)
 
     def _score(
         self,
@@ -287,31 +287,31 @@
         own_load = state.in_flight_count / upstream.slot_count
         expected_ms *= 1.0 + 0.5 * own_load + queue / upstream.slot_count
         if mechanisms.shed_quiet and state.shed_until_ms > now_ms:
-            expected_ms += SHED_QUIET_MS
-        if mechanisms.crossing_price and self._is_far(state):
+            expected_ms += SHED_PENALTY_MS
+        if mechanisms.crossing_price and self._is_cross_domain(state):
             expected_ms += self.settings.crossing_ratio * typical_ms
         return expected_ms
 
-    def _is_far(self, state: upstreamstate.UpstreamState) -> bool:
+    def _is_cross_domain(self, state: upstreamstate.UpstreamState) -> bool:
         own = self.settings.failure_domain
         return state.upstream.failure_domain != own
 
     def _may_send(
-        self, state: upstreamstate.UpstreamState, rank: int, now_ms: float
+        self, state: upstreamstate.UpstreamState, priority: int, now_ms: float
     ) -> bool:
         """Returns whether the warm-up limit allows one more request."""
         if self._warmups is None or state.cold_until_ms <= now_ms:
             return True
-        return self._warmups.allows(state.upstream, rank, now_ms)
+        return self._warmups.allows(state.upstream, priority, now_ms)
 
     def usable_upstream(
-        self, upstream_id: str, rank: int, now_ms: float
+        self, upstream_id: str, priority: int, now_ms: float
     ) -> traffic.Upstream | None:
         """Returns an upstream by its id; None if it may not be called now."""
         state = self.upstream_states.get(upstream_id)
         if state is None or state.upstream.draining:
             return None
-        if not self._may_send(state, rank, now_ms):
+        if not self._may_send(state, priority, now_ms):
             return None
         return state.upstream
 
@@ -440,7 +440,7 @@
         """Records a call that the upstream shed because it was full."""
         state = self.upstream_states.get(upstream_id)
         if state is not None:
-            state.shed_until_ms = now_ms + SHED_QUIET_MS
+            state.shed_until_ms = now_ms + SHED_PENALTY_MS
             state.sample_to_share = upstreamstate.CallSample(
                 ratio=SHED_SLOWNESS_RATIO, end_ms=now_ms, was_shed=True
             )
--- a/hyssoptack/policy/loadbalancer_test.py
+++ b/hyssoptack/policy/loadbalancer_test.py
@@ -118,7 +118,7 @@
         balancer.record_answer("r", "near", 20.0, number)
     for number in range(20):
         balancer.record_shed("near", 100.0 + 10.0 * number)
-    assert choice(balancer, 300.0 + loadbalancer.SHED_QUIET_MS) == "far"
+    assert choice(balancer, 300.0 + loadbalancer.SHED_PENALTY_MS) == "far"
 
 
 def slow_sample(ratio=6.0, age_ms=0.0):
--- a/hyssoptack/policy/partitiondetector.py
+++ b/hyssoptack/policy/partitiondetector.py
@@ -1,12 +1,13 @@
 """Detects that this instance's failure domain is cut off from all others.
 
-A partition shows in calls: those into other domains bring no sign of life, as
-they stay unanswered or every connection is refused or reset. Either raises a
-suspicion, and so does a neighbour's notice. A suspicion only starts checks.
-Each check tries some upstreams of other domains, picked at random; the domain
-counts as partitioned once two checks in a row found no sign of life. A refused
-connection is no sign of life, as a firewall between domains refuses too. It is
-rare enough that all upstreams of a check are down while others live.
+During a partition no call into another domain shows that its upstream is alive:
+calls stay unanswered, or every connection is refused or reset. Both cause a
+suspicion, and so does a notice from a neighbour. A suspicion only starts
+checks. Each check tries some upstreams of other domains, picked at random; the
+domain counts as partitioned once two checks in a row found none alive. A
+refused connection does not show that an upstream is alive, because a firewall
+between domains refuses connections too. All upstreams of a check are rarely
+down while others in their domains are alive.
 
 While partitioned, calls go to the instance's own domain only. A query that
 needs more shards than the domain has is refused at once, as it could only wait
@@ -14,9 +15,10 @@
 elsewhere, where they are better served, unless
 
 - its domain has an upstream for every service: it serves its callers nearly as
-  well, while elsewhere they would add to the load of upstreams that already
-  lack this domain's (a shard's last upstream took 270 to 380 ms instead of 28,
-  and a window of all callers fell from 0.69 to 0.41);
+  well, while elsewhere they would add to the load of the other domains'
+  upstreams, which already replace this domain's (a shard's last upstream took
+  270 to 380 ms instead of 28, and the value of all callers' answers in one
+  window fell from 0.69 to 0.41 of the full value);
 - the platform's store still answers: then the other domains are lost, and
   callers cannot be served elsewhere.
 """
@@ -24,16 +26,17 @@
 import dataclasses
 import enum
 
-SILENT_CALL_MIN_COUNT = 4
-"""Calls into other domains without a sign of life that raise a suspicion. A
-crashed shard of three upstreams alone stays below it."""
+SUSPICION_CALL_COUNT = 4
+"""Number of calls that cause a suspicion: unanswered calls of one query into
+other domains, or failed calls in a row. A crash of all three upstreams of one
+shard stays below it."""
 
 WAIT_MIN_MS = 30.0
-"""Shortest wait of a query that counts as silence: quick calls take 10 ms,
-calls over a new connection 17."""
+"""Shortest wait after which a query's calls count as unanswered: quick calls
+take 10 ms, calls over a new connection 17 ms."""
 
 FAILED_CHECK_COUNT = 2
-"""Checks in a row without a sign of life that show a partition. With 17
+"""Checks in a row that found no upstream alive and so show a partition. With 17
 upstreams in 100 down, the most on the users' days, a check of six finds only
 such ones 2 times in 100,000. The second check guards against a stall of this
 process during the first."""
@@ -52,7 +55,8 @@
     """Result of a check.
 
     Attributes:
-        others_alive: Whether another failure domain gave a sign of life.
+        others_alive: Whether an upstream in another failure domain was found
+            alive.
         store_alive: Whether the platform's store answers.
         covers_all_services: Whether the instance's own failure domain has an
             upstream for every service.
@@ -69,7 +73,7 @@
 
     Attributes:
         sent_count: Calls sent.
-        answered_count: Calls that brought a sign of life.
+        answered_count: Calls that showed that their upstream is alive.
     """
 
     sent_count: int = 0
@@ -90,13 +94,13 @@
         self.state = PartitionState.CONNECTED
         self.partitioned_since_ms = 0.0
         self._suspected_locally = False
-        self._connection_failure_count = 0
+        self._failed_call_count = 0
         self._failed_check_count = 0
         self._stays_in_rotation = False
 
     @property
     def detected_locally(self) -> bool:
-        """Whether calls of this instance, not a notice, raised the suspicion.
+        """Whether calls of this instance, not a notice, caused the suspicion.
 
         Neighbours are notified of such a suspicion.
         """
@@ -113,36 +117,39 @@
         return self.is_partitioned and not self._stays_in_rotation
 
     def record_outcome(self, tally: RemoteCallTally, alive: bool) -> None:
-        """Records whether a call into another domain brought a sign of life."""
+        """Records whether a call showed that another domain is alive."""
         if alive:
             tally.answered_count += 1
-            self.record_sign_of_life()
+            self.record_remote_alive()
         else:
-            self.record_connection_failure()
+            self.record_failed_call()
 
-    def record_sign_of_life(self) -> None:
-        """Records a sign of life from another domain and resets the state."""
-        self._connection_failure_count = 0
+    def record_remote_alive(self) -> None:
+        """Records that another domain is alive, and resets the state."""
+        self._failed_call_count = 0
         self._failed_check_count = 0
         self.state = PartitionState.CONNECTED
 
-    def record_connection_failure(self) -> None:
-        """Records a call into another domain that was refused or reset."""
-        self._connection_failure_count += 1
-        if self._connection_failure_count >= SILENT_CALL_MIN_COUNT:
+    def record_failed_call(self) -> None:
+        """Records a call that did not show that another domain is alive.
+
+        Such a call was, for example, refused or reset.
+        """
+        self._failed_call_count += 1
+        if self._failed_call_count >= SUSPICION_CALL_COUNT:
             self._suspect(locally=True)
 
     def record_wait(self, tally: RemoteCallTally, waited_ms: float) -> None:
         """Records how long a query has waited for its calls so far."""
         silent = (
             not tally.answered_count
-            and tally.sent_count >= SILENT_CALL_MIN_COUNT
+            and tally.sent_count >= SUSPICION_CALL_COUNT
         )
         if silent and waited_ms >= WAIT_MIN_MS:
             self._suspect(locally=True)
 
     def on_neighbour_suspicion(self) -> None:
-        """Raises a suspicion, but no more, after a neighbour's notice."""
+        """Starts a suspicion after a neighbour's notice; confirms nothing."""
         self._suspect(locally=False)
 
     def _suspect(self, locally: bool) -> None:
@@ -157,7 +164,7 @@
             result.store_alive or result.covers_all_services
         )
         if result.others_alive:
-            self.record_sign_of_life()
+            self.record_remote_alive()
             return
         self._failed_check_count += 1
         is_confirmed = self._failed_check_count >= FAILED_CHECK_COUNT
--- a/hyssoptack/policy/partitiondetector_test.py
+++ b/hyssoptack/policy/partitiondetector_test.py
@@ -36,17 +36,17 @@
     # In a partition by resets every query ends within 6 ms, which is too short
     # to count as silence.
     detector = partitiondetector.PartitionDetector()
-    for _ in range(partitiondetector.SILENT_CALL_MIN_COUNT):
+    for _ in range(partitiondetector.SUSPICION_CALL_COUNT):
         assert detector.state is partitiondetector.PartitionState.CONNECTED
-        detector.record_connection_failure()
+        detector.record_failed_call()
     assert detector.state is partitiondetector.PartitionState.SUSPECTED
 
 
 def test_a_sign_of_life_between_refused_calls_prevents_a_suspicion():
     detector = partitiondetector.PartitionDetector()
-    for _ in range(partitiondetector.SILENT_CALL_MIN_COUNT):
-        detector.record_connection_failure()
-        detector.record_sign_of_life()
+    for _ in range(partitiondetector.SUSPICION_CALL_COUNT):
+        detector.record_failed_call()
+        detector.record_remote_alive()
     assert detector.state is partitiondetector.PartitionState.CONNECTED
 
 
@@ -78,7 +78,7 @@
     detector = suspecting_detector()
     detector.record_check(ALL_SILENT, 1.0)
     detector.record_check(ALL_SILENT, 2.0)
-    detector.record_sign_of_life()
+    detector.record_remote_alive()
     assert not detector.is_partitioned
 
 
@@ -118,8 +118,9 @@
 
 
 def test_an_instance_that_covers_all_services_stays_in_rotation():
-    # Its callers overload the upstreams left elsewhere: a window of all
-    # callers fell from 0.69 to 0.41.
+    # Otherwise its callers overload the upstreams of other domains: the value
+    # of all callers' answers in one window fell from 0.69 to 0.41 of the full
+    # value.
     detector = suspecting_detector()
     covered = partitiondetector.CheckResult(
         others_alive=False, store_alive=False, covers_all_services=True
--- a/hyssoptack/policy/probeguard.py
+++ b/hyssoptack/policy/probeguard.py
@@ -27,12 +27,12 @@
     Attributes:
         part: Part of the request that it serves.
         upstream: Upstream that it was to be sent to.
-        extra: Reason why it is not the first call of its part.
+        extra_reason: Reason for an extra call; empty for a part's first call.
     """
 
     part: callpart.Part
     upstream: traffic.Upstream
-    extra: str
+    extra_reason: str
 
 
 class ProbeGuard:
@@ -68,8 +68,9 @@
     def _start_index(self, now_ms: float, count: int) -> int:
         """Returns the index of the queued call to send first.
 
-        Requests that lost the same upstreams at once start with different
-        parts, since a request that crashes upstreams fails all calls beside it.
+        Requests whose calls failed in the same crash start with different
+        parts. Otherwise they would be in flight on the same upstream again, and
+        the request that crashes it would fail the calls of the others as well.
         """
         return (int(self._fingerprint or "0", 16) + int(now_ms)) % count
 
@@ -108,10 +109,11 @@
         self.is_probing = self._registry.is_tracked(self._fingerprint)
         return self._registry.is_quarantined(self._fingerprint, now_ms)
 
-    def record_failure(self) -> None:
-        """Records that the request has ended without an answer.
+    def record_end(self) -> None:
+        """Records that the request has ended.
 
-        Other instances are told of it if upstreams crashed under it.
+        If upstreams crashed with it in flight and none has answered it, the
+        suspicion is shared with other instances.
         """
         if self.crash_count and not self._answered:
             self._registry.share(self._fingerprint)
@@ -132,7 +134,7 @@
         """
         if not self.is_probing:
             return False
-        if call.extra == HEDGE:
+        if call.extra_reason == HEDGE:
             return any(e.is_probe and e.part is not call.part for e in calls)
         if call.part is self._released:
             self._released = None
--- a/hyssoptack/policy/quarantine.py
+++ b/hyssoptack/policy/quarantine.py
@@ -2,7 +2,7 @@
 
 A crashing upstream loses all calls in flight on it, so a crash alone does not
 show which request caused it. Two rules separate requests that crash upstreams
-from those that only ran beside them:
+from those that were only in flight at the same time:
 
 - A request that any upstream has answered crashes none: it is cleared.
 - A request that was in flight at a crash and has no answer yet is sent as a
@@ -10,13 +10,13 @@
   that accepts the connection is alive, so if it crashes while it runs the
   probe, that crash is not part of the earlier event.
 
-A request is quarantined once upstreams have crashed under it in three separate
-events and none has answered it. A harmless request is quarantined only if
-upstreams known to be alive crash by chance that often, each during the tens to
-hundreds of milliseconds in which it runs the request. Quarantined requests are
-refused. When a quarantine ends, one request is sent as a probe: a request that
-has become harmless is served again, and one that still crashes upstreams costs
-one of them.
+A request is quarantined once upstreams have crashed with it in flight in three
+separate events and none has answered it. A harmless request is quarantined only
+if upstreams known to be alive crash by chance that often, each during the tens
+to hundreds of milliseconds in which it runs the request. Quarantined requests
+are refused. When a quarantine ends, one request is sent as a probe: a request
+that has become harmless is served again, and one that still crashes upstreams
+costs one of them.
 
 Entries are limited in number and in age. Instances exchange them
 (`gateway.quarantinesync`).
@@ -42,9 +42,10 @@
 crash."""
 
 ENTRY_LIMIT_COUNT = 4_096
-"""Most suspected requests, and most quarantined ones, of one instance: 2.5 and
-5 MB (`quarantine_test`, 50,000 and 20,000 requests), a sixteenth of its memory
-limit. Beyond it the oldest entries are dropped."""
+"""Largest number of suspected requests, and of quarantined ones, that an
+instance keeps. They take 2.5 MB and 5 MB (tested in `quarantine_test` with
+50,000 and 20,000 requests), a sixteenth of its memory limit. Beyond the limit
+the oldest entries are dropped."""
 
 
 class Verdict(enum.Enum):
@@ -72,7 +73,8 @@
     Attributes:
         kind: What has changed.
         fingerprint: Fingerprint of the request.
-        upstream_ids: Upstreams that crashed under it, as far as recorded.
+        upstream_ids: Upstreams that crashed with it in flight, as far as
+            recorded.
         quarantine_count: Quarantines of the request in a row.
         quarantine_ms: Length of the quarantine, without jitter.
         source: Instance that reported the change; empty if found locally.
--- a/hyssoptack/policy/queryplan.py
+++ b/hyssoptack/policy/queryplan.py
@@ -335,8 +335,9 @@
             for each in candidates
             if self._may_hold_version(each, version, now_ms)
         )
-        # Held versions are known from answers only. If every remaining upstream
-        # is believed to lack the version, calling one corrects a stale belief.
+        # Held versions are known from answers only. If no remaining upstream is
+        # recorded as holding the version, one is called all the same, which
+        # updates an outdated record.
         return self._context.router.best_path(
             self._service,
             holders or candidates,
@@ -449,7 +450,7 @@
             result: query.Answer | refusal.Refusal = refusal.Refusal(
                 reason=refusal.Reason.COVERAGE_BELOW_FLOOR,
                 ran=refusal.Ran.NO,
-                detail=f"coverage {coverage:.4f}, required at least {floor}; "
+                detail=f"reached coverage {coverage:.4f} of at least {floor}; "
                 + missing,
                 retry_after_ms=RETRY_AFTER_COVERAGE_MS,
                 coverage_ratio=coverage,
--- a/hyssoptack/policy/readerelection.py
+++ b/hyssoptack/policy/readerelection.py
@@ -15,22 +15,24 @@
 
 LIST_PERIOD_RATIO = 1 / 3
 """Interval between two reads of the upstream list, as a part of the time within
-which a change must take effect: one read may fail and that is still kept."""
+which a change must take effect. A change takes effect in time even if one read
+fails."""
 
 READS_PER_EXACT_READ_COUNT = 2
-"""One read in this many is exact. The others may return a state some seconds
-old and cost a tenth as much. An old state is recognized by its revision and
-changes nothing."""
+"""One read in this many is exact: it returns the current state of the store.
+The others may return a state that is some seconds old, and cost a tenth as
+much. An old state is recognized by its revision and changes nothing."""
 
 JITTER_RATIO = 0.15
-"""Jitter of all periods, so that readers do not fall into step."""
+"""Jitter of all periods, so that readers do not read at the same time."""
 
 LIST_TIMEOUT_RATIO = 0.1
-LIST_TIMEOUT_MIN_MS = 300.0
 """Timeout of one read of the list, as a part of the time within which a change
-must take effect, and its least value. Two periods with their jitter take 0.77
-of that time, so that one lost answer and a retry still fit. A slow store
-answers within 240 ms."""
+must take effect. Two periods with their jitter take 0.77 of that time, so one
+lost answer and a retry still fit."""
+
+LIST_TIMEOUT_MIN_MS = 300.0
+"""Lower bound of that timeout: a slow store answers within 240 ms."""
 
 WATCH_SLACK_MS = 500.0
 """Time by which a watch of the configuration ends before a change must take
@@ -47,8 +49,9 @@
 
 EXACT_SILENCE_RATIO = 0.787
 """Age of the last exact read at which the second instance reads, even if it has
-received older states since. It is a fiftieth of the time later than the first
-instance's next exact read (two periods with their jitter)."""
+received older states since, as a part of the time within which a change must
+take effect. The first instance's next exact read comes within 0.767 of that
+time (two periods with their jitter), a fiftieth of it earlier."""
 
 EXACT_STEP_RATIO = 0.025
 """Additional age for each further rank, 75 to 150 ms: a read takes some 30
@@ -60,9 +63,9 @@
 longer intervals would save hardly any calls, and the known state would get too
 old."""
 
-SILENCE_STEP_LIMIT_COUNT = 3
-"""Ranks beyond this one wait no longer than it does, as a change must be known
-in time."""
+RANK_STEP_LIMIT_COUNT = 3
+"""Largest number of rank steps that an instance waits. Instances of still lower
+rank wait no longer, because a change must be known in time."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -93,11 +96,11 @@
     """Returns the intervals at which changes take effect in time.
 
     Args:
-        bound_ms: Time within which a change must take effect: 3 and 5 s at the
-            users'.
+        bound_ms: Time within which a change must take effect: 3 s and 5 s in
+            the users' set-ups.
 
     Returns:
-        The longest intervals that keep it.
+        The longest intervals with which a change takes effect within that time.
     """
     bound_ms = min(BOUND_MAX_MS, max(BOUND_MIN_MS, bound_ms))
     return ReadTimings(
@@ -231,4 +234,4 @@
             rank(self._failure_domain, each.instance_id) > self.rank
             for each in self._neighbours
         )
-        return min(max(0, higher - 1), SILENCE_STEP_LIMIT_COUNT)
+        return min(max(0, higher - 1), RANK_STEP_LIMIT_COUNT)
--- a/hyssoptack/policy/readerelection_test.py
+++ b/hyssoptack/policy/readerelection_test.py
@@ -10,7 +10,8 @@
 TIMINGS = readerelection.read_timings(3_000.0)
 
 READ_MS = 30.0
-"""Six pages of 4 ms each from the store, and the way to the neighbours."""
+"""Duration of a read: six pages of 4 ms each from the store, and the transfer
+to the neighbours."""
 
 
 def elections_by_rank(names=NAMES):
@@ -92,7 +93,7 @@
     timings = readerelection.read_timings(bound_ms)
     last_takeover_ms = (
         timings.exact_silence_ms
-        + readerelection.SILENCE_STEP_LIMIT_COUNT * timings.exact_step_ms
+        + readerelection.RANK_STEP_LIMIT_COUNT * timings.exact_step_ms
     )
     assert last_takeover_ms < 0.9 * bound_ms
     assert max_exact_interval_ms(timings) < timings.exact_silence_ms
--- a/hyssoptack/policy/retrydelay.py
+++ b/hyssoptack/policy/retrydelay.py
@@ -17,18 +17,19 @@
 callers elsewhere: two failed health checks, one per second, of every instance
 of the domain, and some 200 ms until the neighbours learn of the partition."""
 
-SOON_MS = 50.0
-"""Delay where the balancer already sends the caller elsewhere or an upstream is
-about to have room: a few times the round trip to the caller (6 ms)."""
+REMOVED_RETRY_MS = 50.0
+"""Smallest delay during a partition, for callers that the external load
+balancer already sends elsewhere: a few times the round trip to the caller (6
+ms)."""
 
 OVERLOADED_RETRY_MS = 100.0
 """Delay after overload: about the time a full upstream queue takes to clear."""
 
-LISTED_MS = 1_000.0
+NO_UPSTREAM_RETRY_MS = 1_000.0
 """Delay where no upstream is listed: a new one is known after the next read of
 the list."""
 
-STARTING_MS = 200.0
+STARTING_RETRY_MS = 200.0
 """Delay while the instance starts: it has a configuration 10 to 20 ms after its
 start, or after the first retry if the store refused."""
 
@@ -77,11 +78,11 @@
     match refusal.cause:
         case RefusalCause.PARTITIONED:
             removal_in_ms = BALANCER_REMOVAL_MS - refusal.partitioned_for_ms
-            min_delay_ms = max(SOON_MS, removal_in_ms)
+            min_delay_ms = max(REMOVED_RETRY_MS, removal_in_ms)
         case RefusalCause.STARTING:
-            min_delay_ms = STARTING_MS
+            min_delay_ms = STARTING_RETRY_MS
         case RefusalCause.NO_UPSTREAM:
-            min_delay_ms = LISTED_MS
+            min_delay_ms = NO_UPSTREAM_RETRY_MS
         case RefusalCause.OVERLOADED:
             min_delay_ms = OVERLOADED_RETRY_MS
     return min_delay_ms * rng.uniform(1.0, 1.0 + SPREAD_RATIO)
--- a/hyssoptack/policy/shardstate.py
+++ b/hyssoptack/policy/shardstate.py
@@ -60,7 +60,10 @@
 
 
 def missing_shards_text(states: list[ShardState]) -> str:
-    """Lists shards without an answer, each with its status."""
+    """Lists the first shards without an answer, each with its status.
+
+    At most `MISSING_SHOWN_COUNT` shards are listed.
+    """
     missing = [
         f"{state.shard.shard_id} {state.status_text()}"
         for state in states
--- a/hyssoptack/policy/slowness.py
+++ b/hyssoptack/policy/slowness.py
@@ -24,8 +24,9 @@
 """Half-life of the excess over a ratio of 1 without new calls."""
 
 SHARE_QUICK_RATIO = 1.3
-"""Ratio above which quick calls to an upstream are shared with neighbours too:
-all instances then stop avoiding it as soon as a pause or a slow period ends."""
+"""Slowness ratio of an upstream above which its quick calls are shared with
+neighbours too, so that all instances stop avoiding it as soon as a pause or a
+slow period ends."""
 
 
 def decayed_ratio(state: upstreamstate.UpstreamState, now_ms: float) -> float:
--- a/hyssoptack/policy/suspectrecord.py
+++ b/hyssoptack/policy/suspectrecord.py
@@ -1,4 +1,4 @@
-"""The record of one request: upstream crashes under it and its quarantine."""
+"""State of a request that may crash upstreams: its crashes and quarantine."""
 
 import collections.abc
 import dataclasses
@@ -6,30 +6,30 @@
 from hyssoptack.core import gatewaymessage
 
 QUARANTINE_EVENT_COUNT = 3
-"""Crash events without an answer after which a request is quarantined: as many
-as the users allow before they count what else is sent. A single event, such as
-a rack that loses power, takes all upstreams of a query at once. A harmless
-request that ran beside one that crashes upstreams runs beside it once more
-about 1 time in 10 (four shards, three copies each), and twice more 1 time in
-100."""
+"""Crash events without an answer after which a request is quarantined: the
+users accept three events and count what is sent beyond them. One event is not
+enough, because a rack that loses power takes down all upstreams of a query at
+once. A harmless request that was in flight on the same upstream as a crashing
+one meets it there once more in about 1 of 10 cases (four shards with three
+copies each), and twice more in 1 of 100."""
 
 CRASH_EVENT_WINDOW_MS = 1_000.0
-"""Crashes further apart than this belong to different events: what fails
-together shows within some 200 ms, the time after which a call gives up on a
-connection."""
+"""Crashes further apart than this belong to different events: the effects of
+one event are noticed within about 200 ms, the time after which a call gives up
+on a connection."""
 
 CRASH_LIMIT_COUNT = 2 * QUARANTINE_EVENT_COUNT
-"""Most crashes that are recorded for one request and shared with others."""
+"""Largest number of crashes that are recorded and shared for one request."""
 
 QUARANTINE_MIN_MS = 60_000.0
-"""Length of the first quarantine, from the last crash until the next probe;
-doubles each time. A probe that crashes an upstream costs it some seconds, and a
-shard has three."""
+"""Length of the first quarantine, from the last crash until the next probe.
+Each further quarantine is twice as long. An upstream that a probe crashes is
+unavailable for some seconds, and a shard has three upstreams."""
 
 QUARANTINE_MAX_MS = 900_000.0
-"""Longest quarantine. Faults that crash upstreams are mended within minutes to
-hours; callers then wait a quarter of an hour at most, and a probe costs an
-upstream four times an hour."""
+"""Longest quarantine. Faults that crash upstreams are fixed within minutes to
+hours. Callers then wait at most a quarter of an hour, and probes crash an
+upstream at most four times an hour."""
 
 SUSPICION_TTL_MS = 30_000.0
 """Time after the last crash during which a request is sent as a probe. A caller
@@ -39,8 +39,8 @@
 SHARING_CUTOFF_MS = 2_000.0
 """Entries that expire within this time are neither shared nor accepted.
 Instances drop an entry at times that differ by how long it took to reach them,
-and would otherwise pass it round for ever. Twice the longest interval at which
-an instance shares it again."""
+and would otherwise send it to each other endlessly. The time is twice the
+longest interval at which an instance shares an entry again."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -95,10 +95,14 @@
     return count
 
 
-def quarantine_ms(blocked_count: int) -> float:
-    """Returns the length of a request's n-th quarantine in a row."""
+def quarantine_ms(quarantine_count: int) -> float:
+    """Returns the length of a request's latest quarantine.
+
+    Args:
+        quarantine_count: Its quarantines in a row, the latest one included.
+    """
     return min(
-        QUARANTINE_MAX_MS, QUARANTINE_MIN_MS * 2.0 ** (blocked_count - 1)
+        QUARANTINE_MAX_MS, QUARANTINE_MIN_MS * 2.0 ** (quarantine_count - 1)
     )
 
 
--- a/hyssoptack/policy/upstreamchoice.py
+++ b/hyssoptack/policy/upstreamchoice.py
@@ -62,7 +62,7 @@
             part.service,
             frozenset(part.tried_upstream_ids),
             now_ms,
-            own_domain_only=partitioned,
+            local_domain_only=partitioned,
             preferred_domain=self._preferred_domains.get(part.service, ""),
             # If the request crashes the upstream, as few other requests as
             # possible should be lost with it.
@@ -96,7 +96,10 @@
         )
 
     def is_cross_domain_only(self, part: callpart.Part) -> bool:
-        """Returns whether no upstream of a part is in the local domain."""
+        """Returns whether no upstream of a part is in the local domain.
+
+        Always false for a request with one part and while relaying is disabled.
+        """
         return part.service in self._preferred_domains
 
     def is_cross_domain(self, upstream: traffic.Upstream) -> bool:
--- a/hyssoptack/policy/warmup.py
+++ b/hyssoptack/policy/warmup.py
@@ -2,10 +2,10 @@
 
 A cold upstream can serve few requests per second from all instances together
 and crashes well above that rate. Instances do not coordinate their counts:
-rendezvous hashing divides the limit evenly among the instances with the widest
-links in the upstream's failure domain, and no other instance calls it. Only
-half of the limit is divided, because instances may differ in which others they
-know to be alive.
+rendezvous hashing divides the limit evenly among the instances with the highest
+link bandwidth in the upstream's failure domain, and no other instance calls it.
+Only half of the limit is divided, because instances may differ in which others
+they know to be alive.
 
 The limiter covers the recovery of a whole failure domain, in which all
 upstreams start at once while instances start, stop or are partitioned.
@@ -60,7 +60,7 @@
     total_count = max(1, int(SHARED_RATIO * limit_count))
     name = f"warmup/{own.failure_domain}"
     ranked = sorted(
-        gatherers.widest_link_peers((own, *others)),
+        gatherers.highest_bandwidth_peers((own, *others)),
         key=lambda each: rendezvous.rank(name, each.instance_id),
     )
     sharing = ranked[:total_count]
@@ -72,11 +72,11 @@
     """The most urgent recent request for a service.
 
     Attributes:
-        rank: Its priority, 0 the most urgent.
+        priority: Its priority, 0 the most urgent.
         seen_ms: When it was seen.
     """
 
-    rank: int
+    priority: int
     seen_ms: float
 
 
@@ -140,13 +140,13 @@
         return found.warmup_ms if found else 0.0
 
     def allows(
-        self, upstream: traffic.Upstream, rank: int, now_ms: float
+        self, upstream: traffic.Upstream, priority: int, now_ms: float
     ) -> bool:
         """Returns whether this instance may send a cold upstream a request.
 
         Args:
             upstream: The upstream.
-            rank: The priority of the request, 0 the most urgent.
+            priority: The priority of the request, 0 the most urgent.
             now_ms: The time now.
         """
         limit_count = self._limit_count(upstream)
@@ -157,7 +157,7 @@
         if not self._settled:
             return False
         share = self._share(limit_count)
-        if self._outranked(upstream.service, rank, now_ms):
+        if self._check_priority(upstream.service, priority, now_ms):
             share -= int(RESERVED_RATIO * share)
         return self._sent_count(upstream.upstream_id, now_ms) < share
 
@@ -193,16 +193,18 @@
             self._shares[limit_count] = found
         return found
 
-    def _outranked(self, service: str, rank: int, now_ms: float) -> bool:
-        """Returns whether a service had more urgent requests recently.
+    def _check_priority(
+        self, service: str, priority: int, now_ms: float
+    ) -> bool:
+        """Returns whether a more urgent request was seen recently.
 
-        Otherwise the request is recorded as the most urgent recent one.
+        If not, records this request as the service's most urgent recent one.
         """
         seen = self._most_urgent.get(service)
         expired = seen is None or now_ms - seen.seen_ms > URGENT_RETENTION_MS
-        if expired or rank <= seen.rank:
+        if expired or priority <= seen.priority:
             self._most_urgent[service] = _UrgentRequest(
-                rank=rank, seen_ms=now_ms
+                priority=priority, seen_ms=now_ms
             )
             return False
         return True
--- a/hyssoptack/policy/warmup_test.py
+++ b/hyssoptack/policy/warmup_test.py
@@ -101,7 +101,7 @@
     assert len(fleet.sent) > 20.0 * LIMIT_COUNT * warmup.SHARED_RATIO / 4
 
 
-def test_an_instance_without_a_settled_view_sends_nothing():
+def test_an_instance_sends_nothing_until_an_update_after_the_settle_time():
     limiter = make_limiter(0)
     assert not limiter.allows(COLD, 0, 0.0)
     limiter.update_instances((), 100.0)
--- a/hyssoptack/policy/windowbudget.py
+++ b/hyssoptack/policy/windowbudget.py
@@ -2,8 +2,8 @@
 
 In any window all instances together may make extra calls up to a ratio of the
 requests for a service, plus a fixed number (the slack). Each instance spends
-its own share of both and considers only its own calls. (`policy.budget` is the
-budget of the product's own interface, which is a ratio alone.)
+its own share of both and considers only its own calls. (`policy.budget` limits
+the extra calls of `policy.queryplan`, by a ratio alone.)
 
 The ratio applies to the requests that the instance has seen within the last
 window. Its share of the slack is a token bucket that starts empty and refills
@@ -119,9 +119,10 @@
     """The budget of one instance's extra calls, by service.
 
     Attributes:
-        share: The share that calls to most services draw on.
-        gather_share: The share that calls to `gathered_services` draw on.
-        gathered_services: Services whose calls draw on `gather_share`.
+        share: The share for calls to services that are not shards.
+        gather_share: The share for calls to shards; it is larger on instances
+            to which queries are delegated.
+        gathered_services: The services that are shards of a route.
     """
 
     def __init__(self, share: BudgetShare, started_ms: float):
