--- a/hyssoptack/policy/admission_test.py
+++ b/hyssoptack/policy/admission_test.py
@@ -1,4 +1,4 @@
-"""Tests of admission: overload, urgent lookups and retry delays."""
+"""Tests of admission: overload, urgent queries and retry delays."""
 
 import dataclasses
 import random
@@ -34,7 +34,7 @@
     return limiter
 
 
-def test_browsing_leaves_room_for_urgent_lookups():
+def test_browsing_leaves_room_for_urgent_queries():
     limiter, _ = _fill(
         _grown_to_ceiling(admission.new_limiter(24, 8)), _BROWSING
     )
@@ -43,7 +43,7 @@
     assert isinstance(urgent, admission.Admitted)
 
 
-def test_browsing_is_refused_after_a_refused_urgent_lookup():
+def test_browsing_is_refused_after_a_refused_urgent_query():
     limiter, _ = _fill(_grown_to_ceiling(admission.new_limiter(24, 8)), _URGENT)
     limiter = admission.record_refusal(limiter, _URGENT, 1_000.0)
     limiter = admission.end_query(
--- a/hyssoptack/policy/callplan_crash_test.py
+++ b/hyssoptack/policy/callplan_crash_test.py
@@ -157,18 +157,18 @@
 
 
 def test_crashes_with_other_calls_open_quarantine_no_request():
-    # Two requests that lost the same upstreams were both retried on others at
-    # the same time, so either may have caused the crashes.
+    # Two requests that were in flight at the same crash are both retried on the
+    # same other upstreams, so either may have caused the further crashes.
     context = _plan_context()
     run = _RequestRun(context).start()
-    exited_beside_others = callcommand.Outcome(
+    exited_with_other_calls = callcommand.Outcome(
         kind=callcommand.OutcomeKind.FAILED,
         reason="connection_closed",
         upstream_exited=True,
     )
-    run.end_calls(exited_beside_others, 20.0, SHARD_COUNT)
+    run.end_calls(exited_with_other_calls, 20.0, SHARD_COUNT)
     for step in range(SHARD_COUNT):
-        run.end_calls(exited_beside_others, 40.0 + step)
+        run.end_calls(exited_with_other_calls, 40.0 + step)
     assert run.result != CRASHES
     assert not context.suspicions.is_quarantined(FINGERPRINT, 100.0)
 
--- a/hyssoptack/policy/callplan_test.py
+++ b/hyssoptack/policy/callplan_test.py
@@ -331,8 +331,8 @@
 
 
 def test_a_hedge_to_an_unreachable_upstream_is_rerouted():
-    # During a partition, hedges to the unreachable domain were lost: 25 of 180
-    # queries were 10 to 30 ms late because of one part that paused.
+    # Otherwise hedges to the unreachable domain are lost during a partition: 25
+    # of 180 queries were 10 to 30 ms late because one part's upstream paused.
     running, hedge = _hedged_below_floor("b", "d")
     (retry,) = sends(running.on_outcome(hedge.call_id, UNREACHABLE, 60.0))
     assert retry.upstream.upstream_id not in ("a", hedge.upstream.upstream_id)
--- a/hyssoptack/policy/delegation_test.py
+++ b/hyssoptack/policy/delegation_test.py
@@ -5,12 +5,12 @@
 from hyssoptack.core import member
 from hyssoptack.policy import delegation
 
-NARROW_MBPS = 7.7
-WIDE_MBPS = 70.0
+SLOW_MBPS = 7.7
+FAST_MBPS = 70.0
 QUERY = delegation.Query(route_name="r", part_count=36, to_goal_ms=143.0)
 
 
-def peer(name, link_mbps=WIDE_MBPS):
+def peer(name, link_mbps=FAST_MBPS):
     return member.Peer(
         instance_id=name,
         failure_domain="north",
@@ -19,16 +19,16 @@
     )
 
 
-def make_selector(*peers, link_mbps=NARROW_MBPS, size_bytes=1_250):
+def make_selector(*peers, link_mbps=SLOW_MBPS, size_bytes=1_250):
     selector = delegation.DelegateSelector(link_mbps, random.Random(3))
     selector.install(peers)
     selector.record_reply_size("r", size_bytes)
     return selector
 
 
-def test_a_query_that_fills_the_own_link_goes_to_a_wider_one():
+def test_a_query_that_fills_the_own_link_goes_to_a_faster_one():
     # 36 parts occupy a link of 7.7 Mbit/s for 47 ms of the 143 to the goal.
-    selector = make_selector(peer("a", NARROW_MBPS), peer("b"))
+    selector = make_selector(peer("a", SLOW_MBPS), peer("b"))
     assert selector.choose(QUERY, 0.0).instance_id == "b"
 
 
@@ -36,15 +36,15 @@
     assert make_selector(peer("b"), size_bytes=100).choose(QUERY, 0.0) is None
     assert make_selector(peer("b", 10.0)).choose(QUERY, 0.0) is None
     assert (
-        make_selector(peer("b"), link_mbps=WIDE_MBPS).choose(QUERY, 0.0) is None
+        make_selector(peer("b"), link_mbps=FAST_MBPS).choose(QUERY, 0.0) is None
     )
     assert make_selector(peer("b"), link_mbps=0.0).choose(QUERY, 0.0) is None
     assert make_selector(peer("b", 0.0)).choose(QUERY, 0.0) is None
 
 
 def test_a_default_reply_size_is_assumed_before_the_first_reply():
-    # Without it, queries fill narrow links in the first seconds after a start.
-    selector = delegation.DelegateSelector(NARROW_MBPS, random.Random(3))
+    # Without it, queries fill slow links in the first seconds after a start.
+    selector = delegation.DelegateSelector(SLOW_MBPS, random.Random(3))
     selector.install((peer("b"),))
     assert selector.choose(QUERY, 0.0).instance_id == "b"
     selector.record_reply_size("r", 100)
@@ -59,7 +59,7 @@
     assert selector.choose(QUERY, 0.0).instance_id == "a"
 
 
-def test_a_failing_neighbour_is_excluded_for_longer_each_time():
+def test_a_failing_neighbour_is_ejected_for_longer_each_time():
     selector = make_selector(peer("b"))
     now_ms = 0.0
     for wait_ms in (1_000.0, 2_000.0, 4_000.0, 8_000.0, 8_000.0):
@@ -81,7 +81,7 @@
 
 
 def test_queries_in_flight_are_proportional_to_link_bandwidth():
-    selector = make_selector(peer("a"), peer("b", 2 * WIDE_MBPS))
+    selector = make_selector(peer("a"), peer("b", 2 * FAST_MBPS))
     for _ in range(12):
         selector.begin_delegation(selector.choose(QUERY, 0.0).address)
     assert selector._states["a:1"].in_flight_count == 4
--- a/hyssoptack/policy/gatherers_test.py
+++ b/hyssoptack/policy/gatherers_test.py
@@ -5,11 +5,11 @@
 from hyssoptack.core import member
 from hyssoptack.policy import gatherers
 
-WIDE_MBPS = 200.0
-NARROW_MBPS = 20.0
+FAST_MBPS = 200.0
+SLOW_MBPS = 20.0
 
 
-def peer(name, domain="south", link_mbps=WIDE_MBPS):
+def peer(name, domain="south", link_mbps=FAST_MBPS):
     return member.Peer(
         instance_id=name,
         failure_domain=domain,
@@ -18,14 +18,13 @@
     )
 
 
-def fleet(domain_count=7, wide_count=3, narrow_count=25):
+def fleet(domain_count=7, fast_count=3, slow_count=25):
     peers = []
     for number in range(domain_count):
         domain = f"d{number}"
-        peers += [peer(f"{domain}-w{i}", domain) for i in range(wide_count)]
+        peers += [peer(f"{domain}-w{i}", domain) for i in range(fast_count)]
         peers += [
-            peer(f"{domain}-n{i}", domain, NARROW_MBPS)
-            for i in range(narrow_count)
+            peer(f"{domain}-n{i}", domain, SLOW_MBPS) for i in range(slow_count)
         ]
     return peers
 
@@ -36,22 +35,22 @@
     return selector
 
 
-def test_instances_with_wide_links_in_all_other_domains_are_selected():
+def test_instances_with_high_bandwidth_in_all_other_domains_are_selected():
     found = gatherers.select_gatherers(fleet(), "d0")
     assert len(found) == 6 * gatherers.GATHERERS_PER_DOMAIN_COUNT
-    assert all(each.link_mbps == WIDE_MBPS for each in found)
+    assert all(each.link_mbps == FAST_MBPS for each in found)
     assert all(each.failure_domain != "d0" for each in found)
 
 
-def test_narrow_links_do_not_fill_up_the_number_of_gatherers():
+def test_slow_links_do_not_fill_up_the_number_of_gatherers():
     found = gatherers.select_gatherers(
-        fleet(domain_count=2, wide_count=1), "d0"
+        fleet(domain_count=2, fast_count=1), "d0"
     )
     assert [each.instance_id for each in found] == ["d1-w0"]
 
 
 def test_with_equal_links_domains_prefer_different_gatherers():
-    equal = fleet(domain_count=3, wide_count=20, narrow_count=0)
+    equal = fleet(domain_count=3, fast_count=20, slow_count=0)
     first, second = (
         {
             each.instance_id
@@ -71,7 +70,7 @@
     assert selector.choose("west", 0.0) is None
 
 
-def test_a_lost_gatherer_is_excluded_for_longer_each_time():
+def test_a_lost_gatherer_is_ejected_for_longer_each_time():
     selector = make_selector(peer("a"))
     now_ms = 0.0
     for wait_ms in (1_000.0, 2_000.0, 4_000.0, 8_000.0, 8_000.0):
@@ -85,18 +84,18 @@
     assert selector.choose("south", now_ms + 1_000.0) is not None
 
 
-def test_two_lost_gatherers_exclude_their_domain():
+def test_two_lost_gatherers_eject_their_domain():
     selector = make_selector(peer("a"), peer("b"), peer("c"))
     selector.record_loss(peer("a"), 0.0)
     assert selector.choose("south", 1.0) is not None
     selector.record_loss(peer("b"), 1.0)
     assert selector.choose("south", 2.0) is None
-    # A report from any of them ends the exclusion.
+    # A report from any of them ends the ejection.
     selector.record_report(peer("c"))
     assert selector.choose("south", 3.0).instance_id == "c"
 
 
-def test_declining_gatherers_do_not_exclude_their_domain():
+def test_declining_gatherers_do_not_eject_their_domain():
     selector = make_selector(peer("a"), peer("b"))
     selector.record_decline(peer("a"), 0.0)
     selector.record_decline(peer("b"), 0.0)
--- a/hyssoptack/policy/hedgetiming.py
+++ b/hyssoptack/policy/hedgetiming.py
@@ -48,7 +48,7 @@
 """Gap without an answer that counts as a stall, as a part of the time to the
 query's first answer. The first answer did not queue in this instance, so it
 shows how long an upstream takes (9 and 22 ms on the operators' routes). On the
-narrowest links answers arrive 1.3 ms apart."""
+slowest links answers arrive 1.3 ms apart."""
 
 STREAM_GAP_RATIO = 3.0
 """Answers count as still arriving until the age of the last one exceeds this
--- a/hyssoptack/policy/membership.py
+++ b/hyssoptack/policy/membership.py
@@ -153,8 +153,8 @@
 
     An instance is excluded once it has announced that it leaves, once an answer
     from it is overdue, or once neither list nor peers show it while the list
-    can be read. Silence alone excludes no instance: with thousands of instances
-    most pairs never exchange a message.
+    can be read. An instance is not excluded only because it has sent no
+    message: with thousands of instances most pairs never exchange one.
 
     Args:
         roster: All sightings.
--- a/hyssoptack/policy/partitiondetector.py
+++ b/hyssoptack/policy/partitiondetector.py
@@ -37,8 +37,8 @@
 
 FAILED_CHECK_COUNT = 2
 """Checks in a row that found no upstream alive and so show a partition. With 17
-upstreams in 100 down, the most on the users' days, a check of six finds only
-such ones 2 times in 100,000. The second check guards against a stall of this
+of 100 upstreams down, the most on the users' days, all six upstreams of a check
+are down 2 times in 100,000. The second check guards against a stall of this
 process during the first."""
 
 
--- a/hyssoptack/policy/partitiondetector_test.py
+++ b/hyssoptack/policy/partitiondetector_test.py
@@ -34,7 +34,7 @@
 
 def test_refused_calls_in_a_row_raise_a_suspicion():
     # In a partition by resets every query ends within 6 ms, which is too short
-    # to count as silence.
+    # for its calls to count as unanswered.
     detector = partitiondetector.PartitionDetector()
     for _ in range(partitiondetector.SUSPICION_CALL_COUNT):
         assert detector.state is partitiondetector.PartitionState.CONNECTED
--- a/hyssoptack/policy/queryplan_test.py
+++ b/hyssoptack/policy/queryplan_test.py
@@ -89,9 +89,9 @@
     assert answer.coverage_ratio == 0.5
 
 
-def test_an_upstream_believed_to_lack_the_version_is_called_as_last_choice():
-    # Held versions are known from answers only; an upstream that is never
-    # called would be believed to lack the version forever.
+def test_an_upstream_recorded_without_the_version_is_called_last():
+    # Held versions are known from answers only; the record of an upstream that
+    # is never called would never be updated.
     current = example.service(2, 1)
     context = example.knowledge(current)
     upstreams = context.upstream_health.upstreams
--- a/hyssoptack/policy/readerelection.py
+++ b/hyssoptack/policy/readerelection.py
@@ -36,8 +36,8 @@
 
 WATCH_SLACK_MS = 500.0
 """Time by which a watch of the configuration ends before a change must take
-effect: a silent connection is noticed when the watch ends, and another read
-must still be in time."""
+effect: a connection that delivers nothing is noticed when the watch ends, and
+another read must still be in time."""
 
 SILENCE_RATIO = 1.4 * LIST_PERIOD_RATIO
 """Time without a notice after which the second instance reads. Readers send one
@@ -171,7 +171,7 @@
             )
 
     def neighbours(self) -> tuple[member.Peer, ...]:
-        """Returns the other instances of the own failure domain."""
+        """Returns the other instances of this failure domain."""
         return self._neighbours
 
     def record_other_reader(
--- a/hyssoptack/policy/shardstate.py
+++ b/hyssoptack/policy/shardstate.py
@@ -6,7 +6,8 @@
 from hyssoptack.policy import routing
 
 MISSING_SHOWN_COUNT = 12
-"""Most shards that a refusal lists, so that its text fits on one line."""
+"""Largest number of shards that a refusal lists, so that its text fits on one
+line."""
 
 
 @dataclasses.dataclass(kw_only=True)
--- a/hyssoptack/policy/suspectrecord.py
+++ b/hyssoptack/policy/suspectrecord.py
@@ -11,7 +11,7 @@
 enough, because a rack that loses power takes down all upstreams of a query at
 once. A harmless request that was in flight on the same upstream as a crashing
 one meets it there once more in about 1 of 10 cases (four shards with three
-copies each), and twice more in 1 of 100."""
+upstreams each), and twice more in 1 of 100."""
 
 CRASH_EVENT_WINDOW_MS = 1_000.0
 """Crashes further apart than this belong to different events: the effects of
--- a/hyssoptack/policy/upstreamchoice.py
+++ b/hyssoptack/policy/upstreamchoice.py
@@ -9,8 +9,8 @@
 from hyssoptack.policy import probeguard
 
 MAX_RESEND_COUNT = 2
-"""Most calls per part to upstreams that shed the request before: one for each
-of the two upstreams that the users' routes allow."""
+"""Largest number of calls per part to upstreams that shed the request before:
+one for each of the two upstreams that the users' routes allow."""
 
 
 class UpstreamChoice:
--- a/hyssoptack/policy/warmup_test.py
+++ b/hyssoptack/policy/warmup_test.py
@@ -139,18 +139,18 @@
     assert counts["urgent"] == counts["browse"] == LIMIT_COUNT / 4
 
 
-def test_instances_with_wide_links_share_the_limit():
-    wide = [peer(index, 140.0) for index in range(2)]
-    narrow = [peer(index, 14.0) for index in range(2, 29)]
+def test_instances_with_high_bandwidth_share_the_limit():
+    fast = [peer(index, 140.0) for index in range(2)]
+    slow = [peer(index, 14.0) for index in range(2, 29)]
     shares = {
         each.instance_id: warmup.instance_share_count(
             each,
-            tuple(other for other in wide + narrow if other != each),
+            tuple(other for other in fast + slow if other != each),
             LIMIT_COUNT,
         )
-        for each in wide + narrow
+        for each in fast + slow
     }
-    assert [shares[each.instance_id] for each in wide] == [5, 5]
+    assert [shares[each.instance_id] for each in fast] == [5, 5]
     assert sum(shares.values()) == 10
 
 
--- a/hyssoptack/policy/windowbudget_test.py
+++ b/hyssoptack/policy/windowbudget_test.py
@@ -193,7 +193,7 @@
 
 
 def _served_ratio(part, seed):
-    """Simulates the queries of an instance with a wide link.
+    """Simulates the queries of an instance with a high link bandwidth.
 
     A quarter of all parts is lost.
 
