--- a/hyssoptack/entry/actioncoordinator.py
+++ b/hyssoptack/entry/actioncoordinator.py
@@ -1,9 +1,10 @@
 """Coordinates non-idempotent requests for the instance that received them.
 
 Selects the upstream and the instance that owns it, and has that instance
-execute the action. If the executor does not answer, the coordinator bars the
-request in its claim before it reports "not run", so that the report stays true
-even if the executor resumes later.
+execute the action. If the executor does not answer, the coordinator marks the
+request in its claim as barred, which forbids every executor to send it, before
+it reports "not run". The report then stays true even if the executor resumes
+later.
 """
 
 import asyncio
@@ -27,11 +28,11 @@
 from hyssoptack.policy import routing
 from hyssoptack.relay import relay
 
-SETTLE_SHARE_RATIO = 0.3
-"""Part of the deadline reserved to determine the outcome if the executor does
+OUTCOME_RESERVE_RATIO = 0.3
+"""Fraction of the deadline reserved to determine the outcome if the executor does
 not answer."""
 
-SETTLE_TRY_COUNT = 6
+OUTCOME_TRY_COUNT = 6
 
 SendTo = collections.abc.Callable[[str, message.Message], bool]
 
@@ -55,6 +56,7 @@
         self._own_id = instance_state.settings.instance_id
         self._request_numbers = itertools.count(1)
         self._random = random.Random()
+        # By request id; None means that the message to the executor was not sent.
         self._pending_outcomes: dict[
             str, asyncio.Future[action.Outcome | None]
         ] = {}
@@ -101,7 +103,7 @@
                 f"no way to upstream {upstream.upstream_id} now",
             )
         request_id = f"{self._state.incarnation}.r{next(self._request_numbers)}"
-        execution_ms = request.deadline_ms * (1.0 - SETTLE_SHARE_RATIO)
+        execution_ms = request.deadline_ms * (1.0 - OUTCOME_RESERVE_RATIO)
         ask = message.ActionAsk(
             origin=self._own_id,
             request_id=request_id,
@@ -149,7 +151,7 @@
             if not self._send_to(path.instance_id, ask):
                 return _not_sent_outcome()
             if not await timeouts.wait_until_done(done, ask.remaining_ms):
-                return await self._settle_unanswered(ask)
+                return await self._determine_outcome(ask)
             outcome = done.result()
             if outcome is not None:
                 self._state.pending_answers.record_response(path.instance_id)
@@ -169,18 +171,18 @@
         if done is not None and not done.done():
             done.set_result(None)
 
-    async def _settle_unanswered(
+    async def _determine_outcome(
         self, ask: message.ActionAsk
     ) -> action.Outcome:
         """Determines the outcome after the executor did not answer.
 
-        Bars the request in the claim, so that "not run" stays true even if the
-        executor resumes later.
+        Marks the request in the claim as barred, so that "not run" stays true
+        even if the executor resumes later.
         """
         digest = claim.digest_of(ask.action)
         key = claim.key_of(ask.action)
         ttl_ms = self._ttl_ms(ask.action.service)
-        for _ in range(SETTLE_TRY_COUNT):
+        for _ in range(OUTCOME_TRY_COUNT):
             read = await self._claim_store.read(key)
             if read is None:
                 break
--- a/hyssoptack/entry/actionexecutor.py
+++ b/hyssoptack/entry/actionexecutor.py
@@ -30,7 +30,9 @@
 MS_PER_S = 1000.0
 CLAIM_TRY_COUNT = 6
 RECORD_TRY_COUNT = 8
-RECORD_WAIT_MS = 250.0
+# Upper bound of the random wait before the first retry; it doubles at each
+# further retry.
+RECORD_BACKOFF_BASE_MS = 250.0
 
 _CHART = chart.load("action")
 
@@ -75,7 +77,9 @@
                 the event.
         """
         if not _CHART.accepts(self.chart_state, event):
-            raise chart.BrokenInvariant(f"{event} in {self.chart_state}")
+            raise chart.BrokenInvariant(
+                f"event {event} has no transition in state {self.chart_state}"
+            )
         self.chart_state = _CHART.step(self.chart_state, event)
 
 
@@ -195,8 +199,8 @@
         """Writes a claim and returns what the store then holds.
 
         Returns:
-            The claim (None if absent) and its version; None alone if the store
-            did not answer or its value can't be decoded.
+            The claim (None if absent) and its version; None in place of the
+            pair if the store did not answer or its value can't be decoded.
         """
         written = await self._claim_store.write(
             attempt.key, new_claim, version, attempt.ttl_ms
@@ -259,7 +263,10 @@
         await self._write_with_retries(attempt, new_claim)
 
     async def _release_claim(self, attempt: _Attempt, note: str) -> None:
-        """Releases the claim, if it exists, so that the key is usable again."""
+        """Releases the claim, if it exists, and bars this request in it.
+
+        Other requests may then use the key.
+        """
         new_claim = claim.released_claim(
             attempt.held, attempt.request_id, attempt.digest, note
         )
@@ -284,7 +291,7 @@
                         return
                     case expression.Result(error=store.Conflict()):
                         return
-            wait_ms = RECORD_WAIT_MS * 2**retry * self._random.random()
+            wait_ms = RECORD_BACKOFF_BASE_MS * 2**retry * self._random.random()
             await asyncio.sleep(wait_ms / MS_PER_S)
         log.write(
             log.Event.ACTION_UNRECORDED,
--- a/hyssoptack/entry/burncounts.py
+++ b/hyssoptack/entry/burncounts.py
@@ -1,10 +1,10 @@
-"""Counts answers, refusals and calls per time slice, for the burn report."""
+"""Counts answers, refusals and calls per time slice, to compute burn rates."""
 
 import collections
 import dataclasses
 
 SLICE_MS = 10_000.0
-KEEP_COUNT = 360
+SLICE_LIMIT_COUNT = 360
 """Number of slices kept: one hour."""
 
 LATENCY_BOUNDS_MS = (
@@ -18,7 +18,8 @@
     """Counts of one service in one time slice.
 
     Attributes:
-        answered_count: Requests with a complete answer.
+        answered_count: Requests that were answered, with full or partial
+            coverage.
         late_count: Those of them answered after the profile's deadline.
         refused: Number of refusals by reason.
         covered_sum: Sum of the answers' coverage ratios.
@@ -51,7 +52,7 @@
         counts = slices.get(index)
         if counts is None:
             counts = slices[index] = ServiceCounts()
-            while len(slices) > KEEP_COUNT:
+            while len(slices) > SLICE_LIMIT_COUNT:
                 slices.popitem(last=False)
         return counts
 
@@ -63,7 +64,7 @@
         coverage_ratio: float,
         now_ms: float,
     ) -> None:
-        """Counts a complete answer."""
+        """Counts an answer, whatever its coverage."""
         counts = self._slice(service, now_ms)
         counts.answered_count += 1
         counts.late_count += elapsed_ms > deadline_ms
--- a/hyssoptack/entry/callerserver.py
+++ b/hyssoptack/entry/callerserver.py
@@ -279,6 +279,7 @@
         )
 
     def _query_outcome(self, service_name: str, key: str) -> Work:
+        # Called only for its checks of the instance and the service.
         self._effective_deadline_ms(service_name, None)
         self._require_actions(service_name)
         if not _KEY.fullmatch(key):
--- a/hyssoptack/entry/claimstore.py
+++ b/hyssoptack/entry/claimstore.py
@@ -55,8 +55,8 @@
         """Reads a claim.
 
         Returns:
-            The claim (None if absent) and its version; None alone if the store
-            can't be read or its value can't be decoded.
+            The claim (None if absent) and its version; None in place of the
+            pair if the store can't be read or its value can't be decoded.
         """
         loop = asyncio.get_running_loop()
         result = await loop.run_in_executor(self._threads, self._store.get, key)
@@ -73,8 +73,8 @@
     """Decodes a stored claim.
 
     Returns:
-        The claim (None if absent) and its version; None alone if the value
-        can't be decoded.
+        The claim (None if absent) and its version; None in place of the pair if
+        the value can't be decoded.
     """
     match found:
         case store.Absent():
--- a/hyssoptack/entry/daemon.py
+++ b/hyssoptack/entry/daemon.py
@@ -40,7 +40,8 @@
 IDLE_CHECK_MS = 20.0
 THREAD_COUNT = 32
 EXIT_OK = 0
-EXIT_BROKEN = 70
+# EX_SOFTWARE of sysexits.h.
+EXIT_INTERNAL_ERROR = 70
 
 
 class Daemon:
@@ -54,7 +55,7 @@
     ):
         self._settings = settings
         self._loop = asyncio.get_running_loop()
-        self._hurry = asyncio.Event()
+        self._second_signal = asyncio.Event()
         self._stop_requested = asyncio.Event()
         self._threads = concurrent.futures.ThreadPoolExecutor(
             THREAD_COUNT, thread_name_prefix="platform"
@@ -173,33 +174,35 @@
         hurried = self._stop_requested.is_set()
         log.write(log.Event.STOP_ASKED, hurried=hurried)
         if hurried:
-            self._hurry.set()
+            self._second_signal.set()
         self._stop_requested.set()
 
     async def _shut_down(self) -> None:
         """Announces the shutdown, waits for the load balancer and drains.
 
-        Waits for the balancer's lag, so that it stops sending requests, and
-        then until all work is finished or the drain limit is reached. A second
-        signal ends both waits.
+        Waits `balancer_lag_ms`, within which the load balancer stops sending
+        requests, and then until all work is finished or the drain limit is
+        reached. A second signal ends both waits.
         """
         shutdown = self._settings.shutdown
         self._state.apply_event("stop_asked")
         self._gossip.broadcast_heartbeat()
         if self._state.chart_state == "leaving":
-            await self._wait_unless_hurried(shutdown.balancer_lag_ms)
+            await self._wait_for_second_signal(shutdown.balancer_lag_ms)
             self._state.apply_event("balancer_informed")
         limit_at_ms = clock.now_ms() + shutdown.drain_limit_ms
         while not self._is_idle():
-            if clock.now_ms() >= limit_at_ms or self._hurry.is_set():
+            if clock.now_ms() >= limit_at_ms or self._second_signal.is_set():
                 self._state.apply_event("drain_limit")
                 return
             await asyncio.sleep(IDLE_CHECK_MS / MS_PER_S)
         self._state.apply_event("idle")
 
-    async def _wait_unless_hurried(self, wait_ms: float) -> None:
+    async def _wait_for_second_signal(self, wait_ms: float) -> None:
         try:
-            await asyncio.wait_for(self._hurry.wait(), wait_ms / MS_PER_S)
+            await asyncio.wait_for(
+                self._second_signal.wait(), wait_ms / MS_PER_S
+            )
         except TimeoutError:
             return
 
@@ -329,7 +332,7 @@
     """
     detail = "".join(traceback.format_exception(error))
     log.write(log.Event.INSTANCE_BROKEN, error=detail)
-    os._exit(EXIT_BROKEN)
+    os._exit(EXIT_INTERNAL_ERROR)
 
 
 async def _main(
@@ -353,8 +356,8 @@
 
     Args:
         settings: Settings of the instance.
-        hedge_policy: Policy for hedged calls; by default after the profile's
-            quantile. Benchmarks set others.
+        hedge_policy: Policy for hedged calls; by default a call is hedged once it
+            is slower than the profile's quantile. Benchmarks set others.
         admission_policy: Admission policy for queries; by default adaptive.
             Benchmarks set others.
     """
--- a/hyssoptack/entry/operatorserver.py
+++ b/hyssoptack/entry/operatorserver.py
@@ -1,4 +1,4 @@
-"""HTTP server for operators: metrics, probes, status and burn report."""
+"""HTTP server for operators: metrics, probes, status and burn counts."""
 
 import asyncio
 import collections.abc
--- a/hyssoptack/entry/querycoordinator.py
+++ b/hyssoptack/entry/querycoordinator.py
@@ -106,7 +106,7 @@
             request: The query. Its service must be in the catalog.
 
         Returns:
-            The complete answer, or a refusal.
+            The answer, which may cover only part of the keys, or a refusal.
         """
         now_ms = clock.now_ms()
         service = self._state.catalog.services[request.service]
@@ -358,7 +358,7 @@
     def on_undelivered(
         self, instance_id: str, sub_query: message.SubQuery
     ) -> None:
-        """Treats the calls of a sub-query that could not be sent as not owned.
+        """Answers each call of a sub-query that was not sent with `NOT_OWNER`.
 
         Args:
             instance_id: Peer that could not be reached.
@@ -427,9 +427,13 @@
                     now_ms,
                 )
                 self._metrics.requests.inc({**labels, "result": "answered"})
-                name = {"service": request.service}
-                self._metrics.answer_latency_ms.observe(name, elapsed_ms)
-                self._metrics.last_coverage_ratio.set(name, coverage_ratio)
+                service_labels = {"service": request.service}
+                self._metrics.answer_latency_ms.observe(
+                    service_labels, elapsed_ms
+                )
+                self._metrics.last_coverage_ratio.set(
+                    service_labels, coverage_ratio
+                )
             case refusal.Refusal(reason=reason):
                 self._burn_counts.record_refusal(
                     request.service, reason.value, now_ms
--- a/hyssoptack/entry/state.py
+++ b/hyssoptack/entry/state.py
@@ -20,18 +20,20 @@
 
 _CHART = chart.load("instance")
 OWNERSHIP_VALID_RATIO = 0.5
-"""Ownership expires unless it is renewed within this part of the list's lag."""
+"""Fraction of `instance_list_lag_ms` for which ownership stays valid without
+renewal."""
 
 GONE_AFTER_LAGS_COUNT = 2.0
-"""An instance not seen for this many list lags is gone, provided that the list
-is being read."""
+"""Multiple of `instance_list_lag_ms` after which an unseen instance counts as
+gone, provided that the list is being read."""
 
 RECENT_SENDER_LIMIT_COUNT = 16
 """Number of most recent senders from which a heartbeat selects the instances
 to pass on."""
 
 RETENTION_LAGS_COUNT = 10
-"""Incarnations not seen for this many list lags are removed from the roster."""
+"""Multiple of `instance_list_lag_ms` after which an unseen incarnation is
+removed from the roster."""
 
 
 class InstanceState:
@@ -51,8 +53,9 @@
         retry_budgets: Budgets of extra calls, by service.
         router: Selects paths to upstreams.
         plan_context: State that query plans use.
-        visible_since_ms: Time since which this process is in the platform's
-            list without a long pause; 0 if it is not listed yet.
+        visible_since_ms: Time at which this process was first in the
+            platform's instance list, or at which its last long pause ended, if
+            later; 0 before both.
     """
 
     def __init__(
@@ -177,9 +180,9 @@
     def refresh(self, own_relay: relay.Relay, now_ms: float) -> None:
         """Updates the routing view and renews the ownership of upstreams.
 
-        Runs periodically. After a long pause of the process, its view may be
-        out of date: it gives up its upstreams until it has been visible again
-        for long enough.
+        Runs periodically. After the process was paused for longer than its
+        ownership is valid, its routing view may be out of date: the instance
+        then owns no upstream until `ownership.may_use_shares` permits it again.
 
         Args:
             own_relay: Relay that receives the owned upstreams.
@@ -200,6 +203,7 @@
             self.visible_since_ms, lag_ms, now_ms
         )
         owned = self._owned if may_own else frozenset()
+        # Ownership is valid for at least 100 ms, whatever the lag of the list.
         own_relay.set_owned_upstreams(
             self.catalog, owned, now_ms + max(valid_ms, 100.0)
         )
--- a/hyssoptack/relay/client.py
+++ b/hyssoptack/relay/client.py
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class ActBody:
+class ActRequest:
     """JSON body of a non-idempotent request to an upstream."""
 
     key: str
@@ -192,7 +192,7 @@
             attempt_id: Identifier of the attempt, sent to the upstream.
             remaining_ms: Time left for the call, in milliseconds.
         """
-        body = ActBody(
+        body = ActRequest(
             key=request.idempotency_key,
             attempt_id=attempt_id,
             subject=request.subject,
@@ -208,7 +208,7 @@
             call.cancel()
         return MayHaveRun(detail="no answer from the upstream in time")
 
-    async def _post_act(self, url: str, body: ActBody) -> ActionResult:
+    async def _post_act(self, url: str, body: ActRequest) -> ActionResult:
         timeout = aiohttp.ClientTimeout(
             total=None, sock_connect=CONNECT_TIMEOUT_MS / MS_PER_S
         )
--- a/hyssoptack/relay/relay.py
+++ b/hyssoptack/relay/relay.py
@@ -23,7 +23,7 @@
 reply still arrives in time."""
 
 OnReplies = collections.abc.Callable[[tuple[message.UpstreamReply, ...]], None]
-OnDraining = collections.abc.Callable[[str], None]
+OnDrain = collections.abc.Callable[[str], None]
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -57,7 +57,7 @@
         settings: instance.RelaySettings,
         upstream_client: client.UpstreamClient,
         upstream_health: health.HealthTracker,
-        on_drain: OnDraining,
+        on_drain: OnDrain,
     ):
         self._settings = settings
         self._client = upstream_client
@@ -267,7 +267,8 @@
             upstream: Upstream that receives the request.
             request: Action to send; the caller holds its claim.
             attempt_id: Identifier of the attempt that holds the claim.
-            expires_ms: Time after which nothing is sent.
+            expires_ms: Deadline of the call: nothing is sent after it, and the
+                answer is awaited only until then.
 
         Returns:
             The result; `DidNotRun` if the request was never sent.
--- a/hyssoptack/relay/upstreamqueue.py
+++ b/hyssoptack/relay/upstreamqueue.py
@@ -25,7 +25,8 @@
         urgency: Urgency class, which sets the priority.
         expires_ms: Time after which its reply is of no use.
         run: Coroutine function that makes the call.
-        on_dropped: Called with a status if the call is dropped unmade.
+        on_dropped: Called with a status if the call is dropped before it
+            starts.
         task: Task of the call; None until it holds a slot.
         started: Whether the code of `run` has started.
         cancelled: Whether the call was cancelled or has expired.
--- a/hyssoptack/revisions/change.py
+++ b/hyssoptack/revisions/change.py
@@ -20,13 +20,13 @@
 from hyssoptack.settings import catalog as catalog_settings
 
 TRAIL_COUNT = 20
-SETTLE_TRY_COUNT = 10
-SETTLE_WAIT_S = 0.3
+HEAD_TRY_COUNT = 10
+HEAD_RETRY_WAIT_S = 0.3
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Head:
-    """The head of the chain of revisions.
+    """The head: the latest configuration revision in the store.
 
     Attributes:
         manifest: Manifest of the latest revision; None if there is none yet.
@@ -84,14 +84,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NotApplied:
-    """The store can't be reached; the change was certainly not applied."""
+    """The change was certainly not applied.
+
+    The store could not be read, or a part could not be stored.
+    """
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Unsettled:
-    """The store became unreachable after the write.
+    """The store's answers do not show whether the change was applied.
 
     `config history` shows later whether the change was applied.
 
@@ -109,8 +112,8 @@
 
 def read_head(
     client: store.StoreClient,
-) -> expression.Result[Head, store.Unreachable]:
-    """Reads the head of the chain from the store."""
+) -> expression.Result[Head, store.Unavailable]:
+    """Reads the head, the latest revision's manifest, from the store."""
     result = client.get(configuration.HEAD_KEY)
     return result.map(_parse_head)
 
@@ -118,13 +121,15 @@
 def _parse_head(found: store.ReadResult) -> Head:
     match found:
         case store.Stored(value=value, version=version):
-            manifest = configuration.read_manifest(value)
+            manifest = configuration.decode_manifest(value)
             return Head(manifest=manifest, version=version)
         case store.Absent():
             return Head(manifest=None, version=store.ABSENT_VERSION)
 
 
-def changed(old: dict[str, str], new: dict[str, str]) -> tuple[str, ...]:
+def changed_part_names(
+    old: dict[str, str], new: dict[str, str]
+) -> tuple[str, ...]:
     """Returns the names of the parts whose digests differ."""
     names = sorted(set(old) | set(new))
     return tuple(name for name in names if old.get(name) != new.get(name))
@@ -156,7 +161,7 @@
     digests = {
         name: catalog_settings.digest_of(text) for name, text in parts.items()
     }
-    changed_names = changed(head.part_digests(), digests)
+    changed_names = changed_part_names(head.part_digests(), digests)
     if expected_revision not in (None, head.revision()):
         return Overtaken(
             by=head.manifest or _empty_manifest(), changed_parts=changed_names
@@ -188,7 +193,7 @@
     """
     key = configuration.PART_PREFIX + digest
     match client.put(key, text, store.ABSENT_VERSION):
-        case expression.Result(error=store.Unreachable(detail=detail)):
+        case expression.Result(error=store.Unavailable(detail=detail)):
             return detail
         case _:
             return ""
@@ -227,7 +232,7 @@
 ) -> Outcome:
     text = configuration.manifest_text(manifest)
     detail = ""
-    for _ in range(SETTLE_TRY_COUNT):
+    for _ in range(HEAD_TRY_COUNT):
         written = client.put(configuration.HEAD_KEY, text, head.version)
         match written:
             case expression.Result(tag="ok"):
@@ -236,7 +241,7 @@
                 )
             case expression.Result(error=store.Conflict(current_value=found)):
                 current_head: Head | None = _parse_head(found)
-            case expression.Result(error=store.Unreachable(detail=detail)):
+            case expression.Result(error=store.Unavailable(detail=detail)):
                 current_head = _read_head_with_retries(client)
         if current_head is None:
             break
@@ -246,7 +251,7 @@
             case revision.Applied(revision=number):
                 return Applied(revision=number, changed_parts=changed_names)
             case revision.Overtaken(by=by):
-                differing_names = changed(by.parts, manifest.parts)
+                differing_names = changed_part_names(by.parts, manifest.parts)
                 return Overtaken(by=by, changed_parts=differing_names)
             case revision.NotWritten():
                 continue
@@ -254,18 +259,18 @@
 
 
 def _read_head_with_retries(client: store.StoreClient) -> Head | None:
-    for _ in range(SETTLE_TRY_COUNT):
+    for _ in range(HEAD_TRY_COUNT):
         match read_head(client):
             case expression.Result(tag="ok", ok=head):
                 return head
             case _:
-                time.sleep(SETTLE_WAIT_S)
+                time.sleep(HEAD_RETRY_WAIT_S)
     return None
 
 
 def read_parts(
     client: store.StoreClient, head: Head
-) -> expression.Result[dict[str, str], store.Unreachable]:
+) -> expression.Result[dict[str, str], store.Unavailable]:
     """Returns the texts of the head's parts, by part name."""
     parts = {}
     for name, digest in head.part_digests().items():
@@ -274,7 +279,7 @@
                 parts[name] = value
             case expression.Result(tag="ok"):
                 detail = f"part {name} is missing in the store"
-                return expression.Error(store.Unreachable(detail=detail))
+                return expression.Error(store.Unavailable(detail=detail))
             case expression.Result(error=unreachable):
                 return expression.Error(unreachable)
     return expression.Ok(parts)
--- a/hyssoptack/revisions/configuration.py
+++ b/hyssoptack/revisions/configuration.py
@@ -29,7 +29,7 @@
     return _ENCODER.encode(manifest).decode()
 
 
-def read_manifest(text: str) -> catalog.Manifest | None:
+def decode_manifest(text: str) -> catalog.Manifest | None:
     """Decodes a stored manifest; returns None if the text is not one."""
     try:
         return _DECODER.decode(text)
@@ -121,7 +121,7 @@
             `InForce` if the revision was accepted, `Lacking` if parts must be
             fetched first, otherwise `Ignored`.
         """
-        manifest = read_manifest(text)
+        manifest = decode_manifest(text)
         if manifest is None:
             return Ignored(reason="the offered head is not a valid manifest")
         if not revision.is_newer(self.revision(), manifest.revision):
@@ -164,6 +164,7 @@
                 revision=manifest.revision,
                 errors=[str(each) for each in errors],
             )
+            # The chart has no event of its own for an invalid configuration.
             self._apply_event("fetch_failed")
             return Ignored(reason=str(errors[0]))
         self.manifest = manifest
--- a/hyssoptack/revisions/members.py
+++ b/hyssoptack/revisions/members.py
@@ -10,7 +10,7 @@
 from hyssoptack.settings import instance
 
 STATUS_OK = 200
-STATUS_UNCHANGED = 304
+STATUS_NOT_MODIFIED = 304
 MS_PER_S = 1000.0
 
 
@@ -60,7 +60,7 @@
             )
         except urllib3.exceptions.HTTPError as error:
             return expression.Error(repr(error))
-        if response.status == STATUS_UNCHANGED:
+        if response.status == STATUS_NOT_MODIFIED:
             return expression.Ok(self._last_listing)
         if response.status != STATUS_OK:
             return expression.Error(
--- a/hyssoptack/revisions/store.py
+++ b/hyssoptack/revisions/store.py
@@ -46,14 +46,14 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Unreachable:
+class Unavailable:
     """No usable answer came; a write may or may not have taken effect."""
 
     detail: str
 
 
 ReadResult = Stored | Absent
-WriteFailure = Conflict | Unreachable
+WriteFailure = Conflict | Unavailable
 
 _DECODER = msgspec.json.Decoder(Stored)
 
@@ -68,13 +68,13 @@
             host, int(port), maxsize=POOL_COUNT, retries=False
         )
 
-    def get(self, key: str) -> expression.Result[ReadResult, Unreachable]:
+    def get(self, key: str) -> expression.Result[ReadResult, Unavailable]:
         """Returns the value of a key."""
         return self._read(f"/kv/{key}", self._settings.timeout_ms)
 
     def watch(
         self, key: str, after_version: int
-    ) -> expression.Result[ReadResult, Unreachable]:
+    ) -> expression.Result[ReadResult, Unavailable]:
         """Waits until a value has a later version or the long poll ends.
 
         Args:
@@ -99,8 +99,8 @@
             value: The new value.
             expected_version: Version that the key must have; `ABSENT_VERSION`
                 to create.
-            ttl_ms: Length of the lease after which the store removes the
-                value, in milliseconds; 0 for none.
+            ttl_ms: Time after which the store removes the value, in
+                milliseconds; 0 for never.
 
         Returns:
             The new version, or the reason why the value is not known to be
@@ -116,7 +116,7 @@
                 retries=False,
             )
         except urllib3.exceptions.HTTPError as error:
-            return expression.Error(Unreachable(detail=repr(error)))
+            return expression.Error(Unavailable(detail=repr(error)))
         if response.status == STATUS_OK:
             return _decode_stored(response.data).map(
                 lambda found: found.version
@@ -124,34 +124,34 @@
         if response.status == STATUS_CONFLICT:
             return _parse_conflict(response.data)
         detail = f"the store answered {response.status}"
-        return expression.Error(Unreachable(detail=detail))
+        return expression.Error(Unavailable(detail=detail))
 
     def _read(
         self, path: str, timeout_ms: float
-    ) -> expression.Result[ReadResult, Unreachable]:
+    ) -> expression.Result[ReadResult, Unavailable]:
         try:
             response = self._pool.request(
                 "GET", path, timeout=_timeout(timeout_ms), retries=False
             )
         except urllib3.exceptions.HTTPError as error:
-            return expression.Error(Unreachable(detail=repr(error)))
+            return expression.Error(Unavailable(detail=repr(error)))
         if response.status == STATUS_NOT_FOUND:
             return expression.Ok(Absent())
         if response.status == STATUS_OK:
             return _decode_stored(response.data)
         detail = f"the store answered {response.status}"
-        return expression.Error(Unreachable(detail=detail))
+        return expression.Error(Unavailable(detail=detail))
 
 
 def _timeout(timeout_ms: float) -> urllib3.Timeout:
     return urllib3.Timeout(total=timeout_ms / MS_PER_S)
 
 
-def _decode_stored(data: bytes) -> expression.Result[Stored, Unreachable]:
+def _decode_stored(data: bytes) -> expression.Result[Stored, Unavailable]:
     try:
         return expression.Ok(_DECODER.decode(data))
     except msgspec.DecodeError as error:
-        return expression.Error(Unreachable(detail=str(error)))
+        return expression.Error(Unavailable(detail=str(error)))
 
 
 def _parse_conflict(data: bytes) -> expression.Result[int, WriteFailure]:
