--- a/hyssoptack/entry/actioncoordinator.py
+++ b/hyssoptack/entry/actioncoordinator.py
@@ -2,9 +2,8 @@
 
 Selects the upstream and the instance that owns it, and has that instance
 execute the action. If the executor does not answer, the coordinator marks the
-request in its claim as barred, which forbids every executor to send it, before
-it reports "not run". The report then stays true even if the executor resumes
-later.
+request in its claim as barred before it reports "not run". No executor sends a
+barred request, so the report stays true even if the executor resumes later.
 """
 
 import asyncio
@@ -29,8 +28,8 @@
 from hyssoptack.relay import relay
 
 OUTCOME_RESERVE_RATIO = 0.3
-"""Fraction of the deadline reserved to determine the outcome if the executor does
-not answer."""
+"""Fraction of the deadline reserved to determine the outcome if the executor
+does not answer."""
 
 OUTCOME_TRY_COUNT = 6
 
@@ -56,7 +55,8 @@
         self._own_id = instance_state.settings.instance_id
         self._request_numbers = itertools.count(1)
         self._random = random.Random()
-        # By request id; None means that the message to the executor was not sent.
+        # By request id; a result of None means that the message to the
+        # executor was not sent.
         self._pending_outcomes: dict[
             str, asyncio.Future[action.Outcome | None]
         ] = {}
--- a/hyssoptack/entry/actionexecutor.py
+++ b/hyssoptack/entry/actionexecutor.py
@@ -263,7 +263,7 @@
         await self._write_with_retries(attempt, new_claim)
 
     async def _release_claim(self, attempt: _Attempt, note: str) -> None:
-        """Releases the claim, if it exists, and bars this request in it.
+        """Releases the claim, if it exists, and marks this request as barred.
 
         Other requests may then use the key.
         """
--- a/hyssoptack/entry/daemon.py
+++ b/hyssoptack/entry/daemon.py
@@ -356,8 +356,8 @@
 
     Args:
         settings: Settings of the instance.
-        hedge_policy: Policy for hedged calls; by default a call is hedged once it
-            is slower than the profile's quantile. Benchmarks set others.
+        hedge_policy: Policy for hedged calls; by default a call is hedged once
+            it is slower than the profile's quantile. Benchmarks set others.
         admission_policy: Admission policy for queries; by default adaptive.
             Benchmarks set others.
     """
--- a/hyssoptack/entry/querycoordinator.py
+++ b/hyssoptack/entry/querycoordinator.py
@@ -358,7 +358,7 @@
     def on_undelivered(
         self, instance_id: str, sub_query: message.SubQuery
     ) -> None:
-        """Answers each call of a sub-query that was not sent with `NOT_OWNER`.
+        """Replies `NOT_OWNER` to each call of a sub-query that was not sent.
 
         Args:
             instance_id: Peer that could not be reached.
--- a/hyssoptack/entry/state.py
+++ b/hyssoptack/entry/state.py
@@ -182,7 +182,7 @@
 
         Runs periodically. After the process was paused for longer than its
         ownership is valid, its routing view may be out of date: the instance
-        then owns no upstream until `ownership.may_use_shares` permits it again.
+        then owns no upstream for `instance_list_lag_ms`.
 
         Args:
             own_relay: Relay that receives the owned upstreams.
--- a/hyssoptack/revisions/change.py
+++ b/hyssoptack/revisions/change.py
@@ -94,7 +94,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Unsettled:
-    """The store's answers do not show whether the change was applied.
+    """The store did not confirm the write; its effect is not known.
 
     `config history` shows later whether the change was applied.
 
@@ -156,8 +156,8 @@
     match read_head(client):
         case expression.Result(tag="ok", ok=head):
             pass
-        case expression.Result(error=unreachable):
-            return NotApplied(detail=unreachable.detail)
+        case expression.Result(error=unavailable):
+            return NotApplied(detail=unavailable.detail)
     digests = {
         name: catalog_settings.digest_of(text) for name, text in parts.items()
     }
@@ -280,8 +280,8 @@
             case expression.Result(tag="ok"):
                 detail = f"part {name} is missing in the store"
                 return expression.Error(store.Unavailable(detail=detail))
-            case expression.Result(error=unreachable):
-                return expression.Error(unreachable)
+            case expression.Result(error=unavailable):
+                return expression.Error(unavailable)
     return expression.Ok(parts)
 
 
--- a/hyssoptack/revisions/members.py
+++ b/hyssoptack/revisions/members.py
@@ -64,7 +64,8 @@
             return expression.Ok(self._last_listing)
         if response.status != STATUS_OK:
             return expression.Error(
-                f"the instance list answered with HTTP status {response.status}"
+                "expected HTTP status 200 or 304 from the instance list, "
+                f"got {response.status}"
             )
         try:
             self._last_listing = _DECODER.decode(response.data)
--- a/hyssoptack/revisions/platformwatch.py
+++ b/hyssoptack/revisions/platformwatch.py
@@ -138,8 +138,8 @@
             case expression.Result(tag="ok"):
                 self._set_store_lost(False, "")
                 return bool(self._config.revision())
-            case expression.Result(error=unreachable):
-                self._set_store_lost(True, unreachable.detail)
+            case expression.Result(error=unavailable):
+                self._set_store_lost(True, unavailable.detail)
                 return False
 
     async def _apply_head(self, head: store.Stored) -> bool:
