--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,4 +1,4 @@
-"""A randomized soak: real gateways as processes, faults from outside them.
+"""A randomized soak test of gateway processes with injected faults.
 
-Needs nothing of the users' bench. `python -m soak.main --help` runs it.
+It does not depend on `bench`. See `python -m soak.main --help`.
 """
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,8 @@
-"""Callers of the gateways: kept and new connections, and some who leave."""
+"""Simulated gateway callers.
+
+They reuse some connections, open others, and disconnect at times before the
+response.
+"""
 
 import asyncio
 import dataclasses
@@ -12,15 +16,17 @@
 
 DEADLINE_MS = 1_500
 ANSWER_LIMIT_S = 3.0
-"""Longer than any deadline: what is unanswered then was held too long."""
+"""Time to wait for a response. It exceeds every request deadline, so a
+request without a response by then was held too long."""
 
 LEAVING_RATIO = 0.06
 KEPT_RATIO = 0.7
 THINK_RANGE_S = (0.0, 0.06)
 
-BAD_NUMBER = 0xBAD
-BAD_PAUSE_RANGE_S = (0.05, 0.5)
-"""Between two of a caller that does not wait for upstreams' return (2 s)."""
+CRASHING_CALLER_NUMBER = 0xBAD
+CRASH_PAUSE_RANGE_S = (0.05, 0.5)
+"""Pause between two crashing requests. It is shorter than the 2 s that a crashed
+upstream needs to restart."""
 
 PATHS = (
     environment.SINGLE_PATH,
@@ -33,16 +39,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RequestRecord:
-    """One request and what became of it.
+    """A request that was sent, with its outcome and response.
 
     Attributes:
-        request_id: Its id.
-        gateway: Who was asked.
-        path: The route.
-        sent_ms: When its last byte left.
-        ended_ms: When the answer, or the connection's end, came.
-        outcome: `answered`, `cut`, `unanswered`, `left` or `unconnected`.
-        response: The answer; a status of 0 without one.
+        request_id: Value of its `X-Request-Id` header.
+        gateway: Name of the gateway that the request was sent to.
+        path: Path prefix of the route.
+        sent_ms: Monotonic time at which the last byte was sent.
+        ended_ms: Monotonic time at which the response arrived, the connection
+            ended or the caller stopped waiting.
+        outcome: `answered`, `cut` (connection closed without response),
+            `unanswered` (no response within the limit), `left` (the caller
+            disconnected) or `unconnected` (connection failed).
+        response: The response; its status is 0 if there is none.
     """
 
     request_id: str
@@ -54,42 +63,44 @@
     response: harness.Response
 
 
-_NOTHING = harness.Response(status=0, headers={}, body=b"")
+_NO_RESPONSE = harness.Response(status=0, headers={}, body=b"")
 
 
 class Caller:
-    """One caller: asks one request after the other."""
+    """A caller that sends one request after the other."""
 
     def __init__(self, number: int, seed: int, gateways: dict[str, str]):
         self._number = number
         self._gateways = gateways
-        self._dice = random.Random(f"{seed}/{number}")
-        self._kept: dict[
+        self._random = random.Random(f"{seed}/{number}")
+        self._idle_connections: dict[
             str, tuple[asyncio.StreamReader, asyncio.StreamWriter]
         ] = {}
         self.sent_requests: list[RequestRecord] = []
 
-    async def send_until(self, over: asyncio.Event) -> None:
-        """Asks until told that the run is over."""
+    async def send_until(self, stopped: asyncio.Event) -> None:
+        """Sends requests until the event is set, then closes its connections."""
         for serial in itertools.count():
-            if over.is_set():
+            if stopped.is_set():
                 break
-            await self._ask(f"{self._number:x}-{serial:x}")
-            await asyncio.sleep(self._dice.uniform(*THINK_RANGE_S))
-        for _, writer in self._kept.values():
+            await self._send_next(f"{self._number:x}-{serial:x}")
+            await asyncio.sleep(self._random.uniform(*THINK_RANGE_S))
+        for _, writer in self._idle_connections.values():
             writer.close()
 
-    async def _ask(self, request_id: str) -> None:
-        path = self._dice.choice(PATHS)
+    async def _send_next(self, request_id: str) -> None:
+        path = self._random.choice(PATHS)
         await self._send(request_id, path, environment.NORMAL_SUFFIX)
 
-    async def _send(self, request_id: str, path: str, tail: bytes) -> None:
-        gateway = self._dice.choice(tuple(self._gateways))
+    async def _send(
+        self, request_id: str, path: str, path_suffix: bytes
+    ) -> None:
+        gateway = self._random.choice(tuple(self._gateways))
         method = "POST" if path == environment.NON_IDEMPOTENT_PATH else "GET"
         body = b"book" if path == environment.NON_IDEMPOTENT_PATH else b""
         data = message.request_bytes(
             method.encode(),
-            path.encode() + tail,
+            path.encode() + path_suffix,
             [
                 (b"Host", environment.HOST.encode()),
                 (b"X-Request-Id", request_id.encode()),
@@ -101,15 +112,15 @@
         try:
             reader, writer = await self._connection(gateway)
         except OSError:
-            self._note(request_id, gateway, path, sent_ms, "unconnected")
+            self._record(request_id, gateway, path, sent_ms, "unconnected")
             return
         writer.write(data)
         sent_ms = clock.now_ms()
-        await self._await_answer(
+        await self._await_response(
             request_id, gateway, path, sent_ms, reader, writer
         )
 
-    async def _await_answer(
+    async def _await_response(
         self,
         request_id: str,
         gateway: str,
@@ -118,43 +129,49 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        leaves = self._dice.random() < LEAVING_RATIO
-        limit_s = self._dice.uniform(0.002, 0.02) if leaves else ANSWER_LIMIT_S
+        leaves = self._random.random() < LEAVING_RATIO
+        limit_s = (
+            self._random.uniform(0.002, 0.02) if leaves else ANSWER_LIMIT_S
+        )
         try:
             async with asyncio.timeout(limit_s):
-                got = await harness.read_response(reader)
+                response = await harness.read_response(reader)
         except TimeoutError:
             writer.transport.abort()
-            ended = "left" if leaves else "unanswered"
-            self._note(request_id, gateway, path, sent_ms, ended)
+            outcome = "left" if leaves else "unanswered"
+            self._record(request_id, gateway, path, sent_ms, outcome)
             return
         except (asyncio.IncompleteReadError, ConnectionError):
-            got = _NOTHING
-        ended = "answered" if got.status else "cut"
-        closes = got.headers.get("connection", "").lower() == "close"
-        if got.status and not closes and self._dice.random() < KEPT_RATIO:
-            self._kept[gateway] = (reader, writer)
+            response = _NO_RESPONSE
+        outcome = "answered" if response.status else "cut"
+        closes = response.headers.get("connection", "").lower() == "close"
+        if (
+            response.status
+            and not closes
+            and self._random.random() < KEPT_RATIO
+        ):
+            self._idle_connections[gateway] = (reader, writer)
         else:
             writer.close()
-        self._note(request_id, gateway, path, sent_ms, ended, got)
+        self._record(request_id, gateway, path, sent_ms, outcome, response)
 
     async def _connection(
         self, gateway: str
     ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        kept = self._kept.pop(gateway, None)
-        if kept is not None and not kept[0].at_eof():
-            return kept
+        idle = self._idle_connections.pop(gateway, None)
+        if idle is not None and not idle[0].at_eof():
+            return idle
         host, _, port = self._gateways[gateway].rpartition(":")
         return await asyncio.open_connection(host, int(port))
 
-    def _note(
+    def _record(
         self,
         request_id: str,
         gateway: str,
         path: str,
         sent_ms: float,
-        ended: str,
-        got: harness.Response = _NOTHING,
+        outcome: str,
+        response: harness.Response = _NO_RESPONSE,
     ) -> None:
         self.sent_requests.append(
             RequestRecord(
@@ -163,19 +180,19 @@
                 path=path,
                 sent_ms=sent_ms,
                 ended_ms=clock.now_ms(),
-                outcome=ended,
-                response=got,
+                outcome=outcome,
+                response=response,
             )
         )
 
 
 class CrashingCaller(Caller):
-    """A caller that sends a request time and again that crashes upstreams."""
+    """A caller that repeatedly sends a request that crashes upstreams."""
 
     def __init__(self, path: str, seed: int, gateways: dict[str, str]):
-        super().__init__(BAD_NUMBER, seed, gateways)
+        super().__init__(CRASHING_CALLER_NUMBER, seed, gateways)
         self._path = path
 
-    async def _ask(self, request_id: str) -> None:
-        await asyncio.sleep(self._dice.uniform(*BAD_PAUSE_RANGE_S))
+    async def _send_next(self, request_id: str) -> None:
+        await asyncio.sleep(self._random.uniform(*CRASH_PAUSE_RANGE_S))
         await self._send(request_id, self._path, environment.CRASHING_SUFFIX)
--- a/soak/environment.py
+++ b/soak/environment.py
@@ -1,4 +1,4 @@
-"""What stands around the gateways: store, upstreams, configurations, links."""
+"""The environment of the gateways: store, upstreams, configurations, links."""
 
 import asyncio
 import dataclasses
@@ -16,18 +16,18 @@
 SINGLE_PATH, NON_IDEMPOTENT_PATH, FANOUT_PATH = "/single/", "/once/", "/all/"
 MOVED_PATH = "/moved/"
 NORMAL_SUFFIX, CRASHING_SUFFIX = b"x", b"bad"
-"""What follows a route's prefix in requests, and in those that crash."""
+"""Path suffix of normal requests and of requests that crash an upstream."""
 
 REPLICA_COUNT = 3
-"""Upstreams of a service at first: one more than a request may be sent to."""
+"""Initial upstreams of a service: one more than a request may be sent to."""
 
 MAX_ATTEMPTS_COUNT = 2
 TOP_COUNT = 4
 COVERAGE_FLOOR_RATIO = 0.6
 UPSTREAM_MS = (2.0, 25.0)
 LEAVE_MS = 6_000.0
-"""From an upstream's word that it leaves to its end: longer than the gateways
-have to heed it."""
+"""Time from the announcement that an upstream leaves to its end. It is longer
+than the time within which the gateways must stop using the upstream."""
 
 SHARD_SERVICES = tuple(f"shard-{number}" for number in range(SHARD_COUNT))
 UNSHARDED_SERVICES = ("desk-a", "desk-b")
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Run:
-    """One run of a request at an upstream."""
+    """One execution of a request by an upstream."""
 
     at_ms: float
     upstream_id: str
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ConfigVersion:
-    """A configuration as it was written, for the referee."""
+    """A configuration version that was written to the store."""
 
     at_ms: float
     number: int
@@ -53,16 +53,16 @@
 
 
 class RecordingUpstream(fakeupstream.FakeUpstream):
-    """A stand-in whose runs are kept with their times."""
+    """A fake upstream that records each execution with its time."""
 
     def __init__(
-        self, world: "Environment", upstream_id: str, service_name: str
+        self, recorder: "Environment", upstream_id: str, service_name: str
     ):
-        dice = random.Random(upstream_id)
-        records = b"".join(dice.randbytes(16) for _ in range(5))
+        rng = random.Random(upstream_id)
+        records = b"".join(rng.randbytes(16) for _ in range(5))
         super().__init__(upstream_id, records)
         self.service_name = service_name
-        self.on_run = lambda request_id: world.record_run(
+        self.on_run = lambda request_id: recorder.record_run(
             request_id.decode(),
             Run(
                 at_ms=clock.now_ms(),
@@ -70,13 +70,13 @@
                 service=service_name,
             ),
         )
-        self.behaviour.delay_ms = dice.uniform(*UPSTREAM_MS)
-        self.behaviour.crashes_on = world.crashing_target
-        self.on_crash = lambda: world.record_crash(self)
+        self.behaviour.delay_ms = rng.uniform(*UPSTREAM_MS)
+        self.behaviour.crashes_on = recorder.crashing_target
+        self.on_crash = lambda: recorder.record_crash(self)
 
 
 class Environment:
-    """All stand-ins of one run, in the soak's own process."""
+    """All stand-ins of one soak run, which run in the soak process."""
 
     def __init__(self, seed: int) -> None:
         self.store = kvstore.Store()
@@ -86,12 +86,12 @@
         self.config_versions: list[ConfigVersion] = []
         self.departure_ms: dict[str, float] = {}
         self.crash_times_ms: list[float] = []
-        self._dice = random.Random(seed)
-        self.crashing_path = self._dice.choice(
+        self._random = random.Random(seed)
+        self.crashing_path = self._random.choice(
             (SINGLE_PATH, NON_IDEMPOTENT_PATH, FANOUT_PATH, FANOUT_PATH)
         )
         self._tasks: set[asyncio.Task[None]] = set()
-        self._counts: dict[str, int] = {}
+        self._added_counts: dict[str, int] = {}
 
     async def start(self) -> None:
         """Starts the store and the upstreams of each service."""
@@ -103,11 +103,11 @@
 
     @property
     def crashing_target(self) -> bytes:
-        """The path of the request that crashes the upstreams that run it."""
+        """The path of the request that crashes any upstream that executes it."""
         return self.crashing_path.encode() + CRASHING_SUFFIX
 
     def record_crash(self, crashed: RecordingUpstream) -> None:
-        """Keeps a crash for the referee; its port refuses meanwhile."""
+        """Records a crash and closes the upstream's link until it restarts."""
         self.crash_times_ms.append(clock.now_ms())
         link = self.links[crashed.upstream_id]
         link.stop()
@@ -118,7 +118,7 @@
         task.add_done_callback(self._tasks.discard)
 
     def stop(self) -> None:
-        """Closes all ports."""
+        """Closes all ports and cancels pending reopenings of links."""
         for each in tuple(self._tasks):
             each.cancel()
         for each in (*self.links.values(), *self.upstreams.values()):
@@ -126,28 +126,28 @@
         self.store.stop()
 
     def record_run(self, request_id: str, run: Run) -> None:
-        """Keeps a run for the referee."""
+        """Records an execution of a request for the invariant checker."""
         self.runs_by_request.setdefault(request_id, []).append(run)
 
     async def add_link(self, name: str, target: str) -> str:
-        """Puts a proxy before a target; returns the proxy's address."""
+        """Starts a proxy in front of a target and returns the proxy's address."""
         made = self.links[name] = proxy.Proxy(target)
         await made.start()
         return made.address
 
     async def add_upstream(self, service_name: str) -> str:
-        """Starts an upstream behind a link and lists it."""
-        number = self._counts.get(service_name, 0)
-        self._counts[service_name] = number + 1
+        """Starts an upstream behind a link, registers it and returns its id."""
+        number = self._added_counts.get(service_name, 0)
+        self._added_counts[service_name] = number + 1
         upstream_id = f"i-{service_name}-{number}"
         added = RecordingUpstream(self, upstream_id, service_name)
         await added.start()
         self.upstreams[upstream_id] = added
         address = await self.add_link(upstream_id, added.address)
-        self._enter(upstream_id, address, "ready")
+        self._register(upstream_id, address, "ready")
         return upstream_id
 
-    def _enter(self, upstream_id: str, address: str, state: str) -> None:
+    def _register(self, upstream_id: str, address: str, state: str) -> None:
         entry = {
             "service": self.upstreams[upstream_id].service_name,
             "address": address,
@@ -161,7 +161,7 @@
         self.store.put(f"servers/{upstream_id}", json.dumps(entry).encode())
 
     def active_upstreams(self, service_name: str) -> list[RecordingUpstream]:
-        """Returns the upstreams of a service that have not left."""
+        """Returns the upstreams of a service that are not leaving or gone."""
         return [
             each
             for name, each in self.upstreams.items()
@@ -170,12 +170,18 @@
         ]
 
     async def replace_upstream(self, service_name: str, drains: bool) -> None:
-        """Lets a new upstream come, then the oldest one leave."""
+        """Adds an upstream to a service, then removes the oldest one.
+
+        Args:
+            service_name: The service.
+            drains: Whether the old upstream first announces that it is
+                draining; otherwise its entry is removed at once.
+        """
         oldest = self.active_upstreams(service_name)[0].upstream_id
         await self.add_upstream(service_name)
         self.departure_ms[oldest] = clock.now_ms()
         if drains:
-            self._enter(oldest, self.links[oldest].address, "draining")
+            self._register(oldest, self.links[oldest].address, "draining")
             await asyncio.sleep(LEAVE_MS / 1000.0)
         self.store.remove(f"servers/{oldest}")
         if not drains:
@@ -183,14 +189,14 @@
         self.links[oldest].set_mode(faults.LinkMode.RESET)
 
     def write_configuration(self) -> None:
-        """Writes a configuration that sends one route elsewhere."""
+        """Writes a configuration that moves one route to the other service."""
         last = self.config_versions[-1] if self.config_versions else None
         moved_to = (
             UNSHARDED_SERVICES[1]
             if last and last.moved_route_service == UNSHARDED_SERVICES[0]
             else UNSHARDED_SERVICES[0]
         )
-        number = (last.number if last else 0) + self._dice.randint(1, 9)
+        number = (last.number if last else 0) + self._random.randint(1, 9)
         self.config_versions.append(
             ConfigVersion(
                 at_ms=clock.now_ms(),
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,7 +1,7 @@
-"""What goes wrong in a run, and when: all of it follows from the seed.
+"""The faults of a soak run and their schedule, both drawn from the seed.
 
-Faults overlap, and come in series: a run is worth little where one trouble is
-over before the next begins.
+Faults overlap, because a run in which each fault ends before the next begins
+finds few errors.
 """
 
 import dataclasses
@@ -9,7 +9,8 @@
 import random
 
 MEAN_GAP_MS = 450.0
-"""Between two faults; most last longer, so that some two to four overlap."""
+"""Mean time between two faults. Most faults last longer, so that about two to
+four overlap."""
 
 PAUSE_RANGE_MS = (300.0, 2_500.0)
 DOWN_RANGE_MS = (100.0, 1_500.0)
@@ -17,17 +18,17 @@
 DELAY_RANGE_MS = (20.0, 400.0)
 
 SLOW_GAP_MS = 2_500.0
-"""Mean time between two gateways' becoming slow."""
+"""Mean time between two `ThrottleGateway` faults."""
 
 SLOW_RANGE_MS = (1_000.0, 3_000.0)
 THROTTLE_STOP_MS = 50.0
 THROTTLE_RUN_MS = 12.0
-"""A slow gateway stands still and runs by turns: longer than a neighbour waits
-for its word, shorter than what counts as a stop."""
+"""A throttled gateway is stopped and run in alternation. A stop is longer than
+its peers wait for its reply, but too short to be detected as a failure."""
 
 
 class LinkMode(enum.Enum):
-    """How a link treats its connections."""
+    """How a link handles its connections."""
 
     PASS = "pass"
     DELAY = "delay"
@@ -38,14 +39,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LinkFault:
-    """A link is harmed.
+    """A link fails for a time.
 
     Attributes:
-        name: A gateway's, for its way to the store, or a service's, for the
-            way of all gateways to its first upstream.
-        mode: How connections are treated.
-        duration_ms: How long.
-        delay_ms: Added to each chunk where the manner is a delay.
+        name: Name of a gateway, for its link to the store, or of a service, for
+            the link of all gateways to its first active upstream.
+        mode: How the link handles connections meanwhile.
+        duration_ms: Duration of the fault.
+        delay_ms: Delay of each chunk, for `LinkMode.DELAY`.
     """
 
     name: str
@@ -56,7 +57,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class StoreFault:
-    """The store answers nobody, or with 503, or loses the answers of writes."""
+    """The store fails for a time.
+
+    Attributes:
+        fault_name: Field of `kvstore.Faults` that is set meanwhile.
+        duration_ms: Duration of the fault.
+    """
 
     fault_name: str
     duration_ms: float
@@ -64,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PauseGateway:
-    """A gateway is stopped and goes on (SIGSTOP, SIGCONT)."""
+    """A gateway process is stopped and resumed (SIGSTOP, SIGCONT)."""
 
     gateway: str
     duration_ms: float
@@ -72,7 +78,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ThrottleGateway:
-    """A gateway gets little processor: it stops and runs by turns."""
+    """A gateway gets little processor time: it is stopped and resumed in turn."""
 
     gateway: str
     duration_ms: float
@@ -80,7 +86,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RestartGateway:
-    """A gateway is killed, or asked to stop, and starts again."""
+    """A gateway is terminated (SIGTERM if planned, else SIGKILL) and restarted."""
 
     gateway: str
     is_planned: bool
@@ -89,19 +95,24 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReloadGateway:
-    """A gateway gets SIGHUP."""
+    """A gateway receives SIGHUP."""
 
     gateway: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ChangeConfiguration:
-    """The operator writes a configuration: one route goes elsewhere."""
+    """A new configuration is written, which moves one route to another service."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReplaceUpstream:
-    """An upstream of a service leaves, with a word or without; one comes."""
+    """A new upstream replaces one of a service.
+
+    Attributes:
+        service: The service.
+        drains: Whether the old upstream announces that it is draining.
+    """
 
     service: str
     drains: bool
@@ -109,7 +120,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class UpstreamFault:
-    """An upstream treats its next requests badly (`fakeupstream.Behaviour`)."""
+    """An upstream mishandles requests.
+
+    Attributes:
+        service: The service whose first active upstream has the fault.
+        fault_name: Field of `fakeupstream.Behaviour` that is set.
+        count: Requests affected, for the fields that are counts.
+    """
 
     service: str
     fault_name: str
@@ -131,7 +148,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ScheduledFault:
-    """A fault and the time since the start at which it comes."""
+    """A fault and its time since the start of the run."""
 
     at_ms: float
     fault: Fault
@@ -143,75 +160,90 @@
     gateways: tuple[str, ...],
     services: tuple[str, ...],
 ) -> tuple[ScheduledFault, ...]:
-    """Draws the faults of a run."""
-    dice = random.Random(seed)
-    timed = []
+    """Returns the faults of a run in order of time.
+
+    Args:
+        seed: Seed of the random generators.
+        length_ms: Duration of the phase in which faults begin.
+        gateways: Names of the gateways.
+        services: Names of the services; repeated names are drawn more often.
+    """
+    rng = random.Random(seed)
+    scheduled = []
     at_ms = 500.0
     while at_ms < length_ms:
-        fault = _draw(dice, gateways, services)
-        timed.append(ScheduledFault(at_ms=at_ms, fault=fault))
-        at_ms += dice.expovariate(1.0 / MEAN_GAP_MS)
-    timed.extend(_slow_times(seed, length_ms, gateways))
-    return tuple(sorted(timed, key=lambda each: each.at_ms))
+        fault = _draw(rng, gateways, services)
+        scheduled.append(ScheduledFault(at_ms=at_ms, fault=fault))
+        at_ms += rng.expovariate(1.0 / MEAN_GAP_MS)
+    scheduled.extend(_draw_throttling(seed, length_ms, gateways))
+    return tuple(sorted(scheduled, key=lambda each: each.at_ms))
 
 
-def _slow_times(
+def _draw_throttling(
     seed: int, length_ms: float, gateways: tuple[str, ...]
 ) -> list[ScheduledFault]:
-    """Draws when gateways become slow, apart from all other faults."""
-    dice = random.Random(f"slow-{seed}")
-    timed = []
-    at_ms = dice.expovariate(1.0 / SLOW_GAP_MS)
+    """Draws `ThrottleGateway` faults from a random generator of their own."""
+    rng = random.Random(f"slow-{seed}")
+    scheduled = []
+    at_ms = rng.expovariate(1.0 / SLOW_GAP_MS)
     while at_ms < length_ms:
         fault = ThrottleGateway(
-            gateway=dice.choice(gateways),
-            duration_ms=dice.uniform(*SLOW_RANGE_MS),
+            gateway=rng.choice(gateways),
+            duration_ms=rng.uniform(*SLOW_RANGE_MS),
         )
-        timed.append(ScheduledFault(at_ms=at_ms, fault=fault))
-        at_ms += dice.expovariate(1.0 / SLOW_GAP_MS)
-    return timed
+        scheduled.append(ScheduledFault(at_ms=at_ms, fault=fault))
+        at_ms += rng.expovariate(1.0 / SLOW_GAP_MS)
+    return scheduled
 
 
 def _draw(
-    dice: random.Random, gateways: tuple[str, ...], services: tuple[str, ...]
+    rng: random.Random, gateways: tuple[str, ...], services: tuple[str, ...]
 ) -> Fault:
-    gateway = dice.choice(gateways)
-    service = dice.choice(services)
+    gateway = rng.choice(gateways)
+    service = rng.choice(services)
     kinds = ("link", "store", "pause", "restart", "reload", "configure")
-    often = ("link", "configure", "replace", "replace", *3 * ("spoil",))
-    match dice.choice((*kinds, *often)):
+    frequent_kinds = (
+        "link",
+        "configure",
+        "replace",
+        "replace",
+        *3 * ("spoil",),
+    )
+    match rng.choice((*kinds, *frequent_kinds)):
         case "link":
             return LinkFault(
-                name=dice.choice((gateway, service)),
-                mode=dice.choice(tuple(LinkMode)[1:]),
-                duration_ms=dice.uniform(*LINK_RANGE_MS),
-                delay_ms=dice.uniform(*DELAY_RANGE_MS),
+                name=rng.choice((gateway, service)),
+                mode=rng.choice(tuple(LinkMode)[1:]),
+                duration_ms=rng.uniform(*LINK_RANGE_MS),
+                delay_ms=rng.uniform(*DELAY_RANGE_MS),
             )
         case "store":
-            how = dice.choice(("down", "silent", "lose_writes", "compacted"))
+            fault_name = rng.choice(
+                ("down", "silent", "lose_writes", "compacted")
+            )
             return StoreFault(
-                fault_name=how, duration_ms=dice.uniform(*LINK_RANGE_MS)
+                fault_name=fault_name, duration_ms=rng.uniform(*LINK_RANGE_MS)
             )
         case "pause":
             return PauseGateway(
-                gateway=gateway, duration_ms=dice.uniform(*PAUSE_RANGE_MS)
+                gateway=gateway, duration_ms=rng.uniform(*PAUSE_RANGE_MS)
             )
         case "restart":
             return RestartGateway(
                 gateway=gateway,
-                is_planned=dice.random() < 0.6,
-                down_ms=dice.uniform(*DOWN_RANGE_MS),
+                is_planned=rng.random() < 0.6,
+                down_ms=rng.uniform(*DOWN_RANGE_MS),
             )
         case "reload":
             return ReloadGateway(gateway=gateway)
         case "replace":
-            return ReplaceUpstream(service=service, drains=dice.random() < 0.7)
+            return ReplaceUpstream(service=service, drains=rng.random() < 0.7)
         case "spoil":
-            how = dice.choice(
+            fault_name = rng.choice(
                 ("shed_count", *3 * ("reset_count",), "twice", "cut")
             )
             return UpstreamFault(
-                service=service, fault_name=how, count=dice.randint(4, 30)
+                service=service, fault_name=fault_name, count=rng.randint(4, 30)
             )
         case _:
             return ChangeConfiguration()
--- a/soak/invariants.py
+++ b/soak/invariants.py
@@ -1,8 +1,9 @@
-"""Checks the promises, from what callers got and what upstreams ran.
+"""Checks the invariants of a soak run.
 
-Promises with a time in them hold for gateways that were left alone: nothing
-was done to the gateway, its way to the store, or the store, from some seconds
-before the request to its end.
+The checks compare the responses that callers received with the requests that
+upstreams executed. Invariants with a time limit are checked for undisturbed
+gateways only: no fault affected the gateway, its link to the store or the store
+from `SETTLE_MS` before the request to its end.
 """
 
 import collections
@@ -14,31 +15,37 @@
 
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 SETTLE_MS = 4_000.0
-"""A gateway counts as left alone this long after the last harm."""
+"""Time after the last fault from which a gateway counts as undisturbed."""
 
-HEED_MS = 3_200.0
-"""A change must be heeded after this: the bound is 3 s, and a loaded machine
-writes and reads late."""
+APPLY_LIMIT_MS = 3_200.0
+"""Time within which a gateway must apply a change. The specified bound is 3 s;
+the rest allows for late writes and reads on a loaded machine."""
 
 LATE_MS = 700.0
-"""Past the deadline, an answer is held too long by this much."""
+"""Time after the deadline from which a response counts as held too long."""
 
 CALM_SERVED_RATIO = 0.95
-"""Part of the requests at the run's calm end that must be served: upstreams
-spoilt before it may still reset a few."""
+"""Minimum share of requests served in the phase without faults at the end of the
+run. Upstreams with an earlier fault may still reset a few."""
 
 CRASH_COUNT = 3
 CRASH_BOUND_MS = 4_000.0
 LATE_CRASH_COUNT = 3
-"""By the users: from the third crash on, so long after it, no more repeats than
-this may reach an upstream."""
+"""The users require that from `CRASH_BOUND_MS` after the third crash at most
+`LATE_CRASH_COUNT` repeats of the request reach an upstream."""
 
 RECORD_BYTES = 16
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class FaultWindow:
-    """Something was done to a gateway, or to all of them."""
+    """A time span in which a fault affected a gateway.
+
+    Attributes:
+        gateway: Name of the gateway; empty for all gateways.
+        start_ms: Monotonic time of the fault's start.
+        end_ms: Monotonic time of the fault's end.
+    """
 
     gateway: str
     start_ms: float
@@ -47,227 +54,272 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Report:
-    """What a run came to."""
+    """The result of a run.
+
+    Attributes:
+        violations: Descriptions of the violated invariants.
+        outcome_counts: Number of requests by path, outcome and status.
+    """
 
     violations: tuple[str, ...]
     outcome_counts: dict[str, int]
 
 
 class InvariantChecker:
-    """Judges one run."""
+    """Checks the invariants of one run."""
 
     def __init__(
         self,
-        seen: environment.Environment,
-        harms: list[FaultWindow],
+        observed: environment.Environment,
+        fault_windows: list[FaultWindow],
         planned_stops: list[FaultWindow],
         calm_ms: float,
     ):
-        self._seen = seen
-        self._harms = harms
+        self._environment = observed
+        self._fault_windows = fault_windows
         self._planned_stops = planned_stops
         self._calm_ms = calm_ms
-        self._broken: list[str] = []
+        self._violations: list[str] = []
 
     def check(
         self,
         requests: list[callers.RequestRecord],
         crashing_requests: list[callers.RequestRecord] = (),
     ) -> Report:
-        """Returns all that was broken.
+        """Checks all requests and returns the violations.
 
         Args:
-            requests: What callers asked and got.
-            crashing_requests: The same of the one whose requests crash
+            requests: Requests of the normal callers.
+            crashing_requests: Requests of the caller whose requests crash
                 upstreams.
         """
         for each in (*requests, *crashing_requests):
-            self._judge_runs(each)
-            self._judge_answer(each)
-            if self._left_alone(each.gateway, each.sent_ms, each.ended_ms):
-                self._judge_heeded(each)
-                self._judge_held(each)
-            self._judge_planned_stop(each)
-        self._judge_crashing(crashing_requests)
-        self._judge_unasked([*requests, *crashing_requests])
-        self._judge_recovery(requests)
+            self._check_executions(each)
+            self._check_response(each)
+            if self._is_undisturbed(each.gateway, each.sent_ms, each.ended_ms):
+                self._check_changes_applied(each)
+                self._check_deadline(each)
+            self._check_planned_stops(each)
+        self._check_crashing_requests(crashing_requests)
+        self._check_unknown_requests([*requests, *crashing_requests])
+        self._check_recovery(requests)
         counts = collections.Counter(
             f"{each.path} {each.outcome} {each.response.status}"
             for each in requests
         )
         return Report(
-            violations=tuple(self._broken), outcome_counts=dict(counts)
+            violations=tuple(self._violations), outcome_counts=dict(counts)
         )
 
-    def _break(
-        self, promise: str, each: callers.RequestRecord, detail: str
+    def _add_violation(
+        self, invariant: str, each: callers.RequestRecord, detail: str
     ) -> None:
-        self._broken.append(
-            f"{promise}: {each.request_id} {each.path} at {each.gateway} sent "
+        self._violations.append(
+            f"{invariant}: {each.request_id} {each.path} at {each.gateway} sent "
             f"{each.sent_ms:.0f}: {each.outcome} {each.response.status}: "
             f"{detail}"
         )
 
-    def _left_alone(self, gateway: str, start_ms: float, end_ms: float) -> bool:
+    def _is_undisturbed(
+        self, gateway: str, start_ms: float, end_ms: float
+    ) -> bool:
         return not any(
-            harm.gateway in ("", gateway)
-            and harm.start_ms <= end_ms
-            and harm.end_ms >= start_ms - SETTLE_MS
-            for harm in self._harms
+            window.gateway in ("", gateway)
+            and window.start_ms <= end_ms
+            and window.end_ms >= start_ms - SETTLE_MS
+            for window in self._fault_windows
         )
 
-    def _judge_runs(self, each: callers.RequestRecord) -> None:
-        runs = self._seen.runs_by_request.get(each.request_id, [])
+    def _check_executions(self, each: callers.RequestRecord) -> None:
+        runs = self._environment.runs_by_request.get(each.request_id, [])
         if each.path == environment.NON_IDEMPOTENT_PATH and len(runs) > 1:
-            self._break("ran twice", each, str(runs))
+            self._add_violation("executed twice", each, str(runs))
         if each.response.status in NOT_RUN_STATUSES and runs:
-            self._break("said not to have run", each, str(runs))
+            self._add_violation(
+                "executed despite a status that denies it", each, str(runs)
+            )
         allowed = _services(each.path)
         if any(run.service not in allowed for run in runs):
-            self._break("ran elsewhere", each, str(runs))
-        self._judge_attempts(each, runs)
+            self._add_violation("executed by a wrong service", each, str(runs))
+        self._check_attempts(each, runs)
 
-    def _judge_attempts(
+    def _check_attempts(
         self, each: callers.RequestRecord, runs: list[environment.Run]
     ) -> None:
-        """A request runs on no more upstreams of a service than allowed."""
+        """Checks the limit of upstreams of a service that execute a request."""
         upstreams: dict[str, set[str]] = {}
         for run in runs:
             upstreams.setdefault(run.service, set()).add(run.upstream_id)
-        for service, some in upstreams.items():
-            if len(some) > environment.MAX_ATTEMPTS_COUNT:
-                self._break("too many upstreams", each, f"{service}: {some}")
+        for service, upstream_ids in upstreams.items():
+            if len(upstream_ids) > environment.MAX_ATTEMPTS_COUNT:
+                self._add_violation(
+                    "too many upstreams", each, f"{service}: {upstream_ids}"
+                )
 
-    def _judge_answer(self, each: callers.RequestRecord) -> None:
+    def _check_response(self, each: callers.RequestRecord) -> None:
         if each.response.status in (400, 404):
-            self._break("proper request denied", each, str(each.response.body))
+            self._add_violation(
+                "valid request rejected", each, str(each.response.body)
+            )
         if each.response.status != 200:
             return
         if each.path == environment.FANOUT_PATH:
-            self._judge_merged(each)
+            self._check_merged_response(each)
             return
         signature = each.response.headers.get("x-server-stamp", "")
         upstream_id, _, request_id = signature.partition(".")
-        upstream = self._seen.upstreams.get(upstream_id)
+        upstream = self._environment.upstreams.get(upstream_id)
         if upstream is None or request_id != each.request_id:
-            self._break("foreign answer", each, signature)
+            self._add_violation("response of another request", each, signature)
         elif each.response.body != upstream.body:
-            self._break("body not whole", each, signature)
-
-    def _judge_merged(self, each: callers.RequestRecord) -> None:
-        got = each.response
-        signatures = got.headers.get("x-part-stamps", "").split(",")
-        named = [item.strip().partition(".") for item in signatures]
-        upstreams = [self._seen.upstreams.get(name) for name, _, _ in named]
+            self._add_violation("incomplete body", each, signature)
+
+    def _check_merged_response(self, each: callers.RequestRecord) -> None:
+        response = each.response
+        signatures = response.headers.get("x-part-stamps", "").split(",")
+        parts = [item.strip().partition(".") for item in signatures]
+        upstreams = [
+            self._environment.upstreams.get(name) for name, _, _ in parts
+        ]
         if None in upstreams or any(
-            request_id != each.request_id for _, _, request_id in named
+            request_id != each.request_id for _, _, request_id in parts
         ):
-            self._break("foreign part", each, str(signatures))
+            self._add_violation(
+                "part of another request", each, str(signatures)
+            )
             return
         services = {upstream.service_name for upstream in upstreams}
-        missing = int(got.headers.get("x-missing-parts", "0"))
-        if len(services) != len(named) or not services <= set(
+        missing = int(response.headers.get("x-missing-parts", "0"))
+        if len(services) != len(parts) or not services <= set(
             environment.SHARD_SERVICES
         ):
-            self._break("parts not of one set", each, str(signatures))
-        if len(named) + missing != environment.SHARD_COUNT:
-            self._break("parts miscounted", each, f"{named} and {missing}")
+            self._add_violation(
+                "parts not of distinct shards", each, str(signatures)
+            )
+        if len(parts) + missing != environment.SHARD_COUNT:
+            self._add_violation(
+                "wrong number of missing parts", each, f"{parts} and {missing}"
+            )
         if (
-            len(named)
+            len(parts)
             < environment.COVERAGE_FLOOR_RATIO * environment.SHARD_COUNT
         ):
-            self._break("below the floor", each, str(signatures))
+            self._add_violation(
+                "coverage below the floor", each, str(signatures)
+            )
         bodies = tuple(upstream.body for upstream in upstreams)
-        if got.body != records.greatest(bodies, environment.TOP_COUNT):
-            self._break("records not the greatest", each, str(signatures))
+        if response.body != records.greatest(bodies, environment.TOP_COUNT):
+            self._add_violation(
+                "merged records are not the greatest", each, str(signatures)
+            )
 
-    def _judge_heeded(self, each: callers.RequestRecord) -> None:
-        runs = self._seen.runs_by_request.get(each.request_id, [])
+    def _check_changes_applied(self, each: callers.RequestRecord) -> None:
+        runs = self._environment.runs_by_request.get(each.request_id, [])
         for run in runs:
-            left_ms = self._seen.departure_ms.get(run.upstream_id)
-            if left_ms is not None and each.sent_ms > left_ms + HEED_MS:
-                self._break("sent to one that leaves", each, str(run))
+            left_ms = self._environment.departure_ms.get(run.upstream_id)
+            if left_ms is not None and each.sent_ms > left_ms + APPLY_LIMIT_MS:
+                self._add_violation(
+                    "sent to a leaving upstream", each, str(run)
+                )
         if each.path != environment.MOVED_PATH:
             return
-        known = [
+        applied = [
             version
-            for version in self._seen.config_versions
-            if version.at_ms <= each.sent_ms - HEED_MS
+            for version in self._environment.config_versions
+            if version.at_ms <= each.sent_ms - APPLY_LIMIT_MS
         ]
-        if not known:
+        if not applied:
             return
-        since = self._seen.config_versions[len(known) - 1 :]
+        usable = self._environment.config_versions[len(applied) - 1 :]
         allowed = {
             version.moved_route_service
-            for version in since
+            for version in usable
             if version.at_ms <= each.ended_ms
         }
         if any(run.service not in allowed for run in runs):
-            self._break("older configuration", each, f"{runs} not {allowed}")
+            self._add_violation(
+                "outdated configuration used", each, f"{runs} not {allowed}"
+            )
 
-    def _judge_held(self, each: callers.RequestRecord) -> None:
+    def _check_deadline(self, each: callers.RequestRecord) -> None:
         took_ms = each.ended_ms - each.sent_ms
         if took_ms > callers.DEADLINE_MS + LATE_MS:
-            self._break("held past its deadline", each, f"{took_ms:.0f} ms")
+            self._add_violation(
+                "response held past the deadline", each, f"{took_ms:.0f} ms"
+            )
 
-    def _judge_planned_stop(self, each: callers.RequestRecord) -> None:
-        """A stop that nothing else falls together with cuts no request."""
+    def _check_planned_stops(self, each: callers.RequestRecord) -> None:
+        """Checks that a planned stop without other faults cuts no request."""
         if each.outcome != "cut":
             return
         for stop in self._planned_stops:
             during = stop.start_ms <= each.ended_ms <= stop.end_ms
-            others = [harm for harm in self._harms if harm != stop]
+            others = [
+                window for window in self._fault_windows if window != stop
+            ]
             disturbed = any(
-                harm.gateway in ("", stop.gateway)
-                and harm.start_ms <= stop.end_ms
-                and harm.end_ms >= stop.start_ms - SETTLE_MS
-                for harm in others
+                window.gateway in ("", stop.gateway)
+                and window.start_ms <= stop.end_ms
+                and window.end_ms >= stop.start_ms - SETTLE_MS
+                for window in others
             )
             if stop.gateway == each.gateway and during and not disturbed:
-                self._break("cut by a planned stop", each, str(stop))
+                self._add_violation(
+                    "connection cut by a planned stop", each, str(stop)
+                )
 
-    def _judge_crashing(self, bad: list[callers.RequestRecord]) -> None:
-        """What has crashed three upstreams soon reaches none any more."""
-        if len(self._seen.crash_times_ms) < CRASH_COUNT:
+    def _check_crashing_requests(
+        self, crashing_requests: list[callers.RequestRecord]
+    ) -> None:
+        """Checks that a request that crashed three upstreams is soon blocked."""
+        if len(self._environment.crash_times_ms) < CRASH_COUNT:
             return
-        bound_ms = self._seen.crash_times_ms[CRASH_COUNT - 1] + CRASH_BOUND_MS
+        bound_ms = (
+            self._environment.crash_times_ms[CRASH_COUNT - 1] + CRASH_BOUND_MS
+        )
         late = [
             each
-            for each in bad
+            for each in crashing_requests
             if each.sent_ms > bound_ms
-            and self._seen.runs_by_request.get(each.request_id)
-            and self._left_alone(each.gateway, each.sent_ms, each.ended_ms)
+            and self._environment.runs_by_request.get(each.request_id)
+            and self._is_undisturbed(each.gateway, each.sent_ms, each.ended_ms)
         ]
         if len(late) > LATE_CRASH_COUNT:
-            self._break(
-                "crashes upstreams still", late[0], f"{len(late)} times"
+            self._add_violation(
+                "crashing request not blocked", late[0], f"{len(late)} times"
             )
 
-    def _judge_unasked(self, asked: list[callers.RequestRecord]) -> None:
-        ids = {each.request_id for each in asked}
-        for request_id in self._seen.runs_by_request.keys() - ids:
-            self._broken.append(f"ran unasked: {request_id}")
+    def _check_unknown_requests(
+        self, requests: list[callers.RequestRecord]
+    ) -> None:
+        ids = {each.request_id for each in requests}
+        for request_id in self._environment.runs_by_request.keys() - ids:
+            self._violations.append(f"unknown request executed: {request_id}")
+
+    def _overlaps_global_fault(self, each: callers.RequestRecord) -> bool:
+        """Returns whether a fault of all gateways overlapped a request.
 
-    def _stalled(self, each: callers.RequestRecord) -> bool:
-        """Whether all stood still during a request, its upstreams with them."""
+        A stall of the soak process, in which no upstream responds, is such a
+        fault.
+        """
         return any(
-            harm.gateway == ""
-            and harm.start_ms <= each.ended_ms
-            and harm.end_ms >= each.sent_ms
-            for harm in self._harms
+            window.gateway == ""
+            and window.start_ms <= each.ended_ms
+            and window.end_ms >= each.sent_ms
+            for window in self._fault_windows
         )
 
-    def _judge_recovery(self, asked: list[callers.RequestRecord]) -> None:
+    def _check_recovery(self, requests: list[callers.RequestRecord]) -> None:
         calm = [
             each
-            for each in asked
+            for each in requests
             if each.sent_ms >= self._calm_ms
             and each.outcome != "left"
-            and not self._stalled(each)
+            and not self._overlaps_global_fault(each)
         ]
         served = sum(each.response.status == 200 for each in calm)
         if not calm or served < CALM_SERVED_RATIO * len(calm):
-            self._broken.append(f"not recovered: {served} of {len(calm)}")
+            self._violations.append(f"not recovered: {served} of {len(calm)}")
 
 
 def _services(path: str) -> tuple[str, ...]:
--- a/soak/main.py
+++ b/soak/main.py
@@ -1,4 +1,4 @@
-"""`python -m soak.main`: plays runs, seed after seed, and prints what broke."""
+"""`python -m soak.main`: executes soak runs and prints their violations."""
 
 import pathlib
 import sys
@@ -21,15 +21,15 @@
     callers: int = 16,
     folder: str = "",
 ) -> None:
-    """Plays runs one after the other.
+    """Executes soak runs one after the other, a seed each.
 
     Args:
-        first_seed: The first seed; the others follow it.
-        seeds: How many runs.
-        seconds: Until the last fault of each begins; calm follows.
-        gateways: Processes of the product.
-        callers: Callers at a time.
-        folder: Keeps settings and logs; a temporary one else.
+        first_seed: Seed of the first run; each further run uses the next one.
+        seeds: Number of runs.
+        seconds: Duration of the phase in which faults begin.
+        gateways: Number of gateway processes.
+        callers: Number of concurrent callers.
+        folder: Folder for settings and logs; by default a temporary one.
     """
     failed = []
     for seed in range(first_seed, first_seed + seeds):
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,7 @@
-"""A loopback proxy that delays, resets, silences or loses one way of a link."""
+"""A loopback TCP proxy that injects the faults of a link.
+
+It delays data, resets connections, or drops data in one or both directions.
+"""
 
 import asyncio
 
@@ -9,11 +12,11 @@
 
 
 class Proxy:
-    """Forwards one port to a target; how is changed while it runs.
+    """Forwards a port to a target, in a mode that can change while it runs.
 
-    A connection that was open during a silence, or lost its answers, stays
-    harmed when the link is well again, as on a network that dropped its state:
-    only new connections work then.
+    A connection that lost data in the modes `SILENT` or `ANSWERS_LOST` passes
+    no more data when the fault ends, as on a network that dropped its
+    connection state. Only new connections work then.
     """
 
     def __init__(self, target: str):
@@ -25,9 +28,11 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Opens a port on loopback; the same one after a stop."""
+        """Opens a loopback port; after a stop, opens the same port again."""
         port = int(self.address.rpartition(":")[2] or 0)
-        self._server = await asyncio.start_server(self._join, "127.0.0.1", port)
+        self._server = await asyncio.start_server(
+            self._accept, "127.0.0.1", port
+        )
         port = self._server.sockets[0].getsockname()[1]
         self.address = f"127.0.0.1:{port}"
 
@@ -38,7 +43,7 @@
         self._abort_all()
 
     def set_mode(self, mode: faults.LinkMode, delay_ms: float = 0.0) -> None:
-        """Changes how connections are treated."""
+        """Sets how connections are handled; `RESET` aborts the open ones."""
         self.mode = mode
         self.delay_ms = delay_ms
         if mode is faults.LinkMode.RESET:
@@ -48,7 +53,7 @@
         for writer in self._writers:
             writer.transport.abort()
 
-    async def _join(
+    async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         if self.mode is faults.LinkMode.RESET:
@@ -62,39 +67,39 @@
         except OSError:
             writer.transport.abort()
             return
-        both = {writer, far_writer}
-        self._writers |= both
+        writers = {writer, far_writer}
+        self._writers |= writers
         await asyncio.gather(
-            self._pump(reader, far_writer, answers=False),
-            self._pump(far_reader, writer, answers=True),
+            self._pump(reader, far_writer, is_response=False),
+            self._pump(far_reader, writer, is_response=True),
         )
-        self._writers -= both
+        self._writers -= writers
 
     async def _pump(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        answers: bool,
+        is_response: bool,
     ) -> None:
-        deaf = False
+        dropped = False
         try:
             while data := await reader.read(CHUNK_BYTES):
                 if self.mode is faults.LinkMode.DELAY:
                     await asyncio.sleep(self.delay_ms / MS_PER_S)
-                deaf = deaf or self._drops(answers)
-                if not deaf:
+                dropped = dropped or self._drops_data(is_response)
+                if not dropped:
                     writer.write(data)
         except ConnectionError:
-            # The other end is told below.
+            # The other connection is closed below.
             pass
-        if not deaf:
+        if not dropped:
             writer.close()
 
-    def _drops(self, answers: bool) -> bool:
+    def _drops_data(self, is_response: bool) -> bool:
         match self.mode:
             case faults.LinkMode.SILENT:
                 return True
             case faults.LinkMode.ANSWERS_LOST:
-                return answers
+                return is_response
             case _:
                 return False
