--- a/hyssoptack/standins/__init__.py
+++ b/hyssoptack/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small fault-injectable stand-ins of what is not ours."""
+"""Stand-ins, with fault injection, for systems outside this project."""
--- a/hyssoptack/standins/balancer.py
+++ b/hyssoptack/standins/balancer.py
@@ -1,7 +1,7 @@
-"""A stand-in of the platform's balancer: TCP, round robin over ready instances.
+"""A stand-in for the platform's load balancer.
 
-It learns that an instance is not ready only from its probe, which is periodic:
-for that long, new connections still go to an instance that leaves.
+It forwards TCP connections to the ready instances in turn. Readiness is probed
+periodically, so new connections go to a stopping instance until the next probe.
 """
 
 import asyncio
@@ -17,15 +17,15 @@
 
 
 class Balancer:
-    """Probes and forwards."""
+    """A TCP balancer that probes its backends."""
 
     def __init__(self, backends: list[str]):
         self._pairs = [each.split("=", 1) for each in backends]
         self._ready: list[str] = []
-        self._turn = itertools.count()
+        self._next_index = itertools.count()
 
     async def probe(self) -> None:
-        """Keeps the list of ready instances up to date."""
+        """Updates the list of ready instances every `PROBE_S` seconds."""
         timeout = aiohttp.ClientTimeout(total=PROBE_LIMIT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
@@ -53,11 +53,11 @@
     async def accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Forwards one connection to the next ready instance."""
+        """Forwards a connection to the next ready instance, or responds 503."""
         for _ in range(max(1, len(self._ready))):
             if not self._ready:
                 break
-            target = self._ready[next(self._turn) % len(self._ready)]
+            target = self._ready[next(self._next_index) % len(self._ready)]
             host, _, port = target.rpartition(":")
             try:
                 far_reader, far_writer = await asyncio.open_connection(
@@ -101,11 +101,11 @@
 
 @application.default
 def main(*, listen: str, backend: list[str]) -> None:
-    """Balances until the process ends.
+    """Runs the balancer until the process ends.
 
     Args:
-        listen: Where callers connect.
-        backend: FRONT=OPERATOR addresses, once for each instance.
+        listen: Address that callers connect to.
+        backend: FRONT=OPERATOR addresses, repeated for each instance.
     """
     uvloop.run(_serve(listen, backend))
 
--- a/hyssoptack/standins/fakeupstream.py
+++ b/hyssoptack/standins/fakeupstream.py
@@ -1,7 +1,7 @@
-"""A stand-in of one upstream of a service, speaking the platform's protocol.
+"""A stand-in for an upstream that speaks the platform's protocol.
 
-It runs on the event loop of the test. How it treats requests is set as fields;
-what it saw is counted, so that a test can tell what ran.
+It runs on the event loop of the test. Fields set its behaviour, and counters
+show the test which requests it executed.
 """
 
 import asyncio
@@ -17,21 +17,23 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Behaviour:
-    """How an upstream treats requests.
+    """How an upstream handles requests.
 
     Attributes:
-        delay_ms: Time before each answer.
-        shed_count: So many further requests are refused as not run.
-        reset_count: So many further requests run and get a reset.
-        fail_count: So many further requests get a signed 500.
-        twice: Sends every answer twice.
-        unframed: Sends answers without a length and closes.
-        stale_first: Sends an answer to another request first.
-        unsigned: Upstreams the signature out.
-        cut: Sends half of the body and closes.
-        never: Answers nothing.
-        crashes_on: Ends in the middle of requests whose path begins so.
-        return_ms: So long after its end it runs again.
+        delay_ms: Time before each response.
+        shed_count: Number of next requests that are rejected as not executed.
+        reset_count: Number of next requests that are executed and get a
+            connection reset.
+        fail_count: Number of next requests that get a signed 500.
+        twice: Whether every response is sent twice.
+        unframed: Whether responses have no length and end with the connection.
+        stale_first: Whether a response to another request is sent first.
+        unsigned: Whether responses lack the signature.
+        cut: Whether the connection closes after half of the body.
+        never: Whether no response is sent.
+        crashes_on: Path prefix of the requests that crash the upstream; empty
+            for none.
+        return_ms: Time from a crash to the restart.
     """
 
     delay_ms: float = 0.0
@@ -49,7 +51,7 @@
 
 
 class FakeUpstream:
-    """One upstream on loopback."""
+    """A fake upstream on a loopback port."""
 
     def __init__(self, upstream_id: str, body: bytes = b"x" * 16):
         self.upstream_id = upstream_id
@@ -64,37 +66,37 @@
         self.on_crash: collections.abc.Callable[[], None] = lambda: None
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
-        self._return: asyncio.Task[None] | None = None
+        self._restart_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Opens a port on loopback; the same one after a crash."""
+        """Opens a loopback port; after a crash, opens the same port again."""
         if not self.address:
             self.address = f"127.0.0.1:{ports.free_port()}"
         host, _, port = self.address.rpartition(":")
         self._server = await asyncio.start_server(self._serve, host, int(port))
 
     def stop(self) -> None:
-        """Closes the port; open connections stay."""
-        if self._return is not None:
-            self._return.cancel()
+        """Closes the port but not the open connections."""
+        if self._restart_task is not None:
+            self._restart_task.cancel()
         if self._server is not None:
             self._server.close()
 
     def crash(self) -> None:
-        """Ends as a process does: all connections close, and the port."""
-        if self._return is not None:
-            # Another request that crashes it was in hand, too.
+        """Aborts all connections, closes the port and schedules the restart."""
+        if self._restart_task is not None:
+            # Another request has already crashed the upstream.
             return
         self.on_crash()
         self.stop()
         for writer in tuple(self._writers):
             writer.transport.abort()
         loop = asyncio.get_running_loop()
-        self._return = loop.create_task(self._come_back())
+        self._restart_task = loop.create_task(self._restart())
 
-    async def _come_back(self) -> None:
+    async def _restart(self) -> None:
         await asyncio.sleep(self.behaviour.return_ms / message.MS_PER_S)
-        self._return = None
+        self._restart_task = None
         await self.start()
 
     async def _serve(
@@ -103,7 +105,7 @@
         self.connection_count += 1
         self._writers.add(writer)
         try:
-            while await self._one(reader, writer):
+            while await self._handle_request(reader, writer):
                 pass
         except (asyncio.IncompleteReadError, ConnectionError):
             # The caller closed the connection, as it may at any time.
@@ -112,7 +114,7 @@
             self._writers.discard(writer)
             writer.close()
 
-    async def _one(
+    async def _handle_request(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
         head = await reader.readuntil(b"\r\n\r\n")
@@ -129,17 +131,17 @@
             return True
         self.run_counts[request_id] += 1
         self.on_run(request_id)
-        if await self._left(reader):
+        if await self._caller_left(reader):
             self.cancelled_count += 1
             return False
         crashes_on = self.behaviour.crashes_on
         if crashes_on and head.split(b" ", 2)[1].startswith(crashes_on):
             self.crash()
             return False
-        return self._answer(writer, request_id)
+        return self._respond(writer, request_id)
 
-    async def _left(self, reader: asyncio.StreamReader) -> bool:
-        """Works for a while; tells whether the caller left meanwhile."""
+    async def _caller_left(self, reader: asyncio.StreamReader) -> bool:
+        """Waits for the delay; returns whether the caller disconnected."""
         delay_ms = 60_000.0 if self.behaviour.never else self.behaviour.delay_ms
         if not delay_ms:
             return False
@@ -149,28 +151,28 @@
         except TimeoutError:
             return False
 
-    def _answer(self, writer: asyncio.StreamWriter, request_id: bytes) -> bool:
-        manners = self.behaviour
-        signature = b"" if manners.unsigned else self._signature(request_id)
+    def _respond(self, writer: asyncio.StreamWriter, request_id: bytes) -> bool:
+        behaviour = self.behaviour
+        signature = b"" if behaviour.unsigned else self._signature(request_id)
         reply = _reply(200, b"OK", signature, request_id, self.body)
-        if manners.reset_count:
-            manners.reset_count -= 1
+        if behaviour.reset_count:
+            behaviour.reset_count -= 1
             writer.transport.abort()
             return False
-        if manners.fail_count:
-            manners.fail_count -= 1
+        if behaviour.fail_count:
+            behaviour.fail_count -= 1
             reply = _reply(500, b"Error", signature, request_id, b"failed")
-        if manners.unframed:
+        if behaviour.unframed:
             head = b"HTTP/1.1 200 OK\r\n" + signature + b"\r\n"
             writer.write(head + self.body)
             return False
-        if manners.cut:
+        if behaviour.cut:
             writer.write(reply[: -len(self.body) // 2])
             return False
-        if manners.stale_first:
+        if behaviour.stale_first:
             writer.write(_reply(200, b"OK", signature, b"other", b"stale"))
         writer.write(reply)
-        if manners.twice:
+        if behaviour.twice:
             writer.write(reply)
         return True
 
--- a/hyssoptack/standins/kvstore.py
+++ b/hyssoptack/standins/kvstore.py
@@ -1,6 +1,6 @@
-"""A stand-in of the platform's key-value store, speaking its protocol.
+"""A stand-in for the platform's key-value store that speaks its protocol.
 
-It runs on an event loop in the test's own process. Faults are set as fields.
+It runs on an event loop in the test process. Fields of `Faults` inject faults.
 """
 
 import asyncio
@@ -16,14 +16,14 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Faults:
-    """What the store does wrong.
+    """Faults of the store.
 
     Attributes:
-        down: Answers 503 to everything.
-        silent: Answers nothing.
-        lose_writes: Carries writes out without answering them.
-        compacted: Watches get 410.
-        lag_ms: Extra time before each answer.
+        down: Whether every request gets a 503.
+        silent: Whether no request gets a response.
+        lose_writes: Whether writes are executed without a response.
+        compacted: Whether watches get a 410.
+        lag_ms: Additional time before each response.
     """
 
     down: bool = False
@@ -34,7 +34,7 @@
 
 
 class Store:
-    """Keys, leases and watches of one store."""
+    """A key-value store with leases and watches."""
 
     def __init__(self, page_count: int = 50):
         self.faults = Faults()
@@ -51,7 +51,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Opens a port on loopback."""
+        """Opens a loopback port."""
         server = httpserver.Server(handler=self._handle)
         self._server = await asyncio.get_running_loop().create_server(
             server.new_connection, "127.0.0.1", 0
@@ -65,7 +65,7 @@
             self._server.close()
 
     def put(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Writes a key, as the operator or an upstream does."""
+        """Writes a key and returns the new revision."""
         self._revision += 1
         item = {
             "key": key,
@@ -75,20 +75,22 @@
             "lease": lease,
         }
         self._items[key] = item
-        self._note(item)
+        self._record_event(item)
         return self._revision
 
     def remove(self, key: str) -> None:
-        """Removes a key."""
+        """Removes a key and records the event for watches."""
         self._revision += 1
         self._items.pop(key, None)
-        self._note({"key": key, "revision": self._revision, "removed": True})
+        self._record_event(
+            {"key": key, "revision": self._revision, "removed": True}
+        )
 
     def sorted_keys(self) -> list[str]:
-        """Returns the keys that are there."""
+        """Returns the existing keys in order."""
         return sorted(self._items)
 
-    def _note(self, event: dict[str, object]) -> None:
+    def _record_event(self, event: dict[str, object]) -> None:
         self._events.append(event)
         self._changed.set()
         self._changed = asyncio.Event()
@@ -110,8 +112,8 @@
         if self.faults.down:
             exchange.answer(message.problem_reply(503, "down"))
             return
-        self._expire()
-        status, body = await self._answer(name, query, request.body)
+        self._revoke_expired()
+        status, body = await self._execute(name, query, request.body)
         if name.startswith("kv-txn") and self.faults.lose_writes:
             return
         exchange.answer(
@@ -120,7 +122,7 @@
             )
         )
 
-    async def _answer(
+    async def _execute(
         self, name: str, query: dict[str, str], body: bytes
     ) -> tuple[int, object]:
         if name == "kv-range":
@@ -132,9 +134,9 @@
         if name == "kv-lease":
             return 200, self._grant(json.loads(body)["ttl_ms"])
         if name.startswith("kv-keep/"):
-            return self._keep(int(name.rpartition("/")[2]))
+            return self._renew(int(name.rpartition("/")[2]))
         if name.startswith("kv-lease-end/"):
-            return self._end(int(name.rpartition("/")[2]))
+            return self._revoke(int(name.rpartition("/")[2]))
         return 404, {}
 
     def _range(self, query: dict[str, str]) -> object:
@@ -190,14 +192,14 @@
         self._leases[lease] = (clock.now_ms() + ttl_ms, ttl_ms)
         return {"lease": lease, "ttl_ms": ttl_ms}
 
-    def _keep(self, lease: int) -> tuple[int, object]:
+    def _renew(self, lease: int) -> tuple[int, object]:
         if lease not in self._leases:
             return 404, {}
         ttl_ms = self._leases[lease][1]
         self._leases[lease] = (clock.now_ms() + ttl_ms, ttl_ms)
         return 200, {"ttl_ms": ttl_ms}
 
-    def _end(self, lease: int) -> tuple[int, object]:
+    def _revoke(self, lease: int) -> tuple[int, object]:
         if self._leases.pop(lease, None) is None:
             return 404, {}
         for key, item in tuple(self._items.items()):
@@ -206,12 +208,15 @@
         return 200, {}
 
     def revoke_all_leases(self) -> None:
-        """Ends every lease at once, as the store may for those it cuts off."""
+        """Revokes every lease at once.
+
+        The real store may do so for clients that it is disconnected from.
+        """
         for lease in tuple(self._leases):
-            self._end(lease)
+            self._revoke(lease)
 
-    def _expire(self) -> None:
+    def _revoke_expired(self) -> None:
         now_ms = clock.now_ms()
         for lease, (ends_ms, _) in tuple(self._leases.items()):
             if ends_ms < now_ms:
-                self._end(lease)
+                self._revoke(lease)
--- a/hyssoptack/standins/load.py
+++ b/hyssoptack/standins/load.py
@@ -1,6 +1,7 @@
-"""Stand-in callers: an open loop of searches at a rate, one line for each.
+"""A load generator that sends searches at a constant mean rate.
 
-Arrivals do not wait for answers (an open loop), so a slow system is not spared.
+It is an open loop: a request does not wait for earlier responses, so that a
+slow system gets the same load. It writes one result for each search.
 """
 
 import asyncio
@@ -17,7 +18,7 @@
 CALL_LIMIT_S = 10.0
 
 
-async def _one(
+async def _search(
     session: aiohttp.ClientSession, url: str, body: dict, results: list
 ) -> None:
     started_s = time.monotonic()
@@ -65,7 +66,7 @@
                 "limit": 5,
                 "class": "urgent" if urgent else "browsing",
             }
-            task = asyncio.ensure_future(_one(session, url, body, results))
+            task = asyncio.ensure_future(_search(session, url, body, results))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         await asyncio.gather(*tasks)
@@ -85,15 +86,15 @@
     urgent_ratio: float = 0.2,
     out: pathlib.Path,
 ) -> None:
-    """Sends searches and writes what came back as JSON.
+    """Sends searches and writes their results as JSON.
 
     Args:
-        front: Where to send them.
-        service: The service to search.
-        rate: Searches a second.
-        seconds: For how long.
-        urgent_ratio: Share of urgent lookups.
-        out: The file to write.
+        front: Address to send them to.
+        service: Service to search.
+        rate: Mean number of searches per second.
+        seconds: Duration of the load.
+        urgent_ratio: Share of searches of the class `urgent`.
+        out: File to write the results to.
     """
     work = _load(front, service, rate, seconds, urgent_ratio)
     out.write_text(json.dumps(uvloop.run(work)), "utf-8")
--- a/hyssoptack/standins/members.py
+++ b/hyssoptack/standins/members.py
@@ -1,8 +1,8 @@
-"""A stand-in of the platform's instance list; it lags on purpose.
+"""A stand-in for the platform's instance list, with a configurable lag.
 
-It asks each instance's operator port who runs there, and publishes what it saw
-some time later. Each failure domain reads its own view, in which addresses in
-other domains are those of the wide-area stand-in.
+It polls the status of each instance at its operator port and publishes the
+result after the lag. Each failure domain reads its own view, in which instances
+of other domains have addresses of the wide-area network stand-in.
 """
 
 import asyncio
@@ -21,13 +21,20 @@
 MS_PER_S = 1000.0
 POLL_MS = 150.0
 POLL_LIMIT_S = 0.5
-MISSES_COUNT = 3
-"""Polls in a row without an answer until an instance is taken as gone."""
+FAILED_POLL_LIMIT_COUNT = 3
+"""Consecutive failed polls after which an instance is removed from the list."""
 
 
 @dataclasses.dataclass(kw_only=True)
 class Faults:
-    """What goes wrong now; a POST to /faults changes any field."""
+    """Active faults; a POST to /faults changes any field.
+
+    Attributes:
+        outage: Whether no request gets a response.
+        cut_domains: Failure domains whose requests get no response.
+        lag_ms: Time from a poll to the publication of its result.
+        leaving_upstream_ids: Upstreams that the list reports as leaving.
+    """
 
     outage: bool = False
     cut_domains: list[str] = dataclasses.field(default_factory=list)
@@ -36,7 +43,7 @@
 
 
 class Members:
-    """Polls, history and views."""
+    """The instance list: polls, history of results and views of the domains."""
 
     def __init__(
         self,
@@ -47,18 +54,18 @@
         self._operators = operators
         self._views = views
         self._faults = Faults(lag_ms=lag_ms)
-        self._seen: dict[str, dict] = {}
-        self._misses: collections.Counter[str] = collections.Counter()
+        self._statuses: dict[str, dict] = {}
+        self._failed_polls: collections.Counter[str] = collections.Counter()
         self._history: collections.deque = collections.deque()
         self._published: list[dict] = []
         self.read_count = 0
 
     def runner(self, domain: str) -> web.AppRunner:
-        """Returns an application that serves one failure domain."""
+        """Returns an application that serves the view of a failure domain."""
         application = web.Application()
         application["domain"] = domain
-        application.router.add_get("/members", self._list)
-        application.router.add_post("/faults", self._change)
+        application.router.add_get("/members", self._get_members)
+        application.router.add_post("/faults", self._change_faults)
         application.on_startup.append(self._start)
         return web.AppRunner(application, access_log=None)
 
@@ -71,26 +78,31 @@
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
                 await asyncio.gather(
-                    *(self._look(session, each) for each in self._operators)
+                    *(
+                        self._poll_instance(session, each)
+                        for each in self._operators
+                    )
                 )
                 now_s = time.monotonic()
-                self._history.append((now_s, list(self._seen.values())))
+                self._history.append((now_s, list(self._statuses.values())))
                 horizon_s = now_s - self._faults.lag_ms / MS_PER_S
                 while self._history and self._history[0][0] <= horizon_s:
                     self._published = self._history.popleft()[1]
                 await asyncio.sleep(POLL_MS / MS_PER_S)
 
-    async def _look(self, session: aiohttp.ClientSession, address: str) -> None:
+    async def _poll_instance(
+        self, session: aiohttp.ClientSession, address: str
+    ) -> None:
         try:
             async with session.get(f"http://{address}/status") as response:
                 status = await response.json()
         except (TimeoutError, aiohttp.ClientError, OSError):
-            self._misses[address] += 1
-            if self._misses[address] >= MISSES_COUNT:
-                self._seen.pop(address, None)
+            self._failed_polls[address] += 1
+            if self._failed_polls[address] >= FAILED_POLL_LIMIT_COUNT:
+                self._statuses.pop(address, None)
             return
-        self._misses[address] = 0
-        self._seen[address] = {
+        self._failed_polls[address] = 0
+        self._statuses[address] = {
             name: status[name]
             for name in (
                 "instance_id",
@@ -102,7 +114,7 @@
             )
         }
 
-    async def _list(self, request: web.Request) -> web.Response:
+    async def _get_members(self, request: web.Request) -> web.Response:
         domain = request.app["domain"]
         if self._faults.outage or domain in self._faults.cut_domains:
             return standin_web.abort_connection(request)
@@ -127,7 +139,7 @@
             return web.Response(status=304)
         return standin_web.json_response(listing, ETag=etag)
 
-    async def _change(self, request: web.Request) -> web.Response:
+    async def _change_faults(self, request: web.Request) -> web.Response:
         for name, value in (await request.json()).items():
             if not hasattr(self._faults, name):
                 return standin_web.json_response({"unknown": name}, status=400)
@@ -149,10 +161,10 @@
     """Serves the list until the process ends.
 
     Args:
-        listen: DOMAIN=IP:PORT, once for each failure domain.
+        listen: DOMAIN=IP:PORT, repeated for each failure domain.
         operator: Operator addresses of all instances.
-        views: JSON: for each domain, peer addresses by instance.
-        lag_ms: How late the list is.
+        views: JSON object: for each domain, peer addresses by instance id.
+        lag_ms: Time from a poll to the publication of its result.
     """
     members = Members(operator, json.loads(views), lag_ms)
     pairs = [each.split("=", 1) for each in listen]
--- a/hyssoptack/standins/ports.py
+++ b/hyssoptack/standins/ports.py
@@ -1,30 +1,31 @@
-"""Ports on loopback for stand-ins and for processes under test."""
+"""Allocation of loopback ports for stand-ins and processes under test."""
 
 import random
 import socket
 
 PORT_RANGE = (10_000, 19_000)
-"""Below the system's own range (32768 and up), and off the fleets' ports."""
+"""Range below the ephemeral ports of the system (32768 and up) and apart from the
+ports of `bench.fleet`."""
 
-_GIVEN: set[int] = set()
-"""Ports given out: one that is not listened on yet looks free."""
+_ALLOCATED: set[int] = set()
+"""Allocated ports. A port without a listener yet would look free."""
 
 
 def free_port() -> int:
-    """Returns a port that is free now, and that no client socket will take.
+    """Returns a free port that the system does not give to client sockets.
 
-    Ports that the system hands out are also those of outgoing connections: one
-    of these may take such a port before a gateway listens there.
+    An ephemeral port may be taken by an outgoing connection before the process
+    under test listens on it.
     """
     while True:
         port = random.randrange(*PORT_RANGE)
-        if port in _GIVEN:
+        if port in _ALLOCATED:
             continue
         with socket.socket() as probe:
             try:
                 probe.bind(("127.0.0.1", port))
             except OSError:
-                # Somebody listens there.
+                # The port is in use.
                 continue
-        _GIVEN.add(port)
+        _ALLOCATED.add(port)
         return port
--- a/hyssoptack/standins/ports_test.py
+++ b/hyssoptack/standins/ports_test.py
@@ -1,4 +1,4 @@
-"""Ports of stand-ins and of processes under test."""
+"""Tests of the allocation of loopback ports."""
 
 import asyncio
 
@@ -6,15 +6,15 @@
 from hyssoptack.standins import ports
 
 
-def test_a_port_is_given_once(monkeypatch):
-    # Two of a gateway's four ports were the same once: it never listened.
+def test_port_is_allocated_once(monkeypatch):
+    # A gateway that gets the same port twice fails to listen.
     drawn = iter((10_001, 10_001, 10_001, 10_002))
     monkeypatch.setattr(ports.random, "randrange", lambda *_: next(drawn))
-    monkeypatch.setattr(ports, "_GIVEN", set())
+    monkeypatch.setattr(ports, "_ALLOCATED", set())
     assert ports.free_port() != ports.free_port()
 
 
-def test_no_outgoing_connection_takes_the_port_of_an_upstream_that_is_down():
+def test_port_of_a_stopped_upstream_is_not_ephemeral():
     async def test():
         started = fakeupstream.FakeUpstream("i-0")
         await started.start()
--- a/hyssoptack/standins/records.py
+++ b/hyssoptack/standins/records.py
@@ -1,7 +1,7 @@
-"""What the stand-in upstreams hold: oven programmes, lesson slots and the like.
+"""Records of the stand-in upstreams, such as oven programmes and lesson slots.
 
-Records are made from the service's name, the key range and the index version
-alone, so a referee can compute what any answer must hold.
+Records depend only on the service name, the key range and the index version, so
+that a test can compute the expected content of any response.
 """
 
 import dataclasses
@@ -58,7 +58,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Record:
-    """One record of a service."""
+    """A record of a service.
+
+    Attributes:
+        key: Position in the key space.
+        title: Title that a search returns.
+        words: Lower-case words of the title, which searches match.
+    """
 
     key: int
     title: str
@@ -67,24 +73,25 @@
 
 @functools.cache
 def records(service: str) -> tuple[Record, ...]:
-    """Returns every record of a service, in order of its key."""
+    """Returns all records of a service, sorted by key."""
     first, second, third = _WORDS.get(service, _OTHER)
-    made = []
+    result = []
     for n in range(RECORD_COUNT):
         detail = third[n % len(third)].format(n=n, a=n % 23 + 1, b=180 + n % 90)
         title = f"{first[n % len(first)]}, {second[n % len(second)]}, {detail}"
         words = frozenset(title.lower().replace(",", " ").split())
         key = keyspace.key_of(f"{service}/{n}")
-        made.append(Record(key, title, words))
-    return tuple(sorted(made, key=lambda each: each.key))
+        result.append(Record(key, title, words))
+    return tuple(sorted(result, key=lambda each: each.key))
 
 
 def search(
     service: str, text: str, low: int, high: int, version: int, limit: int
 ) -> list[tuple[int, float, str]]:
-    """Returns hits of a key range at an index version, best first.
+    """Returns the hits of a key range at an index version, best first.
 
-    Each title ends with the version, so that a mixed answer shows.
+    Each title ends with the version, which reveals a response that mixes index
+    versions.
     """
     wanted = set(text.lower().split())
     hits = []
--- a/hyssoptack/standins/store.py
+++ b/hyssoptack/standins/store.py
@@ -1,7 +1,8 @@
-"""A stand-in of the platform's key-value service, with faults on demand.
+"""A stand-in for the platform's key-value service, with fault injection.
 
-Compare-and-swap by version, leases as a time to live, watches as long polls.
-It listens once for each failure domain, so that one can be cut off.
+It provides compare-and-swap by version, leases as a time to live and watches as
+long polls. It has a listening port for each failure domain, so that a domain
+can be cut off.
 """
 
 import asyncio
@@ -20,16 +21,19 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Faults:
-    """What goes wrong now; a POST to /faults changes any field.
+    """Active faults; a POST to /faults changes any field.
 
     Attributes:
-        outage: No call is answered; writes take no effect.
-        cut_domains: Domains that get no answer.
-        slow_ms: Added to every call.
-        lose_write_ratio: Share of writes that take effect and lose the answer.
-        lose_write_count: Next writes that take effect and lose the answer.
-        swallow_write_count: Next writes that take no effect and get no answer.
-        hold_write_ms: How long a lost answer's connection stays open.
+        outage: Whether no request gets a response; writes have no effect.
+        cut_domains: Failure domains whose requests get no response.
+        slow_ms: Delay of every request.
+        lose_write_ratio: Share of writes that take effect without a response.
+        lose_write_count: Number of next writes that take effect without a
+            response.
+        swallow_write_count: Number of next writes that have no effect and get
+            no response.
+        hold_write_ms: Time until the connection of a write without a response
+            is closed.
     """
 
     outage: bool = False
@@ -43,7 +47,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Counters:
-    """Calls since the start."""
+    """Counters since the start."""
 
     read_count: int = 0
     write_count: int = 0
@@ -57,7 +61,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Entry:
-    """One value."""
+    """A value with its version and expiry time."""
 
     value: str
     version: int
@@ -65,14 +69,14 @@
 
 
 class Store:
-    """The values, the watches and the faults."""
+    """A versioned key-value store with watches and injected faults."""
 
     def __init__(self) -> None:
         self._entries: dict[str, Entry] = {}
         self._last_version = 0
         self._faults = Faults()
-        self._account = Counters()
-        self._changed: dict[str, asyncio.Event] = {}
+        self._counters = Counters()
+        self._change_events: dict[str, asyncio.Event] = {}
         self._random = random.Random(7)
 
     def runner(self, domain: str) -> web.AppRunner:
@@ -81,8 +85,8 @@
         application["domain"] = domain
         application.router.add_get("/kv/{key:.+}", self._get)
         application.router.add_put("/kv/{key:.+}", self._put)
-        application.router.add_post("/faults", self._change)
-        application.router.add_get("/account", self._show)
+        application.router.add_post("/faults", self._change_faults)
+        application.router.add_get("/account", self._get_counters)
         return web.AppRunner(application, access_log=None)
 
     async def _is_cut(self, request: web.Request) -> bool:
@@ -102,17 +106,17 @@
             return standin_web.abort_connection(request)
         key = request.match_info["key"]
         if "after" in request.query:
-            self._account.watch_count += 1
+            self._counters.watch_count += 1
             await self._wait(request, key)
             if await self._is_cut(request):
                 return standin_web.abort_connection(request)
         else:
-            self._account.read_count += 1
+            self._counters.read_count += 1
         entry = self._find(key)
         if entry is None:
             return standin_web.json_response({}, status=404)
-        self._account.bytes_out += len(entry.value)
-        return standin_web.json_response(_shown(entry))
+        self._counters.bytes_out += len(entry.value)
+        return standin_web.json_response(_entry_document(entry))
 
     async def _wait(self, request: web.Request, key: str) -> None:
         after = int(request.query["after"])
@@ -120,22 +124,22 @@
         entry = self._find(key)
         if entry is not None and entry.version > after:
             return
-        account = self._account
-        waiting = account.waiting_by_domain
+        counters = self._counters
+        waiting = counters.waiting_by_domain
         domain = request.app["domain"]
         waiting[domain] = waiting.get(domain, 0) + 1
-        account.waiting_count += 1
-        account.waiting_peak_count = max(
-            account.waiting_peak_count, account.waiting_count
+        counters.waiting_count += 1
+        counters.waiting_peak_count = max(
+            counters.waiting_peak_count, counters.waiting_count
         )
-        changed = self._changed.setdefault(key, asyncio.Event())
+        changed = self._change_events.setdefault(key, asyncio.Event())
         try:
             await asyncio.wait_for(changed.wait(), wait_s)
         except TimeoutError:
             pass
         finally:
             waiting[domain] -= 1
-            account.waiting_count -= 1
+            counters.waiting_count -= 1
 
     async def _put(self, request: web.Request) -> web.Response:
         value = await request.text()
@@ -147,15 +151,17 @@
         if len(value.encode()) > VALUE_LIMIT_BYTES:
             return standin_web.json_response({}, status=413)
         key = request.match_info["key"]
-        self._account.write_count += 1
+        self._counters.write_count += 1
         entry = self._find(key)
         found_version = entry.version if entry else 0
         if int(request.query["expect"]) != found_version:
-            self._account.conflict_count += 1
-            shown = _shown(entry) if entry else {"value": "", "version": 0}
-            return standin_web.json_response(shown, status=409)
+            self._counters.conflict_count += 1
+            document = (
+                _entry_document(entry) if entry else {"value": "", "version": 0}
+            )
+            return standin_web.json_response(document, status=409)
         entry = self._write(key, value, int(request.query.get("ttl_ms", "0")))
-        if self._loses():
+        if self._loses_response():
             await asyncio.sleep(self._faults.hold_write_ms / MS_PER_S)
             return standin_web.abort_connection(request)
         return standin_web.json_response(
@@ -171,29 +177,29 @@
             value=value, version=self._last_version, expires_s=expires_s
         )
         self._entries[key] = entry
-        waiting = self._changed.pop(key, None)
+        waiting = self._change_events.pop(key, None)
         if waiting is not None:
             waiting.set()
         return entry
 
-    def _loses(self) -> bool:
+    def _loses_response(self) -> bool:
         if self._faults.lose_write_count > 0:
             self._faults.lose_write_count -= 1
             return True
         return self._random.random() < self._faults.lose_write_ratio
 
-    async def _change(self, request: web.Request) -> web.Response:
+    async def _change_faults(self, request: web.Request) -> web.Response:
         for name, value in (await request.json()).items():
             if not hasattr(self._faults, name):
                 return standin_web.json_response({"unknown": name}, status=400)
             setattr(self._faults, name, value)
         return standin_web.json_response(dataclasses.asdict(self._faults))
 
-    async def _show(self, _request: web.Request) -> web.Response:
-        return standin_web.json_response(dataclasses.asdict(self._account))
+    async def _get_counters(self, _request: web.Request) -> web.Response:
+        return standin_web.json_response(dataclasses.asdict(self._counters))
 
 
-def _shown(entry: Entry) -> dict[str, object]:
+def _entry_document(entry: Entry) -> dict[str, object]:
     return {"value": entry.value, "version": entry.version}
 
 
@@ -205,7 +211,7 @@
     """Serves the store until the process ends.
 
     Args:
-        listen: DOMAIN=IP:PORT, once for each failure domain.
+        listen: DOMAIN=IP:PORT, repeated for each failure domain.
     """
     store = Store()
     pairs = [each.split("=", 1) for each in listen]
--- a/hyssoptack/standins/upstream.py
+++ b/hyssoptack/standins/upstream.py
@@ -1,4 +1,4 @@
-"""A stand-in upstream: slots, connections, versions, faults on demand."""
+"""A stand-in upstream with slots, connection limits, versions and faults."""
 
 import asyncio
 import dataclasses
@@ -13,26 +13,27 @@
 
 MS_PER_S = 1000.0
 LOG_LIMIT_COUNT = 200_000
-TAKEN_LIMIT_COUNT = 500
+DURATION_LIMIT_COUNT = 500
 
 
 @dataclasses.dataclass(kw_only=True)
 class Behaviour:
-    """How the upstream behaves now; a POST to /behaviour changes any field.
+    """Current behaviour; a POST to /behaviour changes any field.
 
     Attributes:
-        low: First key of its range.
-        high: First key after its range.
-        versions: Index versions that it holds.
-        service_ms: Mean time of a search.
-        spread_ratio: Part of the mean that varies, exponentially.
-        slow_factor: Multiplies every search's time.
-        draining: Whether it says that it leaves; then it takes nothing new.
-        shed: Whether it refuses everything.
-        act_ms: Time of an action.
-        lose_act_count: Next actions that run and then lose their answer.
-        queue_limit_count: Requests that may wait for a slot.
-        health_lie: Whether /healthz says well whatever happens.
+        low: First key of the key range.
+        high: First key after the key range.
+        versions: Available index versions.
+        service_ms: Mean execution time of a search.
+        spread_ratio: Share of the mean that is exponentially distributed.
+        slow_factor: Factor on the execution time of searches.
+        draining: Whether it announces that it is draining and rejects requests.
+        shed: Whether it rejects all requests.
+        act_ms: Execution time of an action.
+        lose_act_count: Number of next actions that are executed without a
+            response.
+        queue_limit_count: Maximum number of requests that wait for a slot.
+        health_lie: Whether /healthz reports healthy although requests are shed.
     """
 
     low: int = 0
@@ -51,7 +52,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Counters:
-    """What happened, for the referee."""
+    """Counters and logs that tests read."""
 
     search_count: int = 0
     shed_count: int = 0
@@ -69,7 +70,7 @@
 
 
 class Upstream:
-    """The upstream's handlers and state."""
+    """An upstream: its request handlers and state."""
 
     def __init__(
         self,
@@ -85,17 +86,17 @@
         self._connection_limit_count = connection_limit_count
         self._connect_cost_ms = connect_cost_ms
         self._behaviour = behaviour
-        self._account = Counters()
+        self._counters = Counters()
         self._slots = asyncio.Semaphore(slot_count)
         self._running_count = 0
         self._waiting_count = 0
-        self._greeted: weakref.WeakSet = weakref.WeakSet()
+        self._known_transports: weakref.WeakSet = weakref.WeakSet()
         self._random = random.Random(upstream_id)
         application = web.Application()
         application.router.add_post("/search", self._search)
         application.router.add_post("/act", self._act)
-        application.router.add_post("/behaviour", self._change)
-        application.router.add_get("/account", self._show_account)
+        application.router.add_post("/behaviour", self._change_behaviour)
+        application.router.add_get("/account", self._get_counters)
         application.router.add_get("/healthz", self._health)
         self.runner = web.AppRunner(
             application, access_log=None, handler_cancellation=True
@@ -106,49 +107,53 @@
             return {"Upstream-State": "draining"}
         return {}
 
-    async def _greet(self, request: web.Request) -> bool:
-        """Charges a new connection; returns whether it is within the limit."""
+    async def _admit_connection(self, request: web.Request) -> bool:
+        """Delays the first request of a connection by the connection cost.
+
+        Returns:
+            Whether the number of connections is within the limit.
+        """
         count = len(self.runner.server.connections)
-        account = self._account
-        account.connection_peak_count = max(
-            account.connection_peak_count, count
+        counters = self._counters
+        counters.connection_peak_count = max(
+            counters.connection_peak_count, count
         )
         if count > self._connection_limit_count:
-            account.over_limit_count += 1
+            counters.over_limit_count += 1
             return False
-        if request.transport not in self._greeted:
-            self._greeted.add(request.transport)
+        if request.transport not in self._known_transports:
+            self._known_transports.add(request.transport)
             await asyncio.sleep(self._connect_cost_ms / MS_PER_S)
         return True
 
-    def _refusal(self) -> web.Response | None:
+    def _rejection(self) -> web.Response | None:
         behaviour = self._behaviour
         full = self._waiting_count >= behaviour.queue_limit_count
         if behaviour.draining:
-            self._account.new_work_while_draining_count += 1
+            self._counters.new_work_while_draining_count += 1
         if behaviour.draining or behaviour.shed or full:
-            self._account.shed_count += 1
+            self._counters.shed_count += 1
             return standin_web.json_response(
                 {"shed": True}, status=503, **self._headers()
             )
         return None
 
-    async def _take_slot(self, work_ms: float) -> None:
-        """Waits for a slot, and holds it for the time of the work."""
+    async def _occupy_slot(self, work_ms: float) -> None:
+        """Waits for a slot and occupies it for the execution time."""
         self._waiting_count += 1
         try:
             await self._slots.acquire()
         finally:
             self._waiting_count -= 1
         self._running_count += 1
-        account = self._account
-        account.slot_peak_count = max(
-            account.slot_peak_count, self._running_count
+        counters = self._counters
+        counters.slot_peak_count = max(
+            counters.slot_peak_count, self._running_count
         )
         try:
             await asyncio.sleep(work_ms / MS_PER_S)
         except asyncio.CancelledError:
-            account.cancelled_count += 1
+            counters.cancelled_count += 1
             raise
         finally:
             self._running_count -= 1
@@ -157,11 +162,11 @@
     async def _search(self, request: web.Request) -> web.Response:
         began_s = asyncio.get_running_loop().time()
         body = await request.json()
-        if not await self._greet(request):
+        if not await self._admit_connection(request):
             return standin_web.json_response({}, status=503)
-        refused = self._refusal()
-        if refused is not None:
-            return refused
+        rejection = self._rejection()
+        if rejection is not None:
+            return rejection
         behaviour = self._behaviour
         held = sorted(behaviour.versions)
         version = body["version"] or held[-1]
@@ -174,17 +179,17 @@
         varying = behaviour.spread_ratio * self._random.expovariate(1.0)
         fixed = 1.0 - behaviour.spread_ratio
         work_ms = behaviour.service_ms * (fixed + varying)
-        await self._take_slot(work_ms * behaviour.slow_factor)
+        await self._occupy_slot(work_ms * behaviour.slow_factor)
         hits = records.search(
             self._service, body["text"], low, high, version, body["limit"]
         )
-        self._account.search_count += 1
-        if len(self._account.taken_ms) < TAKEN_LIMIT_COUNT:
+        self._counters.search_count += 1
+        if len(self._counters.taken_ms) < DURATION_LIMIT_COUNT:
             taken_s = asyncio.get_running_loop().time() - began_s
-            self._account.taken_ms.append(round(taken_s * MS_PER_S, 2))
-        if len(self._account.answered) < LOG_LIMIT_COUNT:
+            self._counters.taken_ms.append(round(taken_s * MS_PER_S, 2))
+        if len(self._counters.answered) < LOG_LIMIT_COUNT:
             entry = (body["query_id"], version, low, high)
-            self._account.answered.append(entry)
+            self._counters.answered.append(entry)
         reply = {
             "query_id": body["query_id"],
             "version": version,
@@ -197,17 +202,17 @@
 
     async def _act(self, request: web.Request) -> web.Response:
         body = await request.json()
-        if not await self._greet(request):
+        if not await self._admit_connection(request):
             return standin_web.json_response({}, status=503)
-        refused = self._refusal()
-        if refused is not None:
-            return refused
+        rejection = self._rejection()
+        if rejection is not None:
+            return rejection
         key = body["key"]
-        # The effect comes first: what follows can lose only the answer.
-        runs = self._account.runs
+        # The action takes effect first; a later failure loses only the response.
+        runs = self._counters.runs
         runs[key] = runs.get(key, 0) + 1
-        self._account.act_count += 1
-        await asyncio.shield(self._take_slot(self._behaviour.act_ms))
+        self._counters.act_count += 1
+        await asyncio.shield(self._occupy_slot(self._behaviour.act_ms))
         if self._behaviour.lose_act_count > 0:
             self._behaviour.lose_act_count -= 1
             return standin_web.abort_connection(request)
@@ -216,22 +221,24 @@
             {"receipt": receipt}, **self._headers()
         )
 
-    async def _change(self, request: web.Request) -> web.Response:
+    async def _change_behaviour(self, request: web.Request) -> web.Response:
         for name, value in (await request.json()).items():
             if not hasattr(self._behaviour, name):
                 return standin_web.json_response({"unknown": name}, status=400)
             setattr(self._behaviour, name, value)
         return standin_web.json_response(dataclasses.asdict(self._behaviour))
 
-    async def _show_account(self, request: web.Request) -> web.Response:
-        account = dataclasses.asdict(self._account)
+    async def _get_counters(self, request: web.Request) -> web.Response:
+        counters = dataclasses.asdict(self._counters)
         if "brief" in request.query:
-            del account["answered"]
-        return standin_web.json_response(account)
+            del counters["answered"]
+        return standin_web.json_response(counters)
 
     async def _health(self, _request: web.Request) -> web.Response:
-        well = self._behaviour.health_lie or not self._behaviour.shed
-        return standin_web.json_response({"well": well}, 200 if well else 503)
+        healthy = self._behaviour.health_lie or not self._behaviour.shed
+        return standin_web.json_response(
+            {"well": healthy}, 200 if healthy else 503
+        )
 
 
 application = cyclopts.App(name="hyssoptack-standin-upstream")
@@ -251,7 +258,20 @@
     service_ms: float = 2.0,
     version: int = 1,
 ) -> None:
-    """Serves one upstream until the process ends."""
+    """Serves an upstream until the process ends.
+
+    Args:
+        upstream_id: Its id.
+        service: Name of its service.
+        address: Address to listen on.
+        low: First key of the key range.
+        high: First key after the key range.
+        slot_count: Number of requests executed at a time.
+        connection_limit_count: Maximum number of connections.
+        connect_cost_ms: Delay of the first request of a connection.
+        service_ms: Mean execution time of a search.
+        version: Available index version.
+    """
     behaviour = Behaviour(
         low=low, high=high, versions=[version], service_ms=service_ms
     )
--- a/hyssoptack/standins/wan.py
+++ b/hyssoptack/standins/wan.py
@@ -1,8 +1,8 @@
-"""A stand-in of the network between failure domains: latency and cuts.
+"""A stand-in for the network between failure domains, with latency and cuts.
 
-One listening port for each pair of a domain and an instance outside it. Bytes
-pass after a fixed time; a cut pair stops passing bytes and loses its
-connections, as a partition does.
+It has a listening port for each pair of a domain and an instance outside it.
+Bytes are forwarded after a fixed delay. Cutting a pair of domains simulates a
+partition: its connections are aborted and new ones are refused.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 
 
 class Wan:
-    """Forwarders and cuts."""
+    """TCP forwarders between failure domains that can be cut off."""
 
     def __init__(self, one_way_ms: float):
         self._one_way_s = one_way_ms / MS_PER_S
@@ -27,18 +27,23 @@
         self._writers: dict[frozenset[str], set[asyncio.StreamWriter]] = {}
 
     async def listen(self, route: dict[str, str]) -> None:
-        """Opens the port of one route."""
+        """Opens the port of a route.
+
+        Args:
+            route: The keys `viewer` and `domain` (the two failure domains),
+                `address` (to listen on) and `target` (to forward to).
+        """
         pair = frozenset((route["viewer"], route["domain"]))
 
         async def accept(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            await self._join(pair, route["target"], reader, writer)
+            await self._forward(pair, route["target"], reader, writer)
 
         host, _, port = route["address"].rpartition(":")
         await asyncio.start_server(accept, host, int(port), backlog=256)
 
-    async def _join(
+    async def _forward(
         self,
         pair: frozenset[str],
         target: str,
@@ -66,7 +71,7 @@
     async def _pump(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Passes bytes on, each chunk after the one-way time."""
+        """Forwards bytes, each chunk after the one-way latency."""
         loop = asyncio.get_running_loop()
         try:
             while data := await reader.read(CHUNK_BYTES):
@@ -76,7 +81,7 @@
         loop.call_later(self._one_way_s, writer.close)
 
     async def change(self, request: web.Request) -> web.Response:
-        """Sets the pairs of domains that are cut off from each other."""
+        """Sets the pairs of domains that are cut off; aborts their connections."""
         pairs = {frozenset(each) for each in (await request.json())["cut"]}
         for pair in pairs - self._cut:
             for writer in self._writers.get(pair, ()):
@@ -110,11 +115,11 @@
 
 @application.default
 def main(*, control: str, routes: str, one_way_ms: float = 1.0) -> None:
-    """Forwards until the process ends.
+    """Forwards connections until the process ends.
 
     Args:
-        control: Address that takes POST /faults.
-        routes: JSON list of viewer, domain, address and target.
+        control: Address that serves POST /faults.
+        routes: JSON list of objects with viewer, domain, address and target.
         one_way_ms: Latency in each direction.
     """
     uvloop.run(_serve(control, json.loads(routes), one_way_ms))
--- a/hyssoptack/standins/web.py
+++ b/hyssoptack/standins/web.py
@@ -1,4 +1,4 @@
-"""What the HTTP stand-ins share: serving, JSON answers, lost answers."""
+"""Helpers of the HTTP stand-ins: serving, JSON responses, aborted connections."""
 
 import asyncio
 import json
@@ -8,7 +8,10 @@
 
 
 def abort_connection(request: web.Request) -> web.Response:
-    """Closes the connection of a request in place of an answer."""
+    """Aborts the connection of a request instead of responding.
+
+    Returns a response, which is never sent, for the handler to return.
+    """
     if request.transport is not None:
         request.transport.abort()
     return web.Response(status=500)
@@ -17,7 +20,7 @@
 def json_response(
     value: object, status: int = 200, **headers: str
 ) -> web.Response:
-    """Returns a JSON answer."""
+    """Returns a JSON response."""
     return web.Response(
         text=json.dumps(value),
         status=status,
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -25,8 +25,8 @@
 
 CRASHING_CALLER_NUMBER = 0xBAD
 CRASH_PAUSE_RANGE_S = (0.05, 0.5)
-"""Pause between two crashing requests. It is shorter than the 2 s that a crashed
-upstream needs to restart."""
+"""Pause between two crashing requests. It is shorter than the 2 s after which a
+crashed upstream restarts."""
 
 PATHS = (
     environment.SINGLE_PATH,
@@ -79,7 +79,7 @@
         self.sent_requests: list[RequestRecord] = []
 
     async def send_until(self, stopped: asyncio.Event) -> None:
-        """Sends requests until the event is set, then closes its connections."""
+        """Sends requests until the event is set, then closes connections."""
         for serial in itertools.count():
             if stopped.is_set():
                 break
--- a/soak/environment.py
+++ b/soak/environment.py
@@ -103,7 +103,7 @@
 
     @property
     def crashing_target(self) -> bytes:
-        """The path of the request that crashes any upstream that executes it."""
+        """The path of the request that crashes the upstreams it runs on."""
         return self.crashing_path.encode() + CRASHING_SUFFIX
 
     def record_crash(self, crashed: RecordingUpstream) -> None:
@@ -130,7 +130,7 @@
         self.runs_by_request.setdefault(request_id, []).append(run)
 
     async def add_link(self, name: str, target: str) -> str:
-        """Starts a proxy in front of a target and returns the proxy's address."""
+        """Starts a proxy before a target and returns the proxy's address."""
         made = self.links[name] = proxy.Proxy(target)
         await made.start()
         return made.address
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -60,7 +60,9 @@
     """The store fails for a time.
 
     Attributes:
-        fault_name: Field of `kvstore.Faults` that is set meanwhile.
+        fault_name: Field of `kvstore.Faults` that is set meanwhile: the store
+            does not respond, responds with 503, drops the responses to writes
+            or has compacted its history.
         duration_ms: Duration of the fault.
     """
 
@@ -78,7 +80,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ThrottleGateway:
-    """A gateway gets little processor time: it is stopped and resumed in turn."""
+    """A gateway gets little processor time: it is stopped and resumed often."""
 
     gateway: str
     duration_ms: float
@@ -86,7 +88,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RestartGateway:
-    """A gateway is terminated (SIGTERM if planned, else SIGKILL) and restarted."""
+    """A gateway is stopped (SIGTERM if planned, else SIGKILL) and restarted."""
 
     gateway: str
     is_planned: bool
@@ -102,7 +104,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ChangeConfiguration:
-    """A new configuration is written, which moves one route to another service."""
+    """A new configuration is written that moves a route to another service."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/soak/invariants.py
+++ b/soak/invariants.py
@@ -25,8 +25,7 @@
 """Time after the deadline from which a response counts as held too long."""
 
 CALM_SERVED_RATIO = 0.95
-"""Minimum share of requests served in the phase without faults at the end of the
-run. Upstreams with an earlier fault may still reset a few."""
+"""Minimum share of requests served in the final phase without faults. Upstreams with an earlier fault may still reset a few."""
 
 CRASH_COUNT = 3
 CRASH_BOUND_MS = 4_000.0
@@ -115,8 +114,8 @@
         self, invariant: str, each: callers.RequestRecord, detail: str
     ) -> None:
         self._violations.append(
-            f"{invariant}: {each.request_id} {each.path} at {each.gateway} sent "
-            f"{each.sent_ms:.0f}: {each.outcome} {each.response.status}: "
+            f"{invariant}: {each.request_id} {each.path} at {each.gateway} "
+            f"sent {each.sent_ms:.0f}: {each.outcome} {each.response.status}: "
             f"{detail}"
         )
 
@@ -271,7 +270,7 @@
     def _check_crashing_requests(
         self, crashing_requests: list[callers.RequestRecord]
     ) -> None:
-        """Checks that a request that crashed three upstreams is soon blocked."""
+        """Checks that a request is blocked soon after its third crash."""
         if len(self._environment.crash_times_ms) < CRASH_COUNT:
             return
         bound_ms = (
