--- a/bench/baseline_entry.py
+++ b/bench/baseline_entry.py
@@ -1,4 +1,4 @@
-"""An entry instance with a weaker policy, to measure the product against."""
+"""An entry instance with a baseline policy, for comparison with the product."""
 
 import pathlib
 import sys
@@ -28,15 +28,15 @@
     """Runs an instance.
 
     Args:
-        settings: The instance's YAML file.
-        hedges: quantile, none, or fixed:MS.
-        admits: Whether admission refuses.
+        settings: Path of the instance's YAML settings.
+        hedges: Hedging policy: quantile, none or fixed:MS.
+        admits: Whether adaptive admission may reject requests.
     """
     read, errors = instance.load(settings)
     if read is None:
         sys.exit("\n".join(map(str, errors)))
-    gate = admission.Adaptive() if admits else admission.AdmitAll()
-    daemon.run(read, _hedging(hedges), gate)
+    admission_policy = admission.Adaptive() if admits else admission.AdmitAll()
+    daemon.run(read, _hedging(hedges), admission_policy)
 
 
 if __name__ == "__main__":
--- a/bench/controls.py
+++ b/bench/controls.py
@@ -1,4 +1,4 @@
-"""Asks and changes the stand-ins and instances of a running fleet."""
+"""Access to the stand-ins and instances of a running fleet over HTTP."""
 
 import typing
 
@@ -8,11 +8,14 @@
 
 
 class FleetError(Exception):
-    """The fleet could not be brought to where a run needs it."""
+    """Raised when a fleet does not reach the state that a run needs."""
 
 
 class Controls:
-    """What a test asks of a fleet; the fleet knows the addresses."""
+    """Base class of the fleet with the requests to its processes.
+
+    The subclass provides the addresses.
+    """
 
     http: urllib3.PoolManager
     catalog: catalog.Catalog
@@ -24,7 +27,7 @@
     _shard_of: typing.Callable[[str], tuple[catalog.Service, catalog.Shard]]
 
     def post(self, address: str, path: str, body: dict) -> dict:
-        """Posts JSON to a stand-in."""
+        """Posts JSON to a stand-in and returns the JSON response."""
         response = self.http.request(
             "POST", f"http://{address}{path}", json=body
         )
@@ -33,7 +36,7 @@
         return response.json()
 
     def get(self, address: str, path: str) -> dict:
-        """Gets JSON from a stand-in or an operator port."""
+        """Returns the JSON response of a stand-in or an operator port."""
         return self.http.request("GET", f"http://{address}{path}").json()
 
     def set_behaviour(self, upstream_id: str, **fields: object) -> None:
@@ -41,28 +44,28 @@
         self.post(self.upstream(upstream_id).address, "/behaviour", fields)
 
     def upstream_counters(self, upstream_id: str, brief: bool = True) -> dict:
-        """Returns what an upstream counted."""
+        """Returns an upstream's counters; without its log of answers if brief."""
         path = "/account?brief=1" if brief else "/account"
         return self.get(self.upstream(upstream_id).address, path)
 
     def upstream(self, upstream_id: str) -> catalog.Upstream:
-        """Returns an upstream's record."""
+        """Returns the catalog entry of an upstream."""
         return self._shard_of(upstream_id)[0].upstreams[upstream_id]
 
     def upstream_ids(self, service: str) -> list[str]:
-        """Returns a service's upstreams."""
+        """Returns the ids of a service's upstreams."""
         return list(self.catalog.services[service].upstreams)
 
     def set_store_faults(self, **fields: object) -> None:
-        """Changes what goes wrong with the store."""
+        """Changes the faults of the store."""
         self.post(self.store_address(self.domains[0]), "/faults", fields)
 
     def set_instance_list_faults(self, **fields: object) -> None:
-        """Changes what goes wrong with the instance list."""
+        """Changes the faults of the instance list."""
         self.post(self.members_address(self.domains[0]), "/faults", fields)
 
     def set_partitions(self, pairs: list[tuple[str, str]]) -> None:
-        """Cuts pairs of domains off from each other; no others."""
+        """Cuts the connections between these pairs of domains and no others."""
         self.post(
             self.wan_address(),
             "/faults",
@@ -70,6 +73,6 @@
         )
 
     def status(self, instance_id: str) -> dict:
-        """Returns an instance's status page."""
+        """Returns the status document of an instance."""
         address = self.instance(instance_id)["operator_address"]
         return self.get(address, "/status")
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,4 +1,4 @@
-"""The demo: a whole deployment on one machine, used as people would use it."""
+"""A demo of a whole deployment on one machine."""
 
 import pathlib
 import sys
@@ -38,7 +38,7 @@
 }
 
 
-def _say(text: str = "") -> None:
+def _print(text: str = "") -> None:
     print(text, flush=True)
 
 
@@ -48,10 +48,10 @@
         body = {"text": words, "limit": 3, "class": class_}
         url = f"http://{run.balancer_address}/services/{service}/search"
         answer = run.http.request("POST", url, json=body).json()
-        _say(f"\nsearch {service} ({class_}): {words!r}")
+        _print(f"\nsearch {service} ({class_}): {words!r}")
         for hit in answer["hits"]:
-            _say(f"    {hit['score']:.2f}  {hit['title']}")
-        _say(
+            _print(f"    {hit['score']:.2f}  {hit['title']}")
+        _print(
             f"  coverage {answer['coverage_ratio']}, index version "
             f"{answer['index_version']}, {answer['upstream_call_count']} "
             f"calls of which {answer['extra_call_count']} extra, "
@@ -62,17 +62,17 @@
 def _show_action(run: fleet.Fleet, deployment: str) -> None:
     service, subject, request = ACTIONS[deployment]
     for number in (1, 2):
-        _say(f"\naction {service}: {subject}, key demo-1, time {number}")
+        _print(f"\naction {service}: {subject}, key demo-1, time {number}")
         words = ("act", service, subject, request, "--key", "demo-1")
-        _say("  " + run.run_cli(*words).stdout.strip().replace("\n", "\n  "))
+        _print("  " + run.run_cli(*words).stdout.strip().replace("\n", "\n  "))
 
 
 def _show_fault(run: fleet.Fleet, deployment: str) -> None:
-    """Kills an upstream that has replicas, and one whole answer goes on."""
+    """Kills an upstream with replicas and shows that searches stay complete."""
     service = SEARCHES[deployment][0][0]
-    victim = run.upstream_ids(service)[0]
-    run.kill(victim)
-    _say(f"\nkilled upstream {victim}; ten more searches of {service}:")
+    killed_id = run.upstream_ids(service)[0]
+    run.kill(killed_id)
+    _print(f"\nkilled upstream {killed_id}; ten more searches of {service}:")
     url = f"http://{run.balancer_address}/services/{service}/search"
     body = {"text": SEARCHES[deployment][0][1], "limit": 3}
     coverages = []
@@ -81,18 +81,18 @@
         answer = run.http.request("POST", url, json=body).json()
         coverages.append(answer.get("coverage_ratio"))
         extra += answer.get("extra_call_count", 0)
-    _say(f"  coverages {coverages}, extra calls {extra}")
+    _print(f"  coverages {coverages}, extra calls {extra}")
 
 
 def _show_operations(run: fleet.Fleet) -> None:
-    _say("\nhyssoptack config status")
-    _say(run.run_cli("config", "status").stdout.rstrip())
-    _say("\nhyssoptack report burn")
-    _say(run.run_cli("report", "burn").stdout.rstrip())
+    _print("\nhyssoptack config status")
+    _print(run.run_cli("config", "status").stdout.rstrip())
+    _print("\nhyssoptack report burn")
+    _print(run.run_cli("report", "burn").stdout.rstrip())
     operator = run.instances[0]["operator_address"]
     page = run.http.request("GET", f"http://{operator}/metrics")
     lines = page.data.decode().count("\n")
-    _say(f"\nmetrics page: http://{operator}/metrics ({lines} lines)")
+    _print(f"\nmetrics page: http://{operator}/metrics ({lines} lines)")
 
 
 application = cyclopts.App(name="demo")
@@ -100,11 +100,11 @@
 
 @application.default
 def main(deployment: str = "dakar", *, hold_s: float = 0.0) -> None:
-    """Runs the demo and stops everything it started.
+    """Runs the demo and stops all processes that it started.
 
     Args:
-        deployment: dakar or wales.
-        hold_s: Keep the deployment running this long at the end.
+        deployment: Name of the deployment: dakar or wales.
+        hold_s: Time to keep the deployment running at the end.
     """
     if deployment not in SEARCHES:
         print(f"no deployment {deployment!r}: dakar or wales", file=sys.stderr)
@@ -115,22 +115,22 @@
     with run:
         count = len(run.processes)
         seconds = time.monotonic() - started_s
-        _say(f"{deployment}: {count} processes ready in {seconds:.1f} s")
+        _print(f"{deployment}: {count} processes ready in {seconds:.1f} s")
         _show_searches(run, deployment)
         _show_action(run, deployment)
         _show_fault(run, deployment)
         _show_operations(run)
         if hold_s:
-            _say(f"\nfront: http://{run.balancer_address}, for {hold_s} s")
+            _print(f"\nfront: http://{run.balancer_address}, for {hold_s} s")
             time.sleep(hold_s)
         statuses = {
             each["instance_id"]: run.terminate(each["instance_id"])
             for each in run.instances
         }
-    good = all(status == 0 for status in statuses.values())
-    _say(f"\nplanned stop of every instance: exit statuses {statuses}")
-    _say("every process that the demo started has ended")
-    sys.exit(0 if good else 1)
+    all_succeeded = all(status == 0 for status in statuses.values())
+    _print(f"\nplanned stop of every instance: exit statuses {statuses}")
+    _print("every process that the demo started has ended")
+    sys.exit(0 if all_succeeded else 1)
 
 
 if __name__ == "__main__":
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,7 +1,7 @@
-"""Starts a deployment's processes on one machine, and harms them on demand.
+"""Starts the processes of a deployment on one machine and injects faults.
 
-This is the script that plays the platform's part of starting processes; no
-process of the product starts another.
+It starts processes in place of the platform; no process of the product starts
+another.
 """
 
 import dataclasses
@@ -29,20 +29,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Options:
-    """What differs between runs.
+    """Options of a run.
 
     Attributes:
-        deployment: A folder under deploy/.
+        deployment: Name of a folder under deploy/.
         services: Services to run; empty for all.
         service_ms: Mean time of an upstream's search.
-        instance_overrides: Laid over each instance's settings.
-        port_shift: Added to every port, so that runs do not meet.
-        list_lag_ms: How late the instance list is.
-        catalog_document: Configuration to use instead of the deployment's; its
-            upstreams are then somebody else's to start.
+        instance_overrides: Settings that replace those of each instance.
+        port_shift: Number added to every port, to separate concurrent runs.
+        list_lag_ms: Lag of the instance list.
+        catalog_document: Configuration to use instead of the deployment's; the
+            fleet then starts no upstreams.
         instances: Instances to use instead of the deployment's.
-        hedging: Policy for the bench: quantile, none, or fixed:MS.
-        admission: Whether admission refuses; off only as a baseline.
+        hedging: Hedging policy: quantile, none or fixed:MS.
+        admission: Whether admission may reject requests; false only as a
+            baseline.
     """
 
     deployment: str = "dakar"
@@ -73,7 +74,7 @@
         self.catalog_path = self.folder / "catalog.yaml"
         self.catalog = self._write_catalog(source / "catalog.yaml")
         self.instances = [
-            self._shifted(each)
+            self._shift_ports(each)
             for each in options.instances or self._plan["instances"]
         ]
         self.domains = sorted(
@@ -88,7 +89,7 @@
         host, _, port = address.rpartition(":")
         return f"{host}:{int(port) + self.options.port_shift}"
 
-    def _shifted(self, each: dict) -> dict:
+    def _shift_ports(self, each: dict) -> dict:
         return {
             name: self._address(value) if name.endswith("_address") else value
             for name, value in each.items()
@@ -97,7 +98,7 @@
     def _write_catalog(self, source: pathlib.Path) -> catalog.Catalog:
         document = self.options.catalog_document
         if document is not None:
-            return self._keep_catalog(document, source)
+            return self._save_catalog(document, source)
         document = yaml.safe_load(source.read_text("utf-8"))
         wanted = self.options.services or tuple(document["services"])
         document["services"] = {
@@ -107,9 +108,9 @@
             for shard in service["shards"]:
                 for upstream in shard["upstreams"]:
                     upstream["address"] = self._address(upstream["address"])
-        return self._keep_catalog(document, source)
+        return self._save_catalog(document, source)
 
-    def _keep_catalog(
+    def _save_catalog(
         self, document: dict, source: pathlib.Path
     ) -> catalog.Catalog:
         text = yaml.safe_dump(document, allow_unicode=True)
@@ -123,15 +124,15 @@
         return f"127.0.0.1:{self._base + offset + self.options.port_shift}"
 
     def store_address(self, domain: str) -> str:
-        """Returns where a domain reaches the store."""
+        """Returns the address at which a domain reaches the store."""
         return self._port(PLATFORM_OFFSET + self.domains.index(domain))
 
     def members_address(self, domain: str) -> str:
-        """Returns where a domain reaches the instance list."""
+        """Returns the address at which a domain reaches the instance list."""
         return self._port(PLATFORM_OFFSET + 10 + self.domains.index(domain))
 
     def wan_address(self) -> str:
-        """Returns the control address of the wide-area stand-in."""
+        """Returns the control address of the wide-area network stand-in."""
         return self._port(PLATFORM_OFFSET + 20)
 
     def _routes(self) -> list[dict]:
@@ -151,14 +152,14 @@
         return routes
 
     def views(self) -> dict[str, dict[str, str]]:
-        """Returns peer addresses of other domains as each domain sees them."""
+        """Returns, for each domain, the peer addresses of the other domains."""
         result: dict[str, dict[str, str]] = {each: {} for each in self.domains}
         for route in self._routes():
             result[route["viewer"]][route["instance_id"]] = route["address"]
         return result
 
     def log_path(self, instance_id: str) -> pathlib.Path:
-        """Returns an instance's event log."""
+        """Returns the path of an instance's event log."""
         return self.folder / f"{instance_id}.log"
 
     def _settings_path(self, each: dict) -> pathlib.Path:
@@ -183,7 +184,7 @@
     # Processes.
 
     def start(self) -> None:
-        """Starts everything, applies the configuration, waits until ready."""
+        """Starts all processes, applies the configuration, waits until ready."""
         self._start_platform()
         if self.options.catalog_document is None:
             self._start_upstreams()
@@ -191,12 +192,14 @@
             self.start_instance(each["instance_id"])
         self._wait_for_store()
         self.run_cli("config", "apply", str(self.catalog_path))
-        self._run(
-            "balancer", "hyssoptack.standins.balancer", *self._balancer_words()
+        self._start_process(
+            "balancer",
+            "hyssoptack.standins.balancer",
+            *self._balancer_arguments(),
         )
         self.wait_ready([each["instance_id"] for each in self.instances])
 
-    def _balancer_words(self) -> list[str]:
+    def _balancer_arguments(self) -> list[str]:
         words = ["--listen", self.balancer_address]
         for each in self.instances:
             words += [
@@ -211,10 +214,10 @@
         for domain in self.domains:
             listens += ["--listen", f"{domain}={self.store_address(domain)}"]
             lists += ["--listen", f"{domain}={self.members_address(domain)}"]
-        self._run("store", "hyssoptack.standins.store", *listens)
+        self._start_process("store", "hyssoptack.standins.store", *listens)
         for each in self.instances:
             lists += ["--operator", each["operator_address"]]
-        self._run(
+        self._start_process(
             "members",
             "hyssoptack.standins.members",
             *lists,
@@ -223,7 +226,7 @@
             "--lag-ms",
             str(self.options.list_lag_ms),
         )
-        self._run(
+        self._start_process(
             "wan",
             "hyssoptack.standins.wan",
             "--control",
@@ -253,7 +256,7 @@
         """Starts one upstream."""
         service, shard = self._shard_of(upstream_id)
         upstream = service.upstreams[upstream_id]
-        self._run(
+        self._start_process(
             upstream_id,
             "hyssoptack.standins.upstream",
             "--upstream-id",
@@ -289,9 +292,9 @@
                 self.options.hedging,
                 "--admits" if self.options.admission else "--no-admits",
             ]
-        self._run(instance_id, module, *words)
+        self._start_process(instance_id, module, *words)
 
-    def _run(self, name: str, module: str, *words: str) -> None:
+    def _start_process(self, name: str, module: str, *words: str) -> None:
         output = open(self.folder / f"{name}.out", "a")  # noqa: SIM115
         environment = {**os.environ, "PYTHONPATH": str(ROOT)}
         self.processes[name] = subprocess.Popen(
@@ -306,7 +309,7 @@
     def run_cli(
         self, *words: str, check: bool = True
     ) -> subprocess.CompletedProcess:
-        """Runs the command line against this fleet."""
+        """Runs a `hyssoptack` command against this fleet."""
         domain = self.domains[0]
         environment = {
             **os.environ,
@@ -327,44 +330,44 @@
             raise controls.FleetError(f"{words}: {done.stdout}{done.stderr}")
         return done
 
-    # Harm.
+    # Faults.
 
     def instance(self, instance_id: str) -> dict:
-        """Returns an instance's addresses."""
+        """Returns the plan entry of an instance, with its addresses."""
         for each in self.instances:
             if each["instance_id"] == instance_id:
                 return each
         raise controls.FleetError(f"no instance {instance_id}")
 
     def kill(self, name: str) -> None:
-        """Ends a process at once."""
+        """Kills a process (SIGKILL) and waits for its end."""
         self.processes[name].kill()
         self.processes[name].wait()
 
     def pause(self, name: str) -> None:
-        """Stops a process where it is."""
+        """Suspends a process (SIGSTOP)."""
         self.processes[name].send_signal(signal.SIGSTOP)
 
     def resume(self, name: str) -> None:
-        """Lets a stopped process go on."""
+        """Resumes a suspended process (SIGCONT)."""
         self.processes[name].send_signal(signal.SIGCONT)
 
     def terminate(self, name: str) -> int:
-        """Asks a process to stop and waits; returns its exit status."""
+        """Terminates a process (SIGTERM), waits and returns its exit status."""
         self.processes[name].send_signal(signal.SIGTERM)
         return self.processes[name].wait(STOP_LIMIT_S)
 
-    # Waiting and the end.
+    # Waiting and shutdown.
 
     def _wait_for_store(self) -> None:
         self.wait_for(
-            lambda: self._answers(
+            lambda: self._responds(
                 self.store_address(self.domains[0]), "/account"
             ),
             "the store",
         )
 
-    def _answers(self, address: str, path: str) -> bool:
+    def _responds(self, address: str, path: str) -> bool:
         try:
             response = self.http.request("GET", f"http://{address}{path}")
         except urllib3.exceptions.HTTPError:
@@ -372,25 +375,27 @@
         return response.status == 200
 
     def is_ready(self, instance_id: str) -> bool:
-        """Tells whether an instance says that it serves."""
+        """Returns whether an instance reports that it is ready."""
         address = self.instance(instance_id)["operator_address"]
-        return self._answers(address, "/readyz")
+        return self._responds(address, "/readyz")
 
     def wait_ready(self, instance_ids: list[str]) -> None:
-        """Waits until instances serve."""
+        """Waits until the instances and the balancer are ready."""
         for each in instance_ids:
             self.wait_for(lambda name=each: self.is_ready(name), each)
             if self.processes[each].poll() is not None:
-                # Another run's process answers on this port.
-                raise controls.FleetError(f"{each} ended, yet its port answers")
+                # A process of another run responds on this port.
+                raise controls.FleetError(
+                    f"{each} ended; another process uses its port"
+                )
         if "balancer" in self.processes:
-            # The balancer probes five times a second.
+            # The balancer probes the instances five times per second.
             time.sleep(0.6)
 
     def wait_for(
         self, condition, what: str, limit_s: float = START_LIMIT_S
     ) -> float:
-        """Waits for a condition; returns the seconds it took."""
+        """Waits until a condition holds; returns the time in seconds."""
         started_s = time.monotonic()
         while not condition():
             if time.monotonic() - started_s > limit_s:
@@ -399,7 +404,7 @@
         return time.monotonic() - started_s
 
     def stop(self) -> None:
-        """Ends every process that this fleet started."""
+        """Kills every process that this fleet started."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.kill()
--- a/bench/measures.py
+++ b/bench/measures.py
@@ -1,7 +1,7 @@
-"""The brief's measures over real processes, beside baselines.
+"""Benchmarks of the product and of baseline policies over real processes.
 
-Each scenario prints latency, coverage, extra load and refusals. Latencies are
-of this machine on this day; the ratios are what the goals speak of.
+Each scenario prints latency, coverage, extra load and refusals. Latencies depend
+on the machine and its load; the goals are stated in terms of the ratios.
 """
 
 import collections
@@ -29,23 +29,23 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Scenario:
-    """One row.
+    """A scenario: a row of the result.
 
     Attributes:
-        name: What goes wrong.
-        rate: Searches a second.
-        harm: Called with the fleet before the load.
-        heal: Called with the fleet after it.
+        name: Name of the scenario.
+        rate: Searches per second.
+        inject: Function that is called with the fleet before the load.
+        restore: Function that is called with the fleet after the load.
     """
 
     name: str
     rate: float
-    harm: object = None
-    heal: object = None
+    inject: object = None
+    restore: object = None
 
 
 def run_load(run: fleet.Fleet, rate: float) -> list[dict]:
-    """Sends searches at a rate and returns what came of each."""
+    """Sends searches at a rate and returns their results."""
     words = {
         "--front": run.balancer_address,
         "--service": SERVICE,
@@ -62,10 +62,10 @@
 
 def _summary(results: list[dict]) -> dict:
     answered = [each for each in results if each["status"] == 200]
-    useful = [each for each in answered if each["elapsed_ms"] <= DEADLINE_MS]
+    in_time = [each for each in answered if each["elapsed_ms"] <= DEADLINE_MS]
     elapsed = [each["elapsed_ms"] for each in answered] or [0.0]
     urgent = [each for each in results if each["class"] == "urgent"]
-    urgent_good = [each for each in useful if each["class"] == "urgent"]
+    urgent_in_time = [each for each in in_time if each["class"] == "urgent"]
     calls = sum(each["upstream_call_count"] for each in answered)
     extra = sum(each["extra_call_count"] for each in answered)
     reasons = collections.Counter(
@@ -77,35 +77,35 @@
     coverage = sum(each["coverage_ratio"] for each in answered)
     return {
         "sent": len(results),
-        "useful_per_s": round(len(useful) / SECONDS, 1),
+        "useful_per_s": round(len(in_time) / SECONDS, 1),
         "p50_ms": round(fit.quantile(elapsed, 0.5)),
         "p99_ms": round(fit.quantile(elapsed, 0.99)),
         "p999_ms": round(fit.quantile(elapsed, 0.999)),
         "coverage": round(coverage / max(1, len(answered)), 4),
         "extra": round(extra / max(1, calls - extra), 4),
-        "urgent_in_time": round(len(urgent_good) / max(1, len(urgent)), 4),
+        "urgent_in_time": round(len(urgent_in_time) / max(1, len(urgent)), 4),
         "refused_p50_ms": round(fit.quantile(refused_ms, 0.5)),
         "refused": dict(reasons),
     }
 
 
 def slow_every_tenth(run: fleet.Fleet) -> None:
-    """Makes one upstream in ten ten times as slow."""
+    """Makes one upstream in ten slower by a factor of 10."""
     for upstream_id in run.upstream_ids(SERVICE)[::10]:
         run.set_behaviour(upstream_id, slow_factor=10.0)
 
 
-def _unstraggle(run: fleet.Fleet) -> None:
+def _end_slowness(run: fleet.Fleet) -> None:
     for upstream_id in run.upstream_ids(SERVICE)[::10]:
         run.set_behaviour(upstream_id, slow_factor=1.0)
 
 
-def _shed(run: fleet.Fleet) -> None:
+def _start_shedding(run: fleet.Fleet) -> None:
     for upstream_id in run.upstream_ids(SERVICE)[1::10]:
         run.set_behaviour(upstream_id, shed=True)
 
 
-def _unshed(run: fleet.Fleet) -> None:
+def _end_shedding(run: fleet.Fleet) -> None:
     for upstream_id in run.upstream_ids(SERVICE)[1::10]:
         run.set_behaviour(upstream_id, shed=False)
 
@@ -121,7 +121,7 @@
     time.sleep(3.0)
 
 
-def _outage(run: fleet.Fleet) -> None:
+def _start_outage(run: fleet.Fleet) -> None:
     run.set_store_faults(outage=True)
     run.set_instance_list_faults(outage=True)
 
@@ -131,22 +131,22 @@
     run.set_instance_list_faults(outage=False)
 
 
-def _outage_and_stragglers(run: fleet.Fleet) -> None:
-    _outage(run)
+def _start_outage_and_slowness(run: fleet.Fleet) -> None:
+    _start_outage(run)
     slow_every_tenth(run)
 
 
-def _end_both(run: fleet.Fleet) -> None:
+def _end_outage_and_slowness(run: fleet.Fleet) -> None:
     _end_outage(run)
-    _unstraggle(run)
+    _end_slowness(run)
 
 
 HEALTHY = Scenario(name="healthy", rate=STEADY_PER_S)
 STRAGGLERS = Scenario(
     name="1 upstream in 10 straggles 10 times",
     rate=STEADY_PER_S,
-    harm=slow_every_tenth,
-    heal=_unstraggle,
+    inject=slow_every_tenth,
+    restore=_end_slowness,
 )
 OVERLOAD = Scenario(name="3 times capacity", rate=3 * CAPACITY_PER_S)
 POLICIES = {
@@ -158,26 +158,26 @@
             Scenario(
                 name="1 upstream in 10 lost (lying list)",
                 rate=STEADY_PER_S,
-                harm=_lose_replicas,
-                heal=_restore_replicas,
+                inject=_lose_replicas,
+                restore=_restore_replicas,
             ),
             Scenario(
                 name="1 upstream in 10 sheds all",
                 rate=STEADY_PER_S,
-                harm=_shed,
-                heal=_unshed,
+                inject=_start_shedding,
+                restore=_end_shedding,
             ),
             Scenario(
                 name="store and list out",
                 rate=STEADY_PER_S,
-                harm=_outage,
-                heal=_end_outage,
+                inject=_start_outage,
+                restore=_end_outage,
             ),
             Scenario(
                 name="store out and stragglers",
                 rate=STEADY_PER_S,
-                harm=_outage_and_stragglers,
-                heal=_end_both,
+                inject=_start_outage_and_slowness,
+                restore=_end_outage_and_slowness,
             ),
             Scenario(name="at capacity", rate=CAPACITY_PER_S),
             OVERLOAD,
@@ -192,12 +192,12 @@
 }
 
 
-def _run_policy(name: str, changed: dict, scenarios) -> list[dict]:
+def _run_policy(name: str, overrides: dict, scenarios) -> list[dict]:
     options = fleet.Options(
         services=(SERVICE,),
         service_ms=SERVICE_MS,
         port_shift=PORT_SHIFT,
-        **changed,
+        **overrides,
     )
     rows = []
     with contextlib.ExitStack() as stack:
@@ -205,11 +205,11 @@
         run = stack.enter_context(fleet.Fleet(options, pathlib.Path(at)))
         run_load(run, STEADY_PER_S)
         for scenario in scenarios:
-            if scenario.harm:
-                scenario.harm(run)
+            if scenario.inject:
+                scenario.inject(run)
             summary = _summary(run_load(run, scenario.rate))
-            if scenario.heal:
-                scenario.heal(run)
+            if scenario.restore:
+                scenario.restore(run)
             time.sleep(1.0)
             rows.append({"policy": name, "scenario": scenario.name, **summary})
             print(rows[-1], flush=True)
@@ -217,12 +217,12 @@
 
 
 def main() -> None:
-    """Runs every policy's scenarios and prints them."""
-    chosen = sys.argv[1:] or list(POLICIES)
+    """Runs the scenarios of all or the named policies and prints the results."""
+    policy_names = sys.argv[1:] or list(POLICIES)
     rows = []
-    for name in chosen:
-        changed, scenarios = POLICIES[name]
-        rows += _run_policy(name, changed, scenarios)
+    for name in policy_names:
+        overrides, scenarios = POLICIES[name]
+        rows += _run_policy(name, overrides, scenarios)
     fit.report("measures", rows, {})
 
 
--- a/bench/proofs/__init__.py
+++ b/bench/proofs/__init__.py
@@ -1,1 +1,1 @@
-"""Proofs under failure: real processes, small stand-ins, counted results."""
+"""Tests of guarantees under faults, with real processes and stand-ins."""
--- a/bench/proofs/actions_test.py
+++ b/bench/proofs/actions_test.py
@@ -1,7 +1,7 @@
-"""Actions run at most once, and "not run" is true, whatever fails.
+"""Actions are executed at most once and their reported status is true.
 
-The upstreams count runs by idempotency key; each test compares what callers
-were told with those counts.
+The upstreams count executions by idempotency key. Each test compares these
+counts with the execution status that callers received.
 """
 
 import concurrent.futures
@@ -50,19 +50,23 @@
     return counts
 
 
-def _check(run, told: dict[str, list[str]]) -> None:
-    """Compares what was told of each key with the upstreams' counts."""
+def _check(run, reported: dict[str, list[str]]) -> None:
+    """Checks the reported status of each key against the upstreams' counts."""
     counts = _run_counts(run)
-    for key, answers in told.items():
-        assert counts.get(key, 0) <= 1, f"{key} ran {counts[key]} times"
+    for key, answers in reported.items():
+        assert counts.get(key, 0) <= 1, f"{key} executed {counts[key]} times"
         if all(each == "no" for each in answers):
-            assert counts.get(key, 0) == 0, f"{key}: a false 'not run'"
+            assert counts.get(key, 0) == 0, (
+                f"{key}: executed, but reported as not run"
+            )
         if "yes" in answers:
-            assert counts.get(key, 0) == 1, f"{key}: a false 'ran'"
+            assert counts.get(key, 0) == 1, (
+                f"{key}: not executed, but reported as run"
+            )
 
 
-def _far_front(run, calls, upstream_id) -> str:
-    """Returns a front in another domain than the upstream's."""
+def _front_in_other_domain(run, calls, upstream_id) -> str:
+    """Returns the address of an instance in another domain than the upstream."""
     domain = run.upstream(upstream_id).failure_domain
     for each in run.instances:
         if each["failure_domain"] != domain:
@@ -70,15 +74,15 @@
     raise AssertionError
 
 
-def test_one_key_sent_everywhere_at_once_runs_once(run, calls):
-    told: dict[str, list[str]] = {}
+def test_concurrent_actions_with_one_key_execute_once(run, calls):
+    reported: dict[str, list[str]] = {}
     fronts = [
         calls.front_address(each["instance_id"]) for each in run.instances
     ]
     with concurrent.futures.ThreadPoolExecutor(len(fronts)) as threads:
         for number in range(20):
             key, subject = f"same-{number}", f"Awa {number}"
-            told[key] = [
+            reported[key] = [
                 reply.execution_status()
                 for reply in threads.map(
                     lambda front, key=key, subject=subject: calls.act(
@@ -87,12 +91,12 @@
                     fronts,
                 )
             ]
-    _check(run, told)
-    assert all("yes" in answers for answers in told.values())
-    assert all("no" not in answers for answers in told.values())
+    _check(run, reported)
+    assert all("yes" in answers for answers in reported.values())
+    assert all("no" not in answers for answers in reported.values())
 
 
-def test_a_repeat_gets_the_recorded_outcome(run, calls):
+def test_repeated_action_gets_the_recorded_outcome(run, calls):
     fronts = [
         calls.front_address(each["instance_id"]) for each in run.instances
     ]
@@ -106,7 +110,7 @@
     _check(run, {"repeat": ["yes"]})
 
 
-def test_a_key_reused_for_another_request_is_refused(run, calls):
+def test_key_reused_for_another_request_is_rejected(run, calls):
     front = calls.front_address("plateau-1")
     assert (
         calls.act(front, SERVICE, "reused", "Coumba").execution_status()
@@ -117,86 +121,90 @@
     assert (other.status, other.body["reason"]) == (422, "key_reused")
 
 
-def test_lost_store_answers_neither_double_nor_lie(run, calls):
+def test_lost_store_responses_keep_actions_correct(run, calls):
     run.set_store_faults(lose_write_ratio=0.5)
-    told = {}
+    reported = {}
     for number in range(30):
         key = f"lost-{number}"
         front = calls.front_address(run.instances[number % 9]["instance_id"])
-        told[key] = [
+        reported[key] = [
             calls.act(front, SERVICE, key, f"Demba {number}").execution_status()
         ]
     run.set_store_faults(lose_write_ratio=0.0)
-    _check(run, told)
-    assert sum(answers == ["yes"] for answers in told.values()) == 30
+    _check(run, reported)
+    assert sum(answers == ["yes"] for answers in reported.values()) == 30
 
 
-def test_swallowed_store_writes_neither_double_nor_lie(run, calls):
-    told = {}
+def test_lost_store_writes_keep_actions_correct(run, calls):
+    reported = {}
     for number in range(10):
         run.set_store_faults(swallow_write_count=number % 4)
         key = f"swallowed-{number}"
         front = calls.front_address("almadies-1")
-        told[key] = [
+        reported[key] = [
             calls.act(front, SERVICE, key, f"Fama {number}").execution_status()
         ]
     run.set_store_faults(swallow_write_count=0)
-    _check(run, told)
-    assert sum(answers == ["yes"] for answers in told.values()) == 10
+    _check(run, reported)
+    assert sum(answers == ["yes"] for answers in reported.values()) == 10
 
 
-def test_a_lost_upstream_answer_is_unknown_and_never_sent_again(run, calls):
-    told: dict[str, list[str]] = {}
+def test_lost_upstream_response_is_unknown_and_not_resent(run, calls):
+    reported: dict[str, list[str]] = {}
     for number in range(10):
         key, subject = f"upstream-lost-{number}", f"Gora {number}"
         upstream_id = callers.upstream_for(run, SERVICE, subject)
         run.set_behaviour(upstream_id, lose_act_count=1)
         front = calls.front_address(run.instances[number % 9]["instance_id"])
-        told[key] = [calls.act(front, SERVICE, key, subject).execution_status()]
+        reported[key] = [
+            calls.act(front, SERVICE, key, subject).execution_status()
+        ]
         time.sleep(0.1)
         for each in run.instances[:3]:
             again = calls.act(
                 calls.front_address(each["instance_id"]), SERVICE, key, subject
             )
-            told[key].append(again.execution_status())
-        assert told[key] == ["unknown"] * 4
-    _check(run, told)
+            reported[key].append(again.execution_status())
+        assert reported[key] == ["unknown"] * 4
+    _check(run, reported)
     counts = _run_counts(run)
-    assert all(counts[key] == 1 for key in told)
+    assert all(counts[key] == 1 for key in reported)
 
 
-def test_a_store_outage_refuses_truthfully_and_at_once(run, calls):
+def test_store_outage_rejects_actions_as_not_run(run, calls):
     run.set_store_faults(outage=True)
-    told = {}
+    reported = {}
     replies = []
     for number in range(9):
         key = f"outage-{number}"
         front = calls.front_address(run.instances[number]["instance_id"])
         reply = calls.act(front, SERVICE, key, f"Hawa {number}")
-        told[key] = [reply.execution_status()]
+        reported[key] = [reply.execution_status()]
         replies.append(reply)
     run.set_store_faults(outage=False)
     reasons = {each.body["reason"] for each in replies}
     assert reasons == {"store_unavailable"}, [each.body for each in replies]
     assert all(int(each.retry_after) >= 1 for each in replies)
-    assert all(answers == ["no"] for answers in told.values())
-    _check(run, told)
+    assert all(answers == ["no"] for answers in reported.values())
+    _check(run, reported)
 
 
-def _freeze_case(run, calls, number: int, moment_s: float) -> tuple[str, str]:
-    """Freezes the executor some time after the ask; returns what was told."""
+def _act_with_paused_owner(
+    run, calls, number: int, delay_s: float
+) -> tuple[str, str]:
+    """Pauses the executing instance after a time; returns key and status."""
     upstream_id = run.upstream_ids(SERVICE)[number % 5]
     subject = callers.subject_for_upstream(run, SERVICE, upstream_id, number)
     owner = callers.owners_for(run, upstream_id, 1)[0]
-    front = _far_front(run, calls, upstream_id)
+    front = _front_in_other_domain(run, calls, upstream_id)
     key = f"frozen-{number}"
     run.set_store_faults(slow_ms=60)
     with concurrent.futures.ThreadPoolExecutor(1) as threads:
-        asked = threads.submit(calls.act, front, SERVICE, key, subject)
-        time.sleep(moment_s)
+        future = threads.submit(calls.act, front, SERVICE, key, subject)
+        time.sleep(delay_s)
         run.pause(owner)
-        first = asked.result().execution_status()
-    # The instance's entry in the list lapses while it is stopped.
+        first = future.result().execution_status()
+    # The instance is removed from the instance list while it is paused.
     time.sleep(1.5)
     run.resume(owner)
     run.set_store_faults(slow_ms=0)
@@ -204,44 +212,48 @@
     return key, first
 
 
-def test_a_frozen_executor_that_goes_on_runs_nothing_twice(run, calls):
-    told: dict[str, list[str]] = {}
+def test_resumed_executor_executes_no_action_twice(run, calls):
+    reported: dict[str, list[str]] = {}
     for number in range(8):
-        key, first = _freeze_case(run, calls, number, 0.01 + 0.02 * number)
-        told[key] = [first]
-        _check(run, told)
+        key, first = _act_with_paused_owner(
+            run, calls, number, 0.01 + 0.02 * number
+        )
+        reported[key] = [first]
+        _check(run, reported)
     run.wait_ready([each["instance_id"] for each in run.instances])
     time.sleep(3.0)
-    for number, key in enumerate(list(told)):
+    for number, key in enumerate(list(reported)):
         upstream_id = run.upstream_ids(SERVICE)[number % 5]
         subject = callers.subject_for_upstream(
             run, SERVICE, upstream_id, number
         )
         front = calls.front_address("pikine-2")
-        told[key].append(
+        reported[key].append(
             calls.act(front, SERVICE, key, subject).execution_status()
         )
-    _check(run, told)
+    _check(run, reported)
 
 
-@pytest.mark.parametrize("moment_s", [0.02, 0.08, 0.14, 0.2])
-def test_a_killed_executor_leaves_no_double_and_no_lie(run, calls, moment_s):
-    number = int(moment_s * 100)
+@pytest.mark.parametrize("delay_s", [0.02, 0.08, 0.14, 0.2])
+def test_killed_executor_keeps_actions_correct(run, calls, delay_s):
+    number = int(delay_s * 100)
     upstream_id = run.upstream_ids(SERVICE)[number % 5]
     subject = callers.subject_for_upstream(run, SERVICE, upstream_id, number)
     owner = callers.owners_for(run, upstream_id, 1)[0]
-    front = _far_front(run, calls, upstream_id)
+    front = _front_in_other_domain(run, calls, upstream_id)
     key = f"killed-{number}"
     run.set_store_faults(slow_ms=60)
     run.set_behaviour(upstream_id, act_ms=60)
     with concurrent.futures.ThreadPoolExecutor(1) as threads:
-        asked = threads.submit(calls.act, front, SERVICE, key, subject)
-        time.sleep(moment_s)
+        future = threads.submit(calls.act, front, SERVICE, key, subject)
+        time.sleep(delay_s)
         run.kill(owner)
-        told = {key: [asked.result().execution_status()]}
+        reported = {key: [future.result().execution_status()]}
     run.set_store_faults(slow_ms=0)
-    _check(run, told)
+    _check(run, reported)
     run.start_instance(owner)
     run.wait_ready([owner])
-    told[key].append(calls.act(front, SERVICE, key, subject).execution_status())
-    _check(run, told)
+    reported[key].append(
+        calls.act(front, SERVICE, key, subject).execution_status()
+    )
+    _check(run, reported)
--- a/bench/proofs/answers_test.py
+++ b/bench/proofs/answers_test.py
@@ -1,7 +1,7 @@
-"""One snapshot, true coverage, and to each caller its own whole answer.
+"""Search responses have one index version, true coverage and correct hits.
 
-A referee computes what every answer must hold: its hits from its ranges and
-version, and its ranges from what the upstreams logged for its query.
+The tests compute the expected hits of each response from its ranges and version,
+and check its ranges against the answers that upstreams logged for its query.
 """
 
 import collections
@@ -35,8 +35,8 @@
         yield started
 
 
-def _logs(run) -> dict[tuple[str, int], list[keyspace.KeyRange]]:
-    """Returns what upstreams answered, by query and version."""
+def _answered_ranges(run) -> dict[tuple[str, int], list[keyspace.KeyRange]]:
+    """Returns the ranges that upstreams answered, by query and version."""
     logs = collections.defaultdict(list)
     for upstream_id in run.upstream_ids(SERVICE):
         if run.processes[upstream_id].poll() is not None:
@@ -48,9 +48,11 @@
     return logs
 
 
-def _referee(run, replies, dead: tuple[str, ...] = ()) -> dict[str, int]:
-    """Checks every reply; returns counts for the page of proofs."""
-    logs = _logs(run)
+def _check_replies(
+    run, replies, killed_ids: tuple[str, ...] = ()
+) -> dict[str, int]:
+    """Checks every reply; returns counts by status, reason and completeness."""
+    logs = _answered_ranges(run)
     counts = collections.Counter()
     for text, reply in replies:
         counts[f"status {reply.status}"] += 1
@@ -71,11 +73,13 @@
         assert abs(covered - body["coverage_ratio"]) < 1e-5
         counts["whole"] += covered == 1.0
         titles = [title for _, title in callers.response_hits(body)]
-        mark = f"[v{body['index_version']}]"
-        assert all(each.endswith(mark) for each in titles), "mixed versions"
+        version_suffix = f"[v{body['index_version']}]"
+        assert all(each.endswith(version_suffix) for each in titles), (
+            "mixed versions"
+        )
         expected = callers.expected_hits(SERVICE, text, body)
         assert callers.response_hits(body) == expected
-        if not dead:
+        if not killed_ids:
             logged = logs[(body["query_id"], body["index_version"])]
             for each in ranges:
                 assert not keyspace.subtract(each, _disjoint(logged)), body
@@ -89,12 +93,12 @@
     return tuple(taken)
 
 
-def _load(run, **body) -> callers.LoadGenerator:
+def _start_load(run, **body) -> callers.LoadGenerator:
     return callers.LoadGenerator(run, SERVICE, TEXTS, 6, **body)
 
 
 def test_index_versions_roll_under_load(run):
-    load = _load(run)
+    load = _start_load(run)
     for version in (2, 3):
         for upstream_id in run.upstream_ids(SERVICE):
             run.set_behaviour(upstream_id, versions=[version - 1, version])
@@ -103,7 +107,7 @@
             run.set_behaviour(upstream_id, versions=[version])
             time.sleep(0.03)
     replies = load.stop()
-    counts = _referee(run, replies)
+    counts = _check_replies(run, replies)
     versions = {
         reply.body["index_version"]
         for _, reply in replies
@@ -114,9 +118,9 @@
     assert counts["whole"] >= 0.9 * len(replies)
 
 
-def test_versions_that_no_two_shards_share_are_never_mixed(run):
+def test_differing_shard_versions_are_not_mixed(run):
     ids = run.upstream_ids(SERVICE)
-    load = _load(run)
+    load = _start_load(run)
     for number in range(6):
         for index, upstream_id in enumerate(ids):
             run.set_behaviour(upstream_id, versions=[3 + (index + number) % 2])
@@ -124,7 +128,7 @@
         run.set_behaviour(upstream_id, versions=[3, 4])
     time.sleep(1.0)
     replies = load.stop()
-    counts = _referee(run, replies)
+    counts = _check_replies(run, replies)
     print("split versions:", counts)
     assert replies[-1][1].status == 200
 
@@ -140,14 +144,14 @@
     run.run_cli("config", "apply", str(run.catalog_path))
 
 
-@pytest.mark.parametrize("first", ["overlap", "gap"])
-def test_a_repartition_under_load_counts_no_key_twice(run, first):
+@pytest.version_suffix.parametrize("first", ["overlap", "gap"])
+def test_repartition_under_load_counts_no_key_twice(run, first):
     shards = run.catalog.services[SERVICE].shards
     old = shards[0].key_range.high
     new = old - 2_000 if first == "gap" else old + 2_000
-    load = _load(run)
+    load = _start_load(run)
     time.sleep(0.5)
-    # Shard 1 changes before shard 2: for a while keys belong to both or none.
+    # Shard 1 changes before shard 2, so keys belong to both or to none meanwhile.
     for upstream_id in shards[0].upstream_ids:
         run.set_behaviour(upstream_id, high=new)
         time.sleep(0.2)
@@ -162,14 +166,14 @@
         run.set_behaviour(upstream_id, low=old)
     _apply_boundary(run, old)
     replies = load.stop()
-    counts = _referee(run, replies)
+    counts = _check_replies(run, replies)
     print("repartition:", first, counts)
     assert counts["whole"] >= 0.5 * len(replies)
 
 
-def test_stragglers_freezes_and_cuts_mix_up_no_answers(run):
+def test_slow_paused_and_partitioned_processes_mix_up_no_responses(run):
     ids = run.upstream_ids(SERVICE)
-    load = _load(run)
+    load = _start_load(run)
     for upstream_id in ids[::10]:
         run.set_behaviour(upstream_id, slow_factor=30.0)
     time.sleep(1.0)
@@ -182,24 +186,24 @@
     for upstream_id in ids[::10]:
         run.set_behaviour(upstream_id, slow_factor=1.0)
     replies = load.stop()
-    counts = _referee(run, replies)
+    counts = _check_replies(run, replies)
     print("stragglers, freeze, cut:", counts)
     assert counts["status 200"] >= 0.9 * len(replies)
 
 
-def test_lost_replicas_cost_no_coverage(run):
-    victims = [
+def test_killed_replicas_reduce_no_coverage(run):
+    killed_ids = [
         shard.upstream_ids[0] for shard in run.catalog.services[SERVICE].shards
     ]
-    load = _load(run)
+    load = _start_load(run)
     time.sleep(0.5)
-    for upstream_id in victims[:5]:
+    for upstream_id in killed_ids[:5]:
         run.kill(upstream_id)
         time.sleep(0.2)
     time.sleep(1.0)
     replies = load.stop()
-    counts = _referee(run, replies, dead=tuple(victims[:5]))
+    counts = _check_replies(run, replies, killed_ids=tuple(killed_ids[:5]))
     print("lost replicas:", counts)
-    for upstream_id in victims[:5]:
+    for upstream_id in killed_ids[:5]:
         run.start_upstream(upstream_id)
     assert counts["whole"] >= 0.98 * len(replies)
--- a/bench/proofs/callers.py
+++ b/bench/proofs/callers.py
@@ -1,4 +1,4 @@
-"""Callers for the proofs: searches and actions, with what came back."""
+"""Callers that send searches and actions and record the replies."""
 
 import concurrent.futures
 import dataclasses
@@ -18,14 +18,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Reply:
-    """What a caller got.
+    """A reply to a search or an action.
 
     Attributes:
-        status: The HTTP status; 0 when the connection was cut.
-        body: The JSON body.
-        elapsed_ms: From the send to the whole answer.
-        retry_after: The Retry-After header, or empty.
-        started_s: When it was sent, by the monotonic clock.
+        status: HTTP status; 0 if the connection was cut.
+        body: JSON body.
+        elapsed_ms: Time from sending the request to the complete response.
+        retry_after: Value of the Retry-After header, or empty.
+        started_s: Monotonic time at which the request was sent.
     """
 
     status: int
@@ -35,7 +35,7 @@
     started_s: float = 0.0
 
     def execution_status(self) -> str:
-        """Returns what the answer says of the run."""
+        """Returns the execution status that the reply states, or `cut`."""
         return self.body.get("ran", "cut")
 
 
@@ -59,7 +59,7 @@
 
 
 class CallerClient:
-    """Calls a fleet's fronts."""
+    """A client of the instances of a fleet."""
 
     def __init__(self, run: fleet.Fleet):
         self._run = run
@@ -68,25 +68,25 @@
         )
 
     def search(self, front: str, service: str, text: str, **body) -> Reply:
-        """Sends a search to one front."""
+        """Sends a search to an instance and returns the reply."""
         url = f"http://{front}/services/{service}/search"
         return _call(self._pool, url, {"text": text, **body}, {})
 
     def act(
         self, front: str, service: str, key: str, subject: str, **body
     ) -> Reply:
-        """Sends an action to one front."""
+        """Sends an action to an instance and returns the reply."""
         url = f"http://{front}/services/{service}/actions"
         document = {"subject": subject, "request": {"for": subject}, **body}
         return _call(self._pool, url, document, {"Idempotency-Key": key})
 
     def front_address(self, instance_id: str) -> str:
-        """Returns an instance's callers' address."""
+        """Returns the address at which an instance serves callers."""
         return self._run.instance(instance_id)["front_address"]
 
 
 class LoadGenerator:
-    """Searches through the balancer from several threads until stopped."""
+    """Sends searches through the balancer from several threads until stopped."""
 
     def __init__(
         self,
@@ -106,10 +106,10 @@
         self._headers = {} if keep_alive else {"Connection": "close"}
         self._stopping = threading.Event()
         self._lock = threading.Lock()
-        # Before the threads: the first of them may have an answer at once.
+        # Set before the threads start, because they append to it.
         self.replies: list[tuple[str, Reply]] = []
         self._threads = concurrent.futures.ThreadPoolExecutor(thread_count)
-        self._work = [
+        self._futures = [
             self._threads.submit(self._loop) for _ in range(thread_count)
         ]
 
@@ -126,16 +126,16 @@
             time.sleep(self._pause_s)
 
     def stop(self) -> list[tuple[str, Reply]]:
-        """Stops and returns every reply with its text."""
+        """Stops and returns all replies with the texts searched for."""
         self._stopping.set()
-        for each in self._work:
+        for each in self._futures:
             each.result()
         self._threads.shutdown()
         return self.replies
 
 
 def upstream_for(run: fleet.Fleet, service: str, subject: str) -> str:
-    """Returns the upstream that an action on a subject goes to."""
+    """Returns the id of the upstream that executes actions on a subject."""
     key = keyspace.key_of(subject)
     for shard in run.catalog.services[service].shards:
         if shard.key_range.contains(key):
@@ -146,7 +146,7 @@
 def owners_for(
     run: fleet.Fleet, upstream_id: str, owner_count: int
 ) -> list[str]:
-    """Returns the instances that own an upstream."""
+    """Returns the ids of the instances that own an upstream."""
     for service in run.catalog.services.values():
         for column in ownership.columns(service, 40):
             if upstream_id in column.upstream_ids:
@@ -166,9 +166,9 @@
 def subject_for_upstream(
     run: fleet.Fleet, service: str, upstream_id: str, number: int
 ) -> str:
-    """Returns a subject whose actions go to an upstream."""
-    for tried in itertools.count():
-        subject = f"subject {number}.{tried}"
+    """Returns a subject whose actions an upstream executes."""
+    for attempt in itertools.count():
+        subject = f"subject {number}.{attempt}"
         if upstream_for(run, service, subject) == upstream_id:
             return subject
     raise AssertionError
@@ -177,7 +177,7 @@
 def expected_hits(
     service: str, text: str, body: dict, limit: int = 10
 ) -> list[tuple[int, str]]:
-    """Computes what an answer must hold, from its ranges and version."""
+    """Returns the correct hits for the ranges and version of a response."""
     hits = []
     for low, high in body["covered_ranges"]:
         hits.extend(
@@ -190,5 +190,5 @@
 
 
 def response_hits(body: dict) -> list[tuple[int, str]]:
-    """Returns an answer's hits in the same form."""
+    """Returns the hits of a response in the form of `expected_hits`."""
     return [(hit["key"], hit["title"]) for hit in body["hits"]]
--- a/bench/proofs/configuration_test.py
+++ b/bench/proofs/configuration_test.py
@@ -1,4 +1,4 @@
-"""Configuration: in force everywhere in seconds, and never a step down."""
+"""Configuration changes reach all instances and revisions never decrease."""
 
 import concurrent.futures
 import json
@@ -19,12 +19,12 @@
 
 
 class Watcher:
-    """Reads every instance's revision all the time and notes steps down."""
+    """Polls every instance's revision and records decreases."""
 
     def __init__(self, run):
         self._run = run
         self._stopping = threading.Event()
-        self.steps_down: list[tuple] = []
+        self.decreases: list[tuple] = []
         self.read_count = 0
         self._thread = threading.Thread(target=self._watch)
         self._thread.start()
@@ -36,14 +36,14 @@
                 name = each["instance_id"]
                 try:
                     status = self._run.status(name)
-                except Exception:  # The instance is down: no revision to read.
+                except Exception:  # The instance is down.
                     continue
                 incarnation, revision = (
                     status["incarnation"],
                     status["revision"],
                 )
                 if revision < last.get(incarnation, 0):
-                    self.steps_down.append((name, revision))
+                    self.decreases.append((name, revision))
                 last[incarnation] = revision
                 self.read_count += 1
             time.sleep(0.05)
@@ -61,7 +61,7 @@
         yield started
         watcher.stop()
         print("revisions read:", watcher.read_count)
-        assert not watcher.steps_down
+        assert not watcher.decreases
 
 
 def _variant(run, deadline_ms: int) -> pathlib.Path:
@@ -92,19 +92,21 @@
     )
 
 
-def _all(run) -> list[str]:
+def _instance_ids(run) -> list[str]:
     return [each["instance_id"] for each in run.instances]
 
 
-def test_a_change_is_in_force_everywhere_within_seconds(run):
+def test_change_is_in_force_on_all_instances_within_the_limit(run):
     seconds = []
     for number in range(5):
         applied = _apply(run, 500 + number)
-        seconds.append(_wait_in_force(run, applied["revision"], _all(run)))
+        seconds.append(
+            _wait_in_force(run, applied["revision"], _instance_ids(run))
+        )
     print("in force everywhere after, s:", [round(each, 2) for each in seconds])
 
 
-def test_racing_operators_lose_nothing_silently(run):
+def test_concurrent_changes_are_applied_or_reported_overtaken(run):
     before = run.status("plateau-1")["revision"]
     with concurrent.futures.ThreadPoolExecutor(5) as threads:
         outcomes = list(
@@ -117,15 +119,15 @@
     assert all(each["code"] == 3 for each in overtaken)
     revisions = sorted(each["revision"] for each in applied)
     assert revisions == list(range(before + 1, before + 1 + len(applied)))
-    _wait_in_force(run, revisions[-1], _all(run))
+    _wait_in_force(run, revisions[-1], _instance_ids(run))
 
 
-def test_a_change_on_an_older_revision_is_overtaken(run):
+def test_change_of_an_older_revision_is_overtaken(run):
     outcome = _apply(run, 530, "--on-revision", "1")
     assert (outcome["outcome"], outcome["code"]) == ("overtaken", 3)
 
 
-def test_a_lost_answer_is_settled_by_a_read(run):
+def test_change_with_a_lost_store_response_is_resolved_by_a_read(run):
     before = run.status("plateau-1")["revision"]
     run.set_store_faults(lose_write_count=2)
     outcome = _apply(run, 540)
@@ -134,10 +136,10 @@
     if outcome["outcome"] == "notapplied":
         outcome = _apply(run, 540)
     assert outcome["revision"] == before + 1
-    _wait_in_force(run, before + 1, _all(run))
+    _wait_in_force(run, before + 1, _instance_ids(run))
 
 
-def test_an_instance_that_joins_in_an_outage_takes_it_from_peers(run):
+def test_instance_joining_in_a_store_outage_gets_configuration_from_peers(run):
     revision = run.status("plateau-1")["revision"]
     run.set_store_faults(outage=True)
     run.kill("pikine-3")
@@ -151,30 +153,32 @@
     assert joined == revision
 
 
-def test_a_domain_that_was_cut_off_catches_up(run):
+def test_partitioned_domain_catches_up(run):
     run.set_partitions([("pikine", "plateau"), ("pikine", "almadies")])
     run.set_store_faults(cut_domains=["pikine"])
     run.set_instance_list_faults(cut_domains=["pikine"])
     applied = _apply(run, 550)
-    reachable = [name for name in _all(run) if not name.startswith("pikine")]
-    inside = [name for name in _all(run) if name.startswith("pikine")]
+    reachable = [
+        name for name in _instance_ids(run) if not name.startswith("pikine")
+    ]
+    inside = [name for name in _instance_ids(run) if name.startswith("pikine")]
     _wait_in_force(run, applied["revision"], reachable)
     assert _revisions(run, inside) == {applied["revision"] - 1}
     run.set_partitions([])
     run.set_store_faults(cut_domains=[])
     run.set_instance_list_faults(cut_domains=[])
-    seconds = _wait_in_force(run, applied["revision"], _all(run))
+    seconds = _wait_in_force(run, applied["revision"], _instance_ids(run))
     print("caught up after the cut in, s:", round(seconds, 2))
 
 
-def test_a_slow_store_delays_but_reverts_nothing(run):
+def test_slow_store_reverts_no_change(run):
     run.set_store_faults(slow_ms=300)
     applied = _apply(run, 560)
     run.set_store_faults(slow_ms=0)
-    _wait_in_force(run, applied["revision"], _all(run))
+    _wait_in_force(run, applied["revision"], _instance_ids(run))
 
 
-def test_watches_stay_a_few_a_domain(run):
+def test_at_most_two_store_watches_per_domain(run):
     time.sleep(1.0)
     address = run.store_address(run.domains[0])
     waiting = run.get(address, "/account")["waiting_by_domain"]
--- a/bench/proofs/front_test.py
+++ b/bench/proofs/front_test.py
@@ -1,4 +1,4 @@
-"""The callers' port under bad input: a clear 4xx, and nothing else harmed."""
+"""Invalid input at the callers' port gets a 4xx and affects no other caller."""
 
 import json
 import pathlib
@@ -54,7 +54,7 @@
     return document
 
 
-BAD = [
+INVALID_REQUESTS = [
     (SEARCH, b"{", "malformed"),
     (SEARCH, b"[]", "malformed"),
     (SEARCH, b'{"text": 5}', "malformed"),
@@ -74,15 +74,15 @@
 ]
 
 
-@pytest.mark.parametrize(("path", "body", "reason"), BAD)
-def test_bad_input_gets_its_reason(front, path, body, reason):
+@pytest.mark.parametrize(("path", "body", "reason"), INVALID_REQUESTS)
+def test_invalid_request_is_rejected_with_its_reason(front, path, body, reason):
     response = _send(front, "POST", path, body)
     assert 400 <= response.status < 500
     document = _check_problem(response)
     assert (document["reason"], document["ran"]) == (reason, "no")
 
 
-def test_a_service_without_actions_refuses_them(front):
+def test_service_without_actions_rejects_an_action(front):
     response = _send(
         front,
         "POST",
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("key", ["", " ", "x" * 256, "caf\u00e9"])
-def test_bad_idempotency_keys_are_refused(front, key):
+def test_invalid_idempotency_key_is_rejected(front, key):
     headers = {"Idempotency-Key": key.encode("latin-1")}
     body = b'{"subject": "a", "request": {}}'
     response = _send(front, "POST", ACTIONS, body, headers)
@@ -115,14 +115,14 @@
         return received
 
 
-def test_header_abuse_is_refused(front):
+def test_invalid_headers_are_rejected(front):
     many = b"".join(b"X-%d: y\r\n" % number for number in range(5_000))
     answer = _raw(front, b"GET / HTTP/1.1\r\nHost: a\r\n" + many + b"\r\n")
     assert answer.split()[1][:1] == b"4"
     assert _raw(front, b"\x00\x01\x02\r\n\r\n").split()[1] == b"400"
 
 
-def test_a_slow_sender_is_told_and_harms_nobody(run, front):
+def test_slow_senders_get_408_and_delay_no_other_caller(run, front):
     head = f"POST {SEARCH} HTTP/1.1\r\nHost: a\r\nContent-Length: 100\r\n\r\n"
     calls = callers.CallerClient(run)
     host, _, port = front.rpartition(":")
@@ -165,19 +165,19 @@
         ).map(lambda value: json.dumps(value).encode()),
     )
 )
-def test_any_body_is_answered_or_refused_clearly(front, body):
+def test_any_body_gets_an_answer_or_a_problem_document(front, body):
     response = _send(front, "POST", SEARCH, body)
     assert response.status in (200, 400, 503)
     if response.status != 200:
         _check_problem(response)
 
 
-def test_refusals_come_at_once(front):
+def test_rejections_are_not_delayed(front):
     times = []
     for _ in range(200):
         started_s = time.monotonic()
         _send(front, "POST", "/services/none/search", b'{"text": "x"}')
         times.append((time.monotonic() - started_s) * 1000)
     print("refusals: p50", sorted(times)[100], "most", max(times), "ms")
-    # Far below any deadline: nothing is held back.
+    # Far below any deadline: rejections are not delayed.
     assert sorted(times)[100] < 100
--- a/bench/proofs/leaving_test.py
+++ b/bench/proofs/leaving_test.py
@@ -1,4 +1,4 @@
-"""Leaving upstreams, planned stops, domains cut off and back again."""
+"""Tests of draining upstreams, planned stops and partitioned domains."""
 
 import pathlib
 import time
@@ -15,7 +15,7 @@
     services=(SERVICE,),
     port_shift=5_000,
     service_ms=3.0,
-    # A stop must not wait for the end of a long poll.
+    # Makes a stop fail that waits for the end of a long poll.
     instance_overrides={"platform": {"watch_ms": 60_000}},
 )
 DRAIN_LIMIT_S = 3.0
@@ -28,13 +28,16 @@
         yield started
 
 
-def _check_uncut(replies) -> int:
-    """Checks that every request got a whole answer or a truthful refusal.
+def _check_replies(replies) -> int:
+    """Checks that every request got an answer or an allowed refusal.
 
-    A cut shows as no answer at all, and a request that met an instance that
-    does not serve as `starting`: neither may be. A stall of the machine past
-    the deadline is refused as below the floor, which no stop has caused; that
-    may be one in a hundred.
+    A cut connection has status 0, and an instance that does not serve refuses
+    with the reason `starting`; neither is allowed. One request in a hundred may
+    be refused with the reason `coverage_below_floor`, which a stall of the
+    machine past the deadline causes, not a stop.
+
+    Returns:
+        The number of refused requests.
     """
     refused = 0
     for _, reply in replies:
@@ -46,38 +49,39 @@
     return refused
 
 
-def test_a_draining_upstream_gets_no_new_work_though_the_list_lags(run):
-    victim = run.upstream_ids(SERVICE)[0]
+def test_draining_upstream_gets_no_new_work_before_the_list_shows_it(run):
+    upstream_id = run.upstream_ids(SERVICE)[0]
     load = callers.LoadGenerator(run, SERVICE, TEXTS, 8)
     time.sleep(1.0)
-    run.set_behaviour(victim, draining=True)
+    run.set_behaviour(upstream_id, draining=True)
     time.sleep(DRAIN_LIMIT_S)
-    before = run.upstream_counters(victim)["new_work_while_draining_count"]
+    before = run.upstream_counters(upstream_id)["new_work_while_draining_count"]
     time.sleep(4.0)
-    after = run.upstream_counters(victim)["new_work_while_draining_count"]
+    after = run.upstream_counters(upstream_id)["new_work_while_draining_count"]
     replies = load.stop()
-    run.set_behaviour(victim, draining=False)
+    run.set_behaviour(upstream_id, draining=False)
     print("draining upstream: new work", before, "then", after - before)
     assert after == before
-    _check_uncut(replies)
+    _check_replies(replies)
 
 
-def test_only_a_few_calls_reach_an_upstream_that_says_it_leaves(run):
-    victim = run.upstream_ids(SERVICE)[5]
+def test_draining_upstream_gets_few_calls_in_its_first_second(run):
+    upstream_id = run.upstream_ids(SERVICE)[5]
     load = callers.LoadGenerator(run, SERVICE, TEXTS, 8)
     time.sleep(0.5)
-    before = run.upstream_counters(victim)["new_work_while_draining_count"]
-    run.set_behaviour(victim, draining=True)
+    before = run.upstream_counters(upstream_id)["new_work_while_draining_count"]
+    run.set_behaviour(upstream_id, draining=True)
     time.sleep(1.0)
     replies = load.stop()
     count = (
-        run.upstream_counters(victim)["new_work_while_draining_count"] - before
+        run.upstream_counters(upstream_id)["new_work_while_draining_count"]
+        - before
     )
-    run.set_behaviour(victim, draining=False)
+    run.set_behaviour(upstream_id, draining=False)
     print("calls that met an upstream in its first second of leaving:", count)
-    # Its three owners each may have one call on its way.
+    # Each of its three owners may have a call in flight.
     assert count <= 6
-    _check_uncut(replies)
+    _check_replies(replies)
 
 
 @pytest.mark.parametrize("keep_alive", [True, False])
@@ -89,7 +93,7 @@
         run.start_instance(each["instance_id"])
         run.wait_ready([each["instance_id"]])
     replies = load.stop()
-    refused = _check_uncut(replies)
+    refused = _check_replies(replies)
     print(
         "planned stops:",
         len(statuses),
@@ -101,39 +105,41 @@
     assert statuses == [0] * 5
 
 
-def test_a_domain_cut_off_serves_on_and_rejoins_without_a_stampede(run):
+def test_partitioned_domain_serves_and_rejoins_without_a_load_peak(run):
     others = [("pikine", "plateau"), ("pikine", "almadies")]
     calls = callers.CallerClient(run)
     inside = calls.front_address("pikine-1")
     load = callers.LoadGenerator(run, SERVICE, TEXTS, 4)
     time.sleep(1.5)
-    steady = _calls_in(run, 1.5)
+    steady = _calls_per_search(run, 1.5)
     run.set_partitions(others)
     run.set_store_faults(cut_domains=["pikine"])
     run.set_instance_list_faults(cut_domains=["pikine"])
     time.sleep(2.0)
-    alone = [
+    partitioned_replies = [
         calls.search(inside, SERVICE, "member", deadline_ms=600)
         for _ in range(20)
     ]
-    assert all(reply.status == 200 for reply in alone[5:])
-    # Each shard has a replica in Pikine: being cut off costs no coverage.
-    assert all(each.body["coverage_ratio"] == 1.0 for each in alone[5:])
+    assert all(reply.status == 200 for reply in partitioned_replies[5:])
+    # Each shard has a replica in Pikine, so a partition reduces no coverage.
+    assert all(
+        each.body["coverage_ratio"] == 1.0 for each in partitioned_replies[5:]
+    )
     run.set_partitions([])
     run.set_store_faults(cut_domains=[])
     run.set_instance_list_faults(cut_domains=[])
-    peaks = [_calls_in(run, 0.5) for _ in range(6)]
+    peaks = [_calls_per_search(run, 0.5) for _ in range(6)]
     replies = load.stop()
     ratio = max(peaks) / steady
     print("rejoin: upstream calls a search, peak over steady:", round(ratio, 2))
-    good = sum(reply.status == 200 for _, reply in replies)
-    print("replies:", len(replies), "answered:", good)
+    answered = sum(reply.status == 200 for _, reply in replies)
+    print("replies:", len(replies), "answered:", answered)
     assert ratio <= 1.5
-    assert good >= 0.98 * len(replies)
+    assert answered >= 0.98 * len(replies)
 
 
-def _calls_in(run, seconds: float) -> float:
-    """Returns upstream calls for each search over some time."""
+def _calls_per_search(run, seconds: float) -> float:
+    """Returns the upstream calls per search during some seconds."""
 
     def totals() -> tuple[int, int]:
         upstream_calls = searches = 0
@@ -150,7 +156,7 @@
     return (calls_after - calls_before) / searches
 
 
-def test_an_upstream_never_sees_more_connections_or_slots_than_it_has(run):
+def test_no_upstream_exceeds_its_connection_limit(run):
     for upstream_id in run.upstream_ids(SERVICE):
         account = run.upstream_counters(upstream_id)
         upstream = run.upstream(upstream_id)
--- a/bench/slopes/__init__.py
+++ b/bench/slopes/__init__.py
@@ -1,1 +1,1 @@
-"""Slopes: costs at several sizes, each with a fitted line and its error."""
+"""Benchmarks of costs at several sizes, with a fitted line and its error."""
--- a/bench/slopes/charts.py
+++ b/bench/slopes/charts.py
@@ -1,4 +1,4 @@
-"""Time of a chart's step: sismic's interpreter against our table."""
+"""Processor time of a statechart step: sismic and the transition table."""
 
 import importlib.resources
 
@@ -25,20 +25,20 @@
 
 
 def _table_us(count: int) -> float:
-    own = chart.load("upstream")
-    state = own.initial
+    loaded = chart.load("upstream")
+    state = loaded.initial
     with fit.Stopwatch() as watch:
         for number in range(count):
-            state = own.step(state, EVENTS[number % len(EVENTS)])
+            state = loaded.step(state, EVENTS[number % len(EVENTS)])
     return watch.cpu_ms * 1000
 
 
 def main() -> None:
-    """Measures and prints."""
-    ways = {"sismic": _sismic_us, "table": _table_us}
+    """Runs both interpreters and reports the time per step."""
+    measures = {"sismic": _sismic_us, "table": _table_us}
     rows, lines = [], {}
-    for name, way in ways.items():
-        values = [way(count) for count in STEP_COUNTS]
+    for name, measure in measures.items():
+        values = [measure(count) for count in STEP_COUNTS]
         rows += [
             {"way": name, "steps": count, "us_a_step": round(value / count, 2)}
             for count, value in zip(STEP_COUNTS, values, strict=True)
--- a/bench/slopes/claims.py
+++ b/bench/slopes/claims.py
@@ -1,8 +1,9 @@
-"""Store writes for actions: a claim a key, against claims grouped by slot.
+"""Store writes for actions: a claim per key, compared with claims per slot.
 
-The first way is the product's, measured over a running deployment. The second
-is a trial: claims wait for the write before, then go together into one value a
-slot; its writes grow slower, its bytes with all claims that are remembered.
+The product writes a claim per key, which is measured on a running deployment.
+The alternative is simulated: claims wait for the previous write and are then
+written together into one value per slot. Its number of writes grows more slowly,
+but its bytes grow with all claims that are kept.
 """
 
 import concurrent.futures
@@ -23,8 +24,8 @@
 SERVICE = "certification-register"
 
 
-def _paced(rate: int, call) -> int:
-    """Makes calls at a rate for some seconds; returns how many went well."""
+def _call_at_rate(rate: int, call) -> int:
+    """Makes calls at a rate for `SECONDS`; returns the number that succeeded."""
     count = int(rate * SECONDS)
     started_s = time.monotonic()
     with concurrent.futures.ThreadPoolExecutor(64) as threads:
@@ -36,11 +37,11 @@
         return sum(each.result() for each in futures)
 
 
-def _account(run: fleet.Fleet) -> dict:
+def _store_counters(run: fleet.Fleet) -> dict:
     return run.get(run.store_address(run.domains[0]), "/account")
 
 
-def _each_key(run: fleet.Fleet, rate: int) -> dict:
+def _measure_per_key(run: fleet.Fleet, rate: int) -> dict:
     calls = callers.CallerClient(run)
 
     def act(number: int) -> bool:
@@ -48,16 +49,19 @@
         key = f"{rate}-{number}"
         return calls.act(front, SERVICE, key, key).execution_status() == "yes"
 
-    before = _account(run)
-    well = _paced(rate, act)
+    before = _store_counters(run)
+    succeeded = _call_at_rate(rate, act)
     time.sleep(1.0)
-    after = _account(run)
+    after = _store_counters(run)
     writes = after["write_count"] - before["write_count"]
-    return {"ran": well, "writes_per_action": round(writes / max(1, well), 2)}
+    return {
+        "ran": succeeded,
+        "writes_per_action": round(writes / max(1, succeeded), 2),
+    }
 
 
-def _grouped(run: fleet.Fleet, rate: int) -> dict:
-    """One writer a slot; each write carries all claims that wait."""
+def _measure_grouped(run: fleet.Fleet, rate: int) -> dict:
+    """Measures a writer per slot, whose writes contain all waiting claims."""
     settings = instance.PlatformSettings(
         store_address=run.store_address(run.domains[0]),
         instance_list_address="127.0.0.1:1",
@@ -69,7 +73,7 @@
     )
     client = store.StoreClient(settings)
     waiting: list[list[int]] = [[] for _ in range(SLOT_COUNT)]
-    held = [0] * SLOT_COUNT
+    claim_counts = [0] * SLOT_COUNT
     versions = [0] * SLOT_COUNT
     writes = [0, 0]
     ends_s = time.monotonic() + SECONDS + 0.5
@@ -80,8 +84,8 @@
             if not batch:
                 time.sleep(0.002)
                 continue
-            held[slot] += len(batch)
-            value = "x" * (held[slot] * CLAIM_BYTES)
+            claim_counts[slot] += len(batch)
+            value = "x" * (claim_counts[slot] * CLAIM_BYTES)
             key = f"trial/{rate}/{slot}"
             result = client.put(key, value, versions[slot])
             versions[slot] = result.ok
@@ -95,7 +99,7 @@
     with concurrent.futures.ThreadPoolExecutor(SLOT_COUNT) as threads:
         for slot in range(SLOT_COUNT):
             threads.submit(writer, slot)
-        count = _paced(rate, claim)
+        count = _call_at_rate(rate, claim)
     return {
         "writes_per_claim": round(writes[0] / count, 2),
         "bytes_per_claim": round(writes[1] / count),
@@ -103,7 +107,7 @@
 
 
 def main() -> None:
-    """Measures and prints."""
+    """Measures both schemes at each rate and reports the writes."""
     options = fleet.Options(services=(SERVICE,), port_shift=6_000)
     rows = []
     with (
@@ -112,8 +116,8 @@
     ):
         for rate in RATES:
             row = {"actions_per_s": rate}
-            row |= _each_key(run, rate)
-            grouped = _grouped(run, rate)
+            row |= _measure_per_key(run, rate)
+            grouped = _measure_grouped(run, rate)
             row |= {f"grouped_{name}": grouped[name] for name in grouped}
             rows.append(row)
     writes = [row["writes_per_action"] * row["actions_per_s"] for row in rows]
--- a/bench/slopes/farm.py
+++ b/bench/slopes/farm.py
@@ -1,4 +1,4 @@
-"""Many cheap upstreams in one process, for the cost of the side that calls."""
+"""Many minimal upstreams in one process, to measure the cost of the caller."""
 
 import asyncio
 import json
@@ -48,7 +48,14 @@
 
 @application.default
 def main(port: int, count: int, first: int, total: int) -> None:
-    """Serves upstreams on consecutive ports until the process ends."""
+    """Serves upstreams on consecutive ports until the process ends.
+
+    Args:
+        port: Port of the first upstream.
+        count: Number of upstreams in this process.
+        first: Index of the first upstream in the key space.
+        total: Number of upstreams in all processes.
+    """
     uvloop.run(_serve(port, count, first, total))
 
 
--- a/bench/slopes/farms.py
+++ b/bench/slopes/farms.py
@@ -1,4 +1,4 @@
-"""Starts farms of cheap upstreams and describes them as a service."""
+"""Starts processes with minimal upstreams and describes them as a service."""
 
 import subprocess
 import sys
@@ -11,7 +11,7 @@
 
 
 class Farms:
-    """Processes that serve a number of cheap upstreams together."""
+    """Processes that together serve a number of minimal upstreams."""
 
     def __init__(self, upstream_count: int):
         self.upstream_count = upstream_count
@@ -43,7 +43,7 @@
             process.wait()
 
     def upstreams(self) -> list[catalog.Upstream]:
-        """Returns the upstreams' records."""
+        """Returns the catalog entries of the upstreams."""
         return [
             catalog.Upstream(
                 upstream_id=f"upstream-{number:04d}",
--- a/bench/slopes/fit.py
+++ b/bench/slopes/fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points, and how far off they are."""
+"""Linear fits, measurement of processes and reports of the benchmarks."""
 
 import dataclasses
 import json
@@ -15,9 +15,9 @@
     """A fitted line.
 
     Attributes:
-        slope: Growth for each unit of size.
+        slope: Increase per unit of size.
         base: Value at size zero.
-        error_ratio: Largest distance of a point from the line, over its value.
+        error_ratio: Largest relative error of a point.
     """
 
     slope: float
@@ -30,7 +30,7 @@
 
 
 def fit_line(sizes: list[float], values: list[float]) -> Line:
-    """Fits a line by least squares of relative errors."""
+    """Returns the line with the least squares of relative errors."""
     weights = [1.0 / max(abs(value), 1e-12) for value in values]
     slope, base = numpy.polyfit(sizes, values, 1, w=weights)
     errors = [
@@ -41,7 +41,7 @@
 
 
 class Stopwatch:
-    """Wall and processor time of this process over a block."""
+    """Measures wall-clock and processor time of a `with` block."""
 
     def __enter__(self) -> "Stopwatch":
         self._wall_s = time.perf_counter()
@@ -54,26 +54,26 @@
 
 
 def process_cpu_s(pid: int) -> float:
-    """Returns the processor seconds that a process has used."""
+    """Returns the processor time in seconds that a process has used."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2]
     words = fields.split()
     return (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def process_memory_mb(pid: int) -> float:
-    """Returns the resident megabytes of a process."""
+    """Returns the resident memory of a process in megabytes."""
     text = pathlib.Path(f"/proc/{pid}/statm").read_text().split()[1]
     return int(text) * resource.getpagesize() / 1e6
 
 
 def quantile(values: list[float], ratio: float) -> float:
-    """Returns a quantile of some values."""
+    """Returns the quantile of values at a ratio between 0 and 1."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(ratio * len(ordered)))]
 
 
 def report(name: str, rows: list[dict], lines: dict[str, Line]) -> None:
-    """Prints rows and lines, and keeps them under run/slopes."""
+    """Prints rows and fitted lines and writes them as JSON to run/slopes."""
     print(f"\n{name}")
     for row in rows:
         print("  " + "  ".join(f"{key}={value}" for key, value in row.items()))
--- a/bench/slopes/gossip.py
+++ b/bench/slopes/gossip.py
@@ -1,8 +1,9 @@
-"""Heartbeats and configuration spread by number of instances.
+"""Cost of heartbeats and of configuration spread by number of instances.
 
-Endpoints are the product's own gossip, links and state, ten to a process, in
-one failure domain. Measured: processor time, bytes and messages of an endpoint
-a second at rest, and the time until a change told to one is in force at all.
+Endpoints consist of the product's gossip, links and state. Each process runs
+ten of them, all in one failure domain. The benchmark measures processor time,
+bytes and messages per second of an idle endpoint, and the time until a change
+that one endpoint receives is in force on all.
 """
 
 import asyncio
@@ -30,7 +31,7 @@
 SIZES = (8, 32, 100, 200)
 PER_PROCESS_COUNT = 10
 PORT = 28_000
-REST_S = 8.0
+IDLE_S = 8.0
 SPREAD_COUNT = 5
 SPREAD_LIMIT_S = 10.0
 
@@ -69,7 +70,7 @@
 
 
 class Endpoint:
-    """One instance's control part."""
+    """The state, links and gossip of an instance."""
 
     def __init__(self, number: int, total: int):
         loop = asyncio.get_running_loop()
@@ -107,7 +108,7 @@
         self.gossip.send_heartbeat()
 
     def put(self, revision: int) -> None:
-        """Takes a new revision, as a watcher does."""
+        """Applies a new revision, as a store watcher does."""
         text = f"{{profiles: {{p{revision}: {{deadline_ms: {100 + revision}, "
         text += "coverage_floor_ratio: 0.5, extra_load_ceiling_ratio: 0.1}}}"
         digest = catalog_settings.digest_of(text)
@@ -125,36 +126,38 @@
 
 
 async def _serve(first: int, count: int, total: int) -> None:
-    """Runs endpoints; obeys lines on standard input."""
-    ends = [Endpoint(first + index, total) for index in range(count)]
-    beats = [asyncio.ensure_future(each.gossip.run()) for each in ends]
+    """Runs endpoints and executes the commands on standard input."""
+    endpoints = [Endpoint(first + index, total) for index in range(count)]
+    gossip_tasks = [
+        asyncio.ensure_future(each.gossip.run()) for each in endpoints
+    ]
     loop = asyncio.get_running_loop()
     print("ready", flush=True)
     while True:
-        line = await loop.run_in_executor(None, sys.stdin.readline)
-        words = line.split()
+        read_line = await loop.run_in_executor(None, sys.stdin.readline)
+        words = read_line.split()
         if not words:
             break
         if words[0] == "put":
-            ends[0].put(int(words[1]))
+            endpoints[0].put(int(words[1]))
             print(clock.now_ms(), flush=True)
         else:
-            print(json.dumps([_report(each) for each in ends]), flush=True)
-    for each in beats:
+            print(json.dumps([_report(each) for each in endpoints]), flush=True)
+    for each in gossip_tasks:
         each.cancel()
 
 
-def _report(end: Endpoint) -> dict:
-    traffic = end.links.counters
+def _report(endpoint: Endpoint) -> dict:
+    traffic = endpoint.links.counters
     return {
         "bytes": traffic.sent_bytes + traffic.received_bytes,
         "messages": traffic.sent_message_count + traffic.received_message_count,
-        "revised_ms": {str(k): v for k, v in end.revised_ms.items()},
+        "revised_ms": {str(k): v for k, v in endpoint.revised_ms.items()},
     }
 
 
 class Process:
-    """A process of endpoints."""
+    """A child process that runs endpoints."""
 
     def __init__(self, first: int, count: int, total: int):
         words = (str(first), str(count), str(total))
@@ -165,33 +168,33 @@
             text=True,
         )
 
-    def line(self) -> str:
-        """Reads one line."""
+    def read_line(self) -> str:
+        """Returns the next line of the process's output."""
         return self.popen.stdout.readline()
 
-    def say(self, text: str) -> str:
-        """Sends a line and returns the answer."""
+    def send_command(self, text: str) -> str:
+        """Sends a command and returns the response line."""
         self.popen.stdin.write(text + "\n")
         self.popen.stdin.flush()
-        return self.line()
+        return self.read_line()
 
 
 def _reports(processes: list[Process]) -> list[dict]:
     return [
         each
         for process in processes
-        for each in json.loads(process.say("report"))
+        for each in json.loads(process.send_command("report"))
     ]
 
 
 def _spread_ms(processes: list[Process], revision: int) -> float:
-    told_ms = float(processes[0].say(f"put {revision}"))
+    put_ms = float(processes[0].send_command(f"put {revision}"))
     ends_s = time.monotonic() + SPREAD_LIMIT_S
     while time.monotonic() < ends_s:
         reports = _reports(processes)
         times = [each["revised_ms"].get(str(revision)) for each in reports]
         if all(times):
-            return max(times) - told_ms
+            return max(times) - put_ms
         time.sleep(0.2)
     return float("inf")
 
@@ -203,11 +206,11 @@
     ]
     try:
         for process in processes:
-            process.line()
+            process.read_line()
         time.sleep(4.0)
         cpu_s = sum(fit.process_cpu_s(each.popen.pid) for each in processes)
         before = _reports(processes)
-        time.sleep(REST_S)
+        time.sleep(IDLE_S)
         after = _reports(processes)
         used_s = (
             sum(fit.process_cpu_s(each.popen.pid) for each in processes) - cpu_s
@@ -222,13 +225,13 @@
             process.popen.wait()
 
     def rate(name: str) -> float:
-        grown = sum(each[name] for each in after)
-        grown -= sum(each[name] for each in before)
-        return grown / total / REST_S
+        increase = sum(each[name] for each in after)
+        increase -= sum(each[name] for each in before)
+        return increase / total / IDLE_S
 
     return {
         "instances": total,
-        "cpu_percent_of_core": round(100 * used_s / total / REST_S, 3),
+        "cpu_percent_of_core": round(100 * used_s / total / IDLE_S, 3),
         "bytes_per_s": round(rate("bytes"), 1),
         "messages_per_s": round(rate("messages"), 2),
         "spread_ms_median": round(fit.quantile(spreads, 0.5), 1),
@@ -237,7 +240,7 @@
 
 
 def main() -> None:
-    """Measures and prints; with arguments, is a process of endpoints."""
+    """Reports the measurements; with arguments, runs a child process."""
     if len(sys.argv) > 1:
         uvloop.run(_serve(*map(int, sys.argv[1:])))
         return
--- a/bench/slopes/memory.py
+++ b/bench/slopes/memory.py
@@ -1,4 +1,4 @@
-"""Memory of an instance's knowledge, by upstreams, members and open queries."""
+"""Memory of an instance's state by upstreams, members and open queries."""
 
 import subprocess
 import sys
@@ -16,11 +16,11 @@
 
 def _upstreams(count: int) -> object:
     service = example.service(count // 3, 3)
-    know = example.knowledge(service)
+    knowledge = example.knowledge(service)
     for upstream_id in service.upstreams:
-        know.upstream_health.upstreams[upstream_id].held_versions = (1, 2)
-        know.router.paths(service, upstream_id)
-    return service, know
+        knowledge.upstream_health.upstreams[upstream_id].held_versions = (1, 2)
+        knowledge.router.paths(service, upstream_id)
+    return service, knowledge
 
 
 def _members(count: int) -> object:
@@ -39,30 +39,30 @@
 
 def _queries(count: int) -> object:
     service = example.service(370, 3)
-    know = example.knowledge(service)
+    knowledge = example.knowledge(service)
     plans = []
     for number in range(count):
         plan = queryplan.QueryPlan(
             example.browsing_query(number=number),
             example.profile(),
             service,
-            know,
+            knowledge,
             0.0,
         )
         plans.append((plan, plan.start(0.0)))
     return plans
 
 
-_KINDS = {"upstreams": _upstreams, "members": _members, "queries": _queries}
+_BUILDERS = {"upstreams": _upstreams, "members": _members, "queries": _queries}
 
 
 def _child(kind: str, count: int) -> None:
     import os
 
     before = fit.process_memory_mb(os.getpid())
-    kept = _KINDS[kind](count)
+    retained = _BUILDERS[kind](count)
     print(fit.process_memory_mb(os.getpid()) - before)
-    del kept
+    del retained
 
 
 def _megabytes(kind: str, count: int) -> float:
@@ -72,7 +72,7 @@
 
 
 def main() -> None:
-    """Measures and prints; with arguments, is the process measured."""
+    """Reports the measurements; with arguments, runs a measured process."""
     if len(sys.argv) > 1:
         _child(sys.argv[1], int(sys.argv[2]))
         return
--- a/bench/slopes/part.py
+++ b/bench/slopes/part.py
@@ -1,7 +1,7 @@
-"""`python -m bench.slopes.part`: processor time of a call to one shard.
+"""`python -m bench.slopes.part`: processor time of a call to a shard.
 
-Calls go over the gateway's pools to upstreams in another process: on kept
-connections (warm) and on new ones (cold). What the upstreams take is left out.
+The gateway's pools call upstreams in another process, over reused connections
+(warm) and new ones (cold). The processor time of the upstreams is excluded.
 """
 
 import asyncio
@@ -28,14 +28,14 @@
 
 
 class _Upstream(asyncio.Protocol):
-    """Answers whatever comes."""
+    """Sends `REPLY` for any data received."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Takes the transport."""
+        """Stores the transport."""
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Answers."""
+        """Sends the reply."""
         self._transport.write(REPLY)
 
 
@@ -47,11 +47,11 @@
     await asyncio.Event().wait()
 
 
-def _upstreams(ports: multiprocessing.Queue) -> None:
+def _run_upstreams(ports: multiprocessing.Queue) -> None:
     uvloop.run(_serve(ports))
 
 
-def _listed(number: int, port: int) -> traffic.Upstream:
+def _catalog_upstream(number: int, port: int) -> traffic.Upstream:
     return traffic.Upstream(
         upstream_id=f"i-{number}",
         service=f"s{number}",
@@ -64,7 +64,7 @@
 
 
 async def _query(pools: pool.Pools, listed: list[traffic.Upstream]) -> float:
-    """Calls all upstreams; returns processor time of a call, in us."""
+    """Calls all upstreams; returns the processor time per call in us."""
     loop = asyncio.get_running_loop()
     missing = len(listed)
     done = loop.create_future()
@@ -100,22 +100,22 @@
         warm_us.append(await _query(pools, listed))
         pools.keep_only(())
         await asyncio.sleep(0.01)
-    for name, found in (("cold", cold_us), ("warm", warm_us)):
+    for name, times_us in (("cold", cold_us), ("warm", warm_us)):
         print(
-            f"{name}: median {statistics.median(found):.0f} us a call, "
-            f"least {min(found):.0f}"
+            f"{name}: median {statistics.median(times_us):.0f} us a call, "
+            f"least {min(times_us):.0f}"
         )
 
 
 def main() -> None:
-    """Measures and prints."""
+    """Measures the calls and prints the median and minimum."""
     ports: multiprocessing.Queue = multiprocessing.Queue()
     process = multiprocessing.Process(
-        target=_upstreams, args=(ports,), daemon=True
+        target=_run_upstreams, args=(ports,), daemon=True
     )
     process.start()
     listed = [
-        _listed(number, ports.get(timeout=10.0))
+        _catalog_upstream(number, ports.get(timeout=10.0))
         for number in range(SHARD_COUNT)
     ]
     uvloop.run(_measure(listed))
--- a/bench/slopes/peer_message.py
+++ b/bench/slopes/peer_message.py
@@ -1,7 +1,7 @@
-"""Processor time and latency of a peer message, by size and by batch.
+"""Processor time and latency of a peer message by size and batch size.
 
-The product's links (blocking sockets in threads that feed the loop) against
-pynng's own asyncio calls, echoing between two processes.
+Compares the product's links (blocking sockets in threads that feed the event
+loop) with the asyncio functions of pynng, by echoing between two processes.
 """
 
 import asyncio
@@ -68,7 +68,7 @@
 
 
 async def _round_trips(body: message.Message, batch: int) -> list[float]:
-    """Returns round trips in ms and, last, the processor ms for all."""
+    """Returns the round trips in ms, then the processor time of all in ms."""
     loop = asyncio.get_running_loop()
     waiting: list[asyncio.Future] = []
     state = {"left": 0}
@@ -118,7 +118,7 @@
     return walls
 
 
-def _with_far(mode: str, work) -> list[float]:
+def _run_with_echo(mode: str, work) -> list[float]:
     far = subprocess.Popen(
         [sys.executable, "-m", "bench.slopes.peer_message", mode],
         stdout=subprocess.PIPE,
@@ -144,7 +144,7 @@
 
 
 def main() -> None:
-    """Measures and prints; with an argument, is the far side."""
+    """Reports the measurements; with an argument, runs the echo process."""
     if len(sys.argv) > 1:
         asyncio_mode = sys.argv[1] == "asyncio"
         uvloop.run(_echo_asyncio() if asyncio_mode else _echo())
@@ -154,15 +154,15 @@
     for hit_count in HIT_COUNTS:
         body = _answer(hit_count)
         size = len(codec.encode_frame([_CODEC.encode(body)]))
-        walls = _with_far("threads", _round_trips(body, 1))
+        walls = _run_with_echo("threads", _round_trips(body, 1))
         rows.append(_row("threads", size, 1, walls))
         sizes.append(size)
         cpus.append(walls[-1] * 1000 / ROUNDS)
-        walls = _with_far("asyncio", _round_trips_asyncio(body, 1))
+        walls = _run_with_echo("asyncio", _round_trips_asyncio(body, 1))
         rows.append(_row("asyncio", size, 1, walls))
     batch_cpus = []
     for batch in BATCHES:
-        walls = _with_far("threads", _round_trips(_answer(10), batch))
+        walls = _run_with_echo("threads", _round_trips(_answer(10), batch))
         rows.append(_row("threads", 0, batch, walls))
         batch_cpus.append(walls[-1] * 1000 / ROUNDS)
     lines = {
--- a/bench/slopes/plan.py
+++ b/bench/slopes/plan.py
@@ -1,4 +1,4 @@
-"""Processor time of one query's decisions, without any I/O, by upstreams."""
+"""Processor time of a query plan, without I/O, by number of upstreams."""
 
 import gc
 import statistics
@@ -12,22 +12,22 @@
 ROUNDS = 41
 
 
-def _one_query(current, know, number: int) -> float:
-    """Runs one query; returns the processor ms of its decisions alone."""
+def _one_query(current, knowledge, number: int) -> float:
+    """Runs a query; returns the processor time of its plan in ms."""
     with fit.Stopwatch() as first:
         plan = queryplan.QueryPlan(
             example.browsing_query(number=number),
             example.profile(),
             current,
-            know,
+            knowledge,
             0.0,
         )
         commands = plan.start(0.0)
-    asks = [each for each in commands if isinstance(each, querycommand.Send)]
-    replies = [example.answer_reply(ask, current) for ask in asks]
+    sends = [each for each in commands if isinstance(each, querycommand.Send)]
+    replies = [example.answer_reply(send, current) for send in sends]
     with fit.Stopwatch() as second:
         for reply in replies:
-            know.upstream_health.record_reply(current.name, reply, 1.0)
+            knowledge.upstream_health.record_reply(current.name, reply, 1.0)
             commands = plan.on_reply(reply, 1.0)
             plan.next_deadline_ms()
     assert isinstance(commands[-1], querycommand.Finish)
@@ -35,16 +35,16 @@
 
 
 def main() -> None:
-    """Measures and prints."""
+    """Measures each number of upstreams and reports the times."""
     rows, cpus = [], []
     for size in SIZES:
         current = example.service(size, 3)
-        know = example.knowledge(current)
-        _one_query(current, know, 0)
+        knowledge = example.knowledge(current)
+        _one_query(current, knowledge, 0)
         gc.collect()
-        # The median: this machine's speed varies from one moment to the next.
+        # The median, because the speed of the machine varies.
         cpu_ms = statistics.median(
-            _one_query(current, know, number) for number in range(ROUNDS)
+            _one_query(current, knowledge, number) for number in range(ROUNDS)
         )
         cpus.append(cpu_ms)
         rows.append(
--- a/bench/slopes/stages.py
+++ b/bench/slopes/stages.py
@@ -1,4 +1,4 @@
-"""A query over 30 to 370 upstreams: in one stage, and through peers' relays."""
+"""Cost of a query over 30 to 370 upstreams, directly and through relays."""
 
 import concurrent.futures
 import pathlib
@@ -34,17 +34,17 @@
     calls = callers.CallerClient(run)
     front = calls.front_address("plateau-1")
 
-    def one(_number: int) -> callers.Reply:
+    def search(_number: int) -> callers.Reply:
         return calls.search(front, "wide", "record", limit=10)
 
     for number in range(WARM_COUNT):
-        one(number)
+        search(number)
     pids = {
         each["instance_id"]: run.processes[each["instance_id"]].pid
         for each in run.instances
     }
     before = {name: fit.process_cpu_s(pid) for name, pid in pids.items()}
-    replies = [one(number) for number in range(QUERY_COUNT)]
+    replies = [search(number) for number in range(QUERY_COUNT)]
     used = {
         name: fit.process_cpu_s(pid) - before[name]
         for name, pid in pids.items()
@@ -53,7 +53,7 @@
     elapsed = [each.body["elapsed_ms"] for each in replies]
     started_s = time.monotonic()
     with concurrent.futures.ThreadPoolExecutor(6) as threads:
-        list(threads.map(one, range(QUERY_COUNT)))
+        list(threads.map(search, range(QUERY_COUNT)))
     rate = QUERY_COUNT / (time.monotonic() - started_s)
     coordinator_ms = used.pop("plateau-1") * 1000 / QUERY_COUNT
     relays_ms = sum(used.values()) * 1000 / QUERY_COUNT
@@ -69,7 +69,7 @@
 
 
 def main() -> None:
-    """Measures and prints."""
+    """Measures each number of instances and upstreams and reports them."""
     rows = []
     for count in INSTANCE_COUNTS:
         for size in SIZES:
@@ -84,9 +84,9 @@
                     rows.append(_measure(run, size, count))
     lines = {}
     for count in INSTANCE_COUNTS:
-        chosen = [row for row in rows if row["instances"] == count]
+        count_rows = [row for row in rows if row["instances"] == count]
         for name in ("coordinator_cpu_ms", "relays_cpu_ms", "p50_ms"):
-            values = [max(row[name], 0.01) for row in chosen]
+            values = [max(row[name], 0.01) for row in count_rows]
             lines[f"{name}, {count} instances"] = fit.fit_line(
                 list(SIZES), values
             )
--- a/bench/slopes/upstream_client.py
+++ b/bench/slopes/upstream_client.py
@@ -1,6 +1,6 @@
-"""Processor time of an upstream call: urllib3, aiohttp, aiohttp on uvloop.
+"""Processor time of an upstream call by HTTP client and event loop.
 
-One process calls 30 to 370 upstreams at once, as one query does in one stage.
+A process calls 30 to 370 upstreams at once, as a single-stage query does.
 """
 
 import asyncio
@@ -106,8 +106,8 @@
 
 
 def main() -> None:
-    """Measures and prints."""
-    ways = {
+    """Measures each client and number of upstreams and reports them."""
+    clients = {
         "urllib3 in threads": _urllib3_rounds,
         "aiohttp on asyncio": lambda upstreams: asyncio.run(
             _aiohttp_rounds(upstreams)
@@ -117,15 +117,15 @@
         ),
     }
     rows = []
-    cpus: dict[str, list[float]] = {way: [] for way in ways}
+    cpus: dict[str, list[float]] = {client_name: [] for client_name in clients}
     for size in SIZES:
         with farms.Farms(size) as farm:
-            for way, rounds in ways.items():
+            for client_name, rounds in clients.items():
                 *walls, cpu_ms = rounds(farm.upstreams())
-                cpus[way].append(cpu_ms / ROUNDS)
+                cpus[client_name].append(cpu_ms / ROUNDS)
                 rows.append(
                     {
-                        "client": way,
+                        "client": client_name,
                         "upstreams": size,
                         "cpu_us_a_call": round(
                             cpu_ms * 1000 / ROUNDS / size, 1
@@ -135,8 +135,8 @@
                     }
                 )
     lines = {
-        f"cpu ms a query, {way}": fit.fit_line(list(SIZES), values)
-        for way, values in cpus.items()
+        f"cpu ms a query, {client_name}": fit.fit_line(list(SIZES), values)
+        for client_name, values in cpus.items()
     }
     fit.report("upstream_client", rows, lines)
 
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -1,8 +1,8 @@
-"""Records upstream times from real processes, and replays them without any.
+"""Records the search times of real upstreams and replays them in simulation.
 
-A trace holds, for each upstream, the times that its searches really took. The
-replay runs the product's decisions over them in virtual time, so that its
-outcome is the same every run.
+A trace holds the recorded search times of each upstream. The replay runs the
+product's query plans with these times in virtual time, so that its outcome is
+deterministic.
 """
 
 import dataclasses
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Outcome:
-    """What a replay came to."""
+    """The results of a replay."""
 
     answered_count: int
     refused_count: int
@@ -43,38 +43,44 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Trace:
-    """Recorded times by upstream, in the order of shards and replicas."""
+    """Recorded search times.
+
+    Attributes:
+        name: Name of the trace.
+        upstream_ms: Search times of each upstream, ordered by shard and
+            replica.
+    """
 
     name: str
     upstream_ms: tuple[tuple[float, ...], ...]
 
 
 def read_trace(name: str) -> Trace:
-    """Reads a trace."""
+    """Returns the recorded trace of a name."""
     document = json.loads((FOLDER / f"{name}.json").read_text("utf-8"))
     upstream_ms = tuple(tuple(each) for each in document["upstream_ms"])
     return Trace(name=name, upstream_ms=upstream_ms)
 
 
 class Replay:
-    """One run of the decisions over a trace, in virtual time."""
+    """A replay of query plans over a trace in virtual time."""
 
     def __init__(self, trace: Trace, hedges: hedging.HedgePolicy):
         self._service = example.service(len(trace.upstream_ms) // 3, 3)
-        self._know = example.knowledge(self._service, hedges)
+        self._knowledge = example.knowledge(self._service, hedges)
         self._times = {
             upstream_id: itertools.cycle(times)
             for upstream_id, times in zip(
                 self._service.upstreams, trace.upstream_ms, strict=True
             )
         }
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._events: list[tuple] = []
         self._plans: dict[int, queryplan.QueryPlan] = {}
         self._results: list[query.Answer | refusal.Refusal] = []
 
     def run(self) -> Outcome:
-        """Replays every query and sums up."""
+        """Replays all queries and returns the results."""
         for number in range(QUERY_COUNT):
             self._push(number * GAP_MS, "start", number, None)
         while self._events:
@@ -83,7 +89,7 @@
         return self._outcome()
 
     def _push(self, at_ms: float, kind: str, number: int, body) -> None:
-        entry = (at_ms, next(self._order), kind, number, body)
+        entry = (at_ms, next(self._sequence), kind, number, body)
         heapq.heappush(self._events, entry)
 
     def _step(self, now_ms: float, kind: str, number: int, body) -> None:
@@ -92,15 +98,15 @@
                 example.browsing_query(number=number),
                 example.profile(),
                 self._service,
-                self._know,
+                self._knowledge,
                 now_ms,
             )
             self._plans[number] = plan
-            self._carry(plan, number, plan.start(now_ms), now_ms)
+            self._execute(plan, number, plan.start(now_ms), now_ms)
             return
         if kind == "reply":
-            # Late answers still show how slow the upstream is.
-            self._know.upstream_health.record_reply(
+            # Late replies still update the latency of the upstream.
+            self._knowledge.upstream_health.record_reply(
                 self._service.name, body, now_ms
             )
         plan = self._plans.get(number)
@@ -110,9 +116,9 @@
             commands = plan.on_reply(body, now_ms)
         else:
             commands = plan.on_timeout(now_ms)
-        self._carry(plan, number, commands, now_ms)
+        self._execute(plan, number, commands, now_ms)
 
-    def _carry(self, plan, number: int, commands, now_ms: float) -> None:
+    def _execute(self, plan, number: int, commands, now_ms: float) -> None:
         for command in commands:
             match command:
                 case querycommand.Send():
@@ -148,7 +154,7 @@
         )
 
 
-def _record(name: str, harm) -> None:
+def _record(name: str, inject) -> None:
     options = fleet.Options(
         services=(measures.SERVICE,),
         service_ms=measures.SERVICE_MS,
@@ -159,21 +165,21 @@
         tempfile.TemporaryDirectory() as at,
         fleet.Fleet(options, pathlib.Path(at)) as run,
     ):
-        if harm:
-            harm(run)
+        if inject:
+            inject(run)
         measures.run_load(run, measures.STEADY_PER_S)
         upstream_ms = [
             run.upstream_counters(upstream_id)["taken_ms"][:KEEP_COUNT]
             for upstream_id in run.upstream_ids(measures.SERVICE)
         ]
-    # An upstream routed around early has few times: repeat what it has.
+    # An upstream that was avoided early has few times; the replay repeats them.
     document = {"name": name, "upstream_ms": upstream_ms}
     FOLDER.mkdir(exist_ok=True)
     (FOLDER / f"{name}.json").write_text(json.dumps(document) + "\n")
 
 
 def main() -> None:
-    """Records the traces anew, or replays them with the word `replay`."""
+    """Records the traces, or replays them if the argument is `replay`."""
     if sys.argv[1:] == ["replay"]:
         for name in ("healthy", "stragglers"):
             for hedges in (
--- a/bench/traces_test.py
+++ b/bench/traces_test.py
@@ -1,4 +1,4 @@
-"""Recorded traces replayed against stated outcomes; the same every run."""
+"""Deterministic tests of query plans over recorded traces."""
 
 import functools
 
@@ -19,33 +19,33 @@
 
 @pytest.mark.parametrize("name", ["healthy", "stragglers"])
 def test_extra_load_stays_within_the_profile(name):
-    # The first tokens of a fresh budget come on top of the five in a hundred.
+    # The initial tokens of a new budget add to the 5% of the profile.
     assert _outcome(name, _PRODUCT).extra_load_ratio <= 0.051
 
 
 @pytest.mark.parametrize("name", ["healthy", "stragglers"])
-def test_every_query_is_answered_whole(name):
+def test_every_query_gets_full_coverage(name):
     outcome = _outcome(name, _PRODUCT)
     assert outcome.refused_count == 0
     assert outcome.coverage_mean_ratio == 1.0
 
 
-def test_stragglers_cost_at_most_half_of_the_healthy_tail():
+def test_stragglers_raise_p99_by_at_most_half():
     healthy = _outcome("healthy", _PRODUCT).p99_ms
     assert _outcome("stragglers", _PRODUCT).p99_ms <= 1.5 * healthy
 
 
-def test_hedging_in_budget_beats_no_hedging_at_the_tail():
+def test_hedging_in_budget_does_not_raise_p99():
     for name in ("healthy", "stragglers"):
-        own = _outcome(name, _PRODUCT).p99_ms
-        assert own <= _outcome(name, _NONE).p99_ms
+        hedged = _outcome(name, _PRODUCT).p99_ms
+        assert hedged <= _outcome(name, _NONE).p99_ms
 
 
-def test_a_fixed_delay_spends_more_than_the_profile_allows():
+def test_fixed_hedge_delay_exceeds_the_load_limit():
     assert _outcome("healthy", _FIXED).extra_load_ratio > 0.05
 
 
-def test_a_replay_comes_out_the_same_every_time():
+def test_replay_is_deterministic():
     trace = traces.read_trace("stragglers")
-    one = traces.Replay(trace, _PRODUCT).run()
-    assert one == traces.Replay(trace, _PRODUCT).run()
+    first = traces.Replay(trace, _PRODUCT).run()
+    assert first == traces.Replay(trace, _PRODUCT).run()
--- a/bench/workscale.py
+++ b/bench/workscale.py
@@ -1,8 +1,8 @@
-"""`python -m bench.workscale`: does the choice of upstreams hold at any work?
+"""`python -m bench.workscale`: the choice of upstreams by the work of a call.
 
-Plays calls of one instance to the three upstreams of a shard, one of them in
-its own failure domain, in simulated time. The work of a call is varied from a
-third to seventeen times that of the users' urgent searches.
+Simulates the calls of an instance to the three upstreams of a shard, one of
+which is in its own failure domain. The work of a call is varied from a third to
+seventeen times that of the users' urgent searches.
 """
 
 import dataclasses
@@ -24,13 +24,13 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Tally:
-    """Where calls went.
+    """Numbers of calls by destination.
 
     Attributes:
-        calm_far_count: Into other domains while nothing was slow.
-        calm_count: All of that time.
-        slow_count: To the slow upstream while it was.
-        trouble_count: All of that time.
+        calm_far_count: Calls to other domains while no upstream was slow.
+        calm_count: All calls while no upstream was slow.
+        slow_count: Calls to the slow upstream while it was slow.
+        trouble_count: All calls while an upstream was slow.
     """
 
     calm_far_count: int = 0
@@ -52,38 +52,38 @@
 
 
 def _took_ms(
-    name: str, work_ms: float, now_ms: float, source: random.Random
+    name: str, work_ms: float, now_ms: float, rng: random.Random
 ) -> float:
-    took_ms = work_ms * source.lognormvariate(0.0, 0.35)
+    took_ms = work_ms * rng.lognormvariate(0.0, 0.35)
     if name == OWN and SLOW_FROM_MS <= now_ms < SLOW_TO_MS:
         took_ms *= SLOW_RATIO
     phase_ms = PAUSE_EVERY_MS * (OWN, *FAR).index(name) / 3
-    into_ms = (now_ms + phase_ms) % PAUSE_EVERY_MS
-    return took_ms + max(0.0, PAUSE_MS - into_ms)
+    since_pause_ms = (now_ms + phase_ms) % PAUSE_EVERY_MS
+    return took_ms + max(0.0, PAUSE_MS - since_pause_ms)
 
 
 def play(work_ms: float, seed: int) -> Tally:
-    """Plays a minute of calls."""
-    source = random.Random(seed)
-    known = loadbalancer.LoadBalancer(
+    """Simulates calls for a minute and returns their destinations."""
+    rng = random.Random(seed)
+    balancer = loadbalancer.LoadBalancer(
         loadbalancer.LoadBalancerSettings(
             failure_domain=OWN, crossing_ratio=1.5
         )
     )
     names = (OWN, *FAR)
-    known.set_upstreams({name: _upstream(name) for name in names}, 0.0)
+    balancer.set_upstreams({name: _upstream(name) for name in names}, 0.0)
     tally = Tally()
     running: list[tuple[float, float, str]] = []
     now_ms = 0.0
     while now_ms < PLAY_MS:
-        now_ms += source.expovariate(CALLS_PER_S / 1_000.0)
+        now_ms += rng.expovariate(CALLS_PER_S / 1_000.0)
         while running and running[0][0] <= now_ms:
             end_ms, sent_ms, name = heapq.heappop(running)
-            known.end_call(name)
-            known.record_answer("r", name, end_ms - sent_ms, end_ms)
-        name = known.choose("r", "s", frozenset(), now_ms).upstream_id
-        known.begin_call(name, now_ms)
-        took_ms = _took_ms(name, work_ms, now_ms, source)
+            balancer.end_call(name)
+            balancer.record_answer("r", name, end_ms - sent_ms, end_ms)
+        name = balancer.choose("r", "s", frozenset(), now_ms).upstream_id
+        balancer.begin_call(name, now_ms)
+        took_ms = _took_ms(name, work_ms, now_ms, rng)
         heapq.heappush(running, (now_ms + took_ms, now_ms, name))
         if SLOW_FROM_MS + 1_000.0 <= now_ms < SLOW_TO_MS:
             tally.trouble_count += 1
@@ -95,7 +95,7 @@
 
 
 def main() -> None:
-    """Prints a row for each amount of work."""
+    """Prints a row for each amount of work per call."""
     print("work ms | calm calls that cross | calls to the slow upstream")
     for work_ms in WORK_MS:
         tallies = [play(work_ms, seed) for seed in SEEDS]
--- a/hyssoptack/standins/upstream.py
+++ b/hyssoptack/standins/upstream.py
@@ -208,7 +208,7 @@
         if rejection is not None:
             return rejection
         key = body["key"]
-        # The action takes effect first; a later failure loses only the response.
+        # The action takes effect first: a later fault loses the response only.
         runs = self._counters.runs
         runs[key] = runs.get(key, 0) + 1
         self._counters.act_count += 1
--- a/hyssoptack/standins/wan.py
+++ b/hyssoptack/standins/wan.py
@@ -81,7 +81,7 @@
         loop.call_later(self._one_way_s, writer.close)
 
     async def change(self, request: web.Request) -> web.Response:
-        """Sets the pairs of domains that are cut off; aborts their connections."""
+        """Sets the pairs of domains that are cut off from each other."""
         pairs = {frozenset(each) for each in (await request.json())["cut"]}
         for pair in pairs - self._cut:
             for writer in self._writers.get(pair, ()):
--- a/hyssoptack/standins/web.py
+++ b/hyssoptack/standins/web.py
@@ -1,4 +1,4 @@
-"""Helpers of the HTTP stand-ins: serving, JSON responses, aborted connections."""
+"""Common functions of the HTTP stand-ins."""
 
 import asyncio
 import json
--- a/soak/invariants.py
+++ b/soak/invariants.py
@@ -25,7 +25,8 @@
 """Time after the deadline from which a response counts as held too long."""
 
 CALM_SERVED_RATIO = 0.95
-"""Minimum share of requests served in the final phase without faults. Upstreams with an earlier fault may still reset a few."""
+"""Minimum share of requests served in the final phase without faults. Upstreams
+with an earlier fault may still reset a few."""
 
 CRASH_COUNT = 3
 CRASH_BOUND_MS = 4_000.0
