--- a/bench/controls.py
+++ b/bench/controls.py
@@ -44,7 +44,7 @@
         self.post(self.upstream(upstream_id).address, "/behaviour", fields)
 
     def upstream_counters(self, upstream_id: str, brief: bool = True) -> dict:
-        """Returns an upstream's counters; without its log of answers if brief."""
+        """Returns an upstream's counters, without its answer log if brief."""
         path = "/account?brief=1" if brief else "/account"
         return self.get(self.upstream(upstream_id).address, path)
 
--- a/bench/measures.py
+++ b/bench/measures.py
@@ -1,7 +1,7 @@
 """Benchmarks of the product and of baseline policies over real processes.
 
-Each scenario prints latency, coverage, extra load and refusals. Latencies depend
-on the machine and its load; the goals are stated in terms of the ratios.
+Each scenario prints latency, coverage, extra load and refusals. Latencies
+depend on the machine and its load; the goals are stated as ratios.
 """
 
 import collections
@@ -217,7 +217,7 @@
 
 
 def main() -> None:
-    """Runs the scenarios of all or the named policies and prints the results."""
+    """Runs the scenarios of all policies, or of the named ones."""
     policy_names = sys.argv[1:] or list(POLICIES)
     rows = []
     for name in policy_names:
--- a/bench/proofs/actions_test.py
+++ b/bench/proofs/actions_test.py
@@ -66,7 +66,7 @@
 
 
 def _front_in_other_domain(run, calls, upstream_id) -> str:
-    """Returns the address of an instance in another domain than the upstream."""
+    """Returns the address of an instance outside the upstream's domain."""
     domain = run.upstream(upstream_id).failure_domain
     for each in run.instances:
         if each["failure_domain"] != domain:
--- a/bench/proofs/answers_test.py
+++ b/bench/proofs/answers_test.py
@@ -1,7 +1,7 @@
 """Search responses have one index version, true coverage and correct hits.
 
-The tests compute the expected hits of each response from its ranges and version,
-and check its ranges against the answers that upstreams logged for its query.
+The tests compute the expected hits of each response from its ranges and
+version, and check its ranges against the answers that upstreams logged.
 """
 
 import collections
@@ -151,7 +151,7 @@
     new = old - 2_000 if first == "gap" else old + 2_000
     load = _start_load(run)
     time.sleep(0.5)
-    # Shard 1 changes before shard 2, so keys belong to both or to none meanwhile.
+    # Shard 1 changes before shard 2: keys belong to both or none meanwhile.
     for upstream_id in shards[0].upstream_ids:
         run.set_behaviour(upstream_id, high=new)
         time.sleep(0.2)
--- a/bench/proofs/callers.py
+++ b/bench/proofs/callers.py
@@ -86,7 +86,7 @@
 
 
 class LoadGenerator:
-    """Sends searches through the balancer from several threads until stopped."""
+    """Sends searches through the balancer in several threads until stopped."""
 
     def __init__(
         self,
--- a/bench/slopes/claims.py
+++ b/bench/slopes/claims.py
@@ -2,8 +2,8 @@
 
 The product writes a claim per key, which is measured on a running deployment.
 The alternative is simulated: claims wait for the previous write and are then
-written together into one value per slot. Its number of writes grows more slowly,
-but its bytes grow with all claims that are kept.
+written together into one value per slot. Its number of writes grows more
+slowly, but its bytes grow with all claims that are kept.
 """
 
 import concurrent.futures
@@ -25,7 +25,7 @@
 
 
 def _call_at_rate(rate: int, call) -> int:
-    """Makes calls at a rate for `SECONDS`; returns the number that succeeded."""
+    """Makes calls at a rate for `SECONDS`; returns how many succeeded."""
     count = int(rate * SECONDS)
     started_s = time.monotonic()
     with concurrent.futures.ThreadPoolExecutor(64) as threads:
--- a/bench/slopes/gossip.py
+++ b/bench/slopes/gossip.py
@@ -134,8 +134,8 @@
     loop = asyncio.get_running_loop()
     print("ready", flush=True)
     while True:
-        read_line = await loop.run_in_executor(None, sys.stdin.readline)
-        words = read_line.split()
+        line = await loop.run_in_executor(None, sys.stdin.readline)
+        words = line.split()
         if not words:
             break
         if words[0] == "put":
--- a/hyssoptack/standins/ports.py
+++ b/hyssoptack/standins/ports.py
@@ -4,8 +4,8 @@
 import socket
 
 PORT_RANGE = (10_000, 19_000)
-"""Range below the ephemeral ports of the system (32768 and up) that the ports of
-`bench.fleet` do not use."""
+"""Range below the ephemeral ports of the system (32768 and up). The ports of
+`bench.fleet` are outside this range."""
 
 _ALLOCATED: set[int] = set()
 """Allocated ports. A port without a listener yet would look free."""
