--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -184,7 +184,7 @@
     # Processes.
 
     def start(self) -> None:
-        """Starts all processes and applies the configuration; waits until ready."""
+        """Starts the fleet, applies the configuration and waits until ready."""
         self._start_platform()
         if self.options.catalog_document is None:
             self._start_upstreams()
--- a/bench/proofs/answers_test.py
+++ b/bench/proofs/answers_test.py
@@ -144,7 +144,7 @@
     run.run_cli("config", "apply", str(run.catalog_path))
 
 
-@pytest.version_suffix.parametrize("first", ["overlap", "gap"])
+@pytest.mark.parametrize("first", ["overlap", "gap"])
 def test_repartition_under_load_counts_no_key_twice(run, first):
     shards = run.catalog.services[SERVICE].shards
     old = shards[0].key_range.high
