--- a/bench/traces.py
+++ b/bench/traces.py
@@ -31,7 +31,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Outcome:
-    """The results of a replay."""
+    """The results of a replay.
+
+    Attributes:
+        answered_count: Answered queries.
+        refused_count: Refused queries.
+        p50_ms: Median time of the answered queries.
+        p99_ms: 99th percentile of the time of the answered queries.
+        coverage_mean_ratio: Mean coverage of the answers.
+        extra_load_ratio: Extra calls divided by the other calls.
+    """
 
     answered_count: int
     refused_count: int
--- a/hyssoptack/standins/fakeupstream.py
+++ b/hyssoptack/standins/fakeupstream.py
@@ -51,7 +51,20 @@
 
 
 class FakeUpstream:
-    """A fake upstream on a loopback port."""
+    """A fake upstream on a loopback port.
+
+    Attributes:
+        upstream_id: Id that requests must name and responses are signed with.
+        body: Body of the responses.
+        behaviour: Current behaviour.
+        run_counts: Number of executions by request id.
+        request_heads: Heads of all received requests.
+        connection_count: Number of accepted connections.
+        cancelled_count: Number of requests whose caller disconnected.
+        address: Address that it listens on; empty before the first start.
+        on_run: Called with the request id on each execution.
+        on_crash: Called before a crash.
+    """
 
     def __init__(self, upstream_id: str, body: bytes = b"x" * 16):
         self.upstream_id = upstream_id
--- a/hyssoptack/standins/kvstore.py
+++ b/hyssoptack/standins/kvstore.py
@@ -34,7 +34,13 @@
 
 
 class Store:
-    """A key-value store with leases and watches."""
+    """A key-value store with leases and watches.
+
+    Attributes:
+        faults: Active faults.
+        call_names: Names of all received calls in order.
+        address: Address that it listens on; empty before the start.
+    """
 
     def __init__(self, page_count: int = 50):
         self.faults = Faults()
--- a/hyssoptack/standins/store.py
+++ b/hyssoptack/standins/store.py
@@ -47,7 +47,18 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Counters:
-    """Counters since the start."""
+    """Counters since the start.
+
+    Attributes:
+        read_count: Reads that are no watches.
+        write_count: Writes that were not rejected for a fault or their size.
+        watch_count: Watches.
+        conflict_count: Writes rejected because of another version.
+        waiting_count: Watches that wait now.
+        waiting_peak_count: Maximum of `waiting_count`.
+        waiting_by_domain: Watches that wait now, by failure domain.
+        bytes_out: Characters of the values that were returned.
+    """
 
     read_count: int = 0
     write_count: int = 0
--- a/hyssoptack/standins/upstream.py
+++ b/hyssoptack/standins/upstream.py
@@ -52,7 +52,21 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Counters:
-    """Counters and logs that tests read."""
+    """Counters and logs that tests read.
+
+    Attributes:
+        search_count: Executed searches.
+        shed_count: Rejected requests.
+        act_count: Executed actions.
+        cancelled_count: Requests cancelled during execution.
+        over_limit_count: Requests rejected for the connection limit.
+        connection_peak_count: Maximum number of connections.
+        slot_peak_count: Maximum number of occupied slots.
+        new_work_while_draining_count: Requests received while draining.
+        taken_ms: Durations of the first searches.
+        runs: Number of executions by idempotency key.
+        answered: Query id, index version and key range of each search.
+    """
 
     search_count: int = 0
     shed_count: int = 0
--- a/hyssoptack/standins/wan.py
+++ b/hyssoptack/standins/wan.py
@@ -2,7 +2,7 @@
 
 It has a listening port for each pair of a domain and an instance outside it.
 Bytes are forwarded after a fixed delay. Cutting a pair of domains simulates a
-partition: its connections are aborted and new ones are refused.
+partition: existing and new connections between them are aborted.
 """
 
 import asyncio
--- a/soak/environment.py
+++ b/soak/environment.py
@@ -36,7 +36,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Run:
-    """One execution of a request by an upstream."""
+    """One execution of a request by an upstream.
+
+    Attributes:
+        at_ms: Monotonic time of the execution.
+        upstream_id: Id of the upstream.
+        service: Service of the upstream.
+    """
 
     at_ms: float
     upstream_id: str
@@ -45,7 +51,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ConfigVersion:
-    """A configuration version that was written to the store."""
+    """A configuration version that was written to the store.
+
+    Attributes:
+        at_ms: Monotonic time of the write.
+        number: Version number of the configuration.
+        moved_route_service: Service that the route of `MOVED_PATH` leads to.
+    """
 
     at_ms: float
     number: int
@@ -76,7 +88,18 @@
 
 
 class Environment:
-    """All stand-ins of one soak run, which run in the soak process."""
+    """All stand-ins of one soak run, which run in the soak process.
+
+    Attributes:
+        store: The key-value store.
+        upstreams: Upstreams by id, including those that have left.
+        links: Proxies by upstream id or gateway name.
+        runs_by_request: Executions by request id.
+        config_versions: Configuration versions in the order of writing.
+        departure_ms: Monotonic times at which upstreams began to leave, by id.
+        crash_times_ms: Monotonic times of upstream crashes.
+        crashing_path: Path prefix of the route of the crashing request.
+    """
 
     def __init__(self, seed: int) -> None:
         self.store = kvstore.Store()
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -72,7 +72,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PauseGateway:
-    """A gateway process is stopped and resumed (SIGSTOP, SIGCONT)."""
+    """A gateway process is stopped and resumed (SIGSTOP, SIGCONT).
+
+    Attributes:
+        gateway: Name of the gateway.
+        duration_ms: Time from the stop to the resumption.
+    """
 
     gateway: str
     duration_ms: float
@@ -80,7 +85,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ThrottleGateway:
-    """A gateway gets little processor time: it is stopped and resumed often."""
+    """A gateway gets little processor time: it is stopped and resumed often.
+
+    Attributes:
+        gateway: Name of the gateway.
+        duration_ms: Duration of the fault.
+    """
 
     gateway: str
     duration_ms: float
@@ -88,7 +98,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RestartGateway:
-    """A gateway is stopped (SIGTERM if planned, else SIGKILL) and restarted."""
+    """A gateway is stopped (SIGTERM if planned, else SIGKILL) and restarted.
+
+    Attributes:
+        gateway: Name of the gateway.
+        is_planned: Whether the stop is planned.
+        down_ms: Time from the end of the process to the restart.
+    """
 
     gateway: str
     is_planned: bool
@@ -209,7 +225,7 @@
         "configure",
         "replace",
         "replace",
-        *3 * ("spoil",),
+        *3 * ("upstream",),
     )
     match rng.choice((*kinds, *frequent_kinds)):
         case "link":
@@ -240,7 +256,7 @@
             return ReloadGateway(gateway=gateway)
         case "replace":
             return ReplaceUpstream(service=service, drains=rng.random() < 0.7)
-        case "spoil":
+        case "upstream":
             fault_name = rng.choice(
                 ("shed_count", *3 * ("reset_count",), "twice", "cut")
             )
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -17,6 +17,12 @@
     A connection that lost data in the modes `SILENT` or `ANSWERS_LOST` passes
     no more data when the fault ends, as on a network that dropped its
     connection state. Only new connections work then.
+
+    Attributes:
+        target: Address that connections are forwarded to.
+        address: Address that the proxy listens on; empty before the start.
+        mode: How connections are handled.
+        delay_ms: Delay of each chunk in the mode `DELAY`.
     """
 
     def __init__(self, target: str):
