--- a/soak/soak_test.py
+++ b/soak/soak_test.py
@@ -54,7 +54,7 @@
     assert len({type(each.fault) for each in schedule}) >= 5
 
 
-def _request(path, status=200, headers=None, body=b"", sent_ms=10_000.0):
+def _record(path, status=200, headers=None, body=b"", sent_ms=10_000.0):
     return callers.RequestRecord(
         request_id="r1",
         gateway="g-0",
@@ -74,7 +74,7 @@
 
 
 def _violations(
-    request, runs=(), fault_windows=(), departure_ms=None, versions=()
+    record, runs=(), fault_windows=(), departure_ms=None, versions=()
 ):
     observed = environment.Environment(1)
     for name in environment.SERVICES:
@@ -88,7 +88,7 @@
     checker = invariants.InvariantChecker(
         observed, list(fault_windows), [], 0.0
     )
-    lines = checker.check([request]).violations
+    lines = checker.check([record]).violations
     return [each for each in lines if not each.startswith("not recovered")]
 
 
@@ -96,77 +96,75 @@
 
 
 @pytest.mark.parametrize(
-    ("request", "evidence"),
+    ("record", "evidence"),
     [
         (
-            _request(environment.NON_IDEMPOTENT_PATH, status=502),
+            _record(environment.NON_IDEMPOTENT_PATH, status=502),
             {"runs": [_execution(_DESK)] * 2},
         ),
         (
-            _request(environment.NON_IDEMPOTENT_PATH, status=503),
+            _record(environment.NON_IDEMPOTENT_PATH, status=503),
             {"runs": [_execution(_DESK)]},
         ),
-        (_request(environment.NON_IDEMPOTENT_PATH, status=404), {}),
+        (_record(environment.NON_IDEMPOTENT_PATH, status=404), {}),
         (
-            _request(environment.NON_IDEMPOTENT_PATH, status=502),
+            _record(environment.NON_IDEMPOTENT_PATH, status=502),
             {"runs": [_execution(environment.UNSHARDED_SERVICES[0])]},
         ),
         (
-            _request(
+            _record(
                 environment.NON_IDEMPOTENT_PATH,
                 headers={"x-server-stamp": "i-desk-b-0.r2"},
             ),
             {},
         ),
         (
-            _request(
+            _record(
                 environment.NON_IDEMPOTENT_PATH,
                 headers={"x-server-stamp": "i-desk-b-0.r1"},
             ),
             {},
         ),
         (
-            _request(
+            _record(
                 environment.FANOUT_PATH,
                 headers={"x-part-stamps": "i-shard-0-0.r1"},
             ),
             {},
         ),
         (
-            _request(environment.NON_IDEMPOTENT_PATH, status=502),
+            _record(environment.NON_IDEMPOTENT_PATH, status=502),
             {
                 "runs": [_execution(_DESK)],
                 "departure_ms": {"i-desk-b-0": 1_000.0},
             },
         ),
         (
-            _request(environment.FANOUT_PATH, status=502),
+            _record(environment.FANOUT_PATH, status=502),
             {"runs": [_execution("shard-0", copy=copy) for copy in range(3)]},
         ),
     ],
 )
-def test_checker_reports_violations(request, evidence):
-    assert _violations(request, **evidence)
+def test_checker_reports_violations(record, evidence):
+    assert _violations(record, **evidence)
 
 
 def test_checker_accepts_correct_outcomes():
     assert not _violations(
-        _request(environment.NON_IDEMPOTENT_PATH, status=502),
+        _record(environment.NON_IDEMPOTENT_PATH, status=502),
         runs=[_execution(_DESK)],
     )
-    assert not _violations(
-        _request(environment.NON_IDEMPOTENT_PATH, status=503)
-    )
+    assert not _violations(_record(environment.NON_IDEMPOTENT_PATH, status=503))
     twice = [_execution("shard-0", copy=copy) for copy in range(2)]
     assert not _violations(
-        _request(environment.FANOUT_PATH, status=502), runs=twice
+        _record(environment.FANOUT_PATH, status=502), runs=twice
     )
     # A gateway with a fault 1 s earlier may not know the leaving upstream.
     window = invariants.FaultWindow(
         gateway="g-0", start_ms=8_000.0, end_ms=9_000.0
     )
     assert not _violations(
-        _request(environment.NON_IDEMPOTENT_PATH, status=502),
+        _record(environment.NON_IDEMPOTENT_PATH, status=502),
         runs=[_execution(_DESK)],
         fault_windows=[window],
         departure_ms={"i-desk-b-0": 1_000.0},
@@ -186,14 +184,14 @@
             moved_route_service=environment.UNSHARDED_SERVICES[1],
         ),
     )
-    request = _request(environment.MOVED_PATH, status=502)
+    record = _record(environment.MOVED_PATH, status=502)
     assert _violations(
-        request,
+        record,
         runs=[_execution(environment.UNSHARDED_SERVICES[0])],
         versions=versions,
     )
     assert not _violations(
-        request,
+        record,
         runs=[_execution(environment.UNSHARDED_SERVICES[1])],
         versions=versions,
     )
@@ -202,14 +200,14 @@
 def test_recovery_check_ignores_stalls_of_the_soak_process():
     stop = invariants.FaultWindow(gateway="", start_ms=9_000.0, end_ms=10_010.0)
     served = [
-        _request(
+        _record(
             environment.SINGLE_PATH,
             headers={"x-server-stamp": "i-desk-a-0.r1"},
             sent_ms=20_000.0 + number,
         )
         for number in range(30)
     ]
-    late = [_request(environment.SINGLE_PATH, status=504) for _ in range(3)]
+    late = [_record(environment.SINGLE_PATH, status=504) for _ in range(3)]
     for fault_windows, broken in (([stop], False), ([], True)):
         checker = invariants.InvariantChecker(
             environment.Environment(1), fault_windows, [], 0.0
