--- a/bench/proofs/front_test.py
+++ b/bench/proofs/front_test.py
@@ -165,7 +165,7 @@
         ).map(lambda value: json.dumps(value).encode()),
     )
 )
-def test_any_body_gets_an_answer_or_a_problem_document(front, body):
+def test_any_body_is_answered_or_refused_clearly(front, body):
     response = _send(front, "POST", SEARCH, body)
     assert response.status in (200, 400, 503)
     if response.status != 200:
