--- a/hyssoptack/entry/metrics.py
+++ b/hyssoptack/entry/metrics.py
@@ -19,34 +19,34 @@
         )
         self.upstream_calls = aioprometheus.Counter(
             "hyssoptack_upstream_calls_total",
-            "Upstream calls made for queries, by service.",
+            "Calls made for queries, by service.",
             registry=self.registry,
         )
         self.extra_calls = aioprometheus.Counter(
             "hyssoptack_extra_upstream_calls_total",
-            "Upstream calls beyond the first for each shard, by service.",
+            "Calls beyond the first of each shard, by service.",
             registry=self.registry,
         )
         self.answer_latency_ms = aioprometheus.Histogram(
             "hyssoptack_answer_latency_ms",
-            "Time from admission to the complete answer, by service.",
+            "Time from admission to the whole answer, by service.",
             buckets=LATENCY_BUCKETS_MS,
             registry=self.registry,
         )
         self.last_coverage_ratio = aioprometheus.Gauge(
             "hyssoptack_last_coverage_ratio",
-            "Coverage ratio of the most recent answer, by service.",
+            "Coverage of the last answer, by service.",
             registry=self.registry,
         )
         self.refusal_write_ms = aioprometheus.Histogram(
             "hyssoptack_refusal_write_ms",
-            "Time from the decision to refuse until the response is built.",
+            "Time from the decision to refuse until the answer is written.",
             buckets=[0.1, 0.2, 0.5, 1, 2, 5, 10, 50, 100],
             registry=self.registry,
         )
         self.instance_facts = aioprometheus.Gauge(
             "hyssoptack_instance",
-            "State and counters of this instance, by name.",
+            "Facts of this instance, by name.",
             registry=self.registry,
         )
 
--- a/hyssoptack/gateway/metrics.py
+++ b/hyssoptack/gateway/metrics.py
@@ -33,19 +33,19 @@
         )
         self.extra_calls = self._counter(
             "hyssoptack_extra_calls_total",
-            "Calls after the first call of a part, by service and cause.",
+            "Calls beyond the first of a part, by service and cause.",
         )
         self.missing_parts = self._counter(
             "hyssoptack_parts_left_out_total",
-            "Shards missing from answers, by route.",
+            "Shards that answers were given without, by route.",
         )
         self.requests_at_attempt_limit = self._counter(
             "hyssoptack_requests_at_attempt_limit_total",
-            "Requests with a part that used all its attempts, by route.",
+            "Requests of which a part took all attempts allowed, by route.",
         )
         self.upstream_exits = self._counter(
             "hyssoptack_upstreams_ended_total",
-            "Upstreams that exited during calls of this gateway, by service.",
+            "Upstreams that ended with calls of ours in hand, by service.",
         )
         self.suspicion_events = self._counter(
             "hyssoptack_suspicions_total",
@@ -57,11 +57,11 @@
         )
         self.call_ms = self._histogram(
             "hyssoptack_upstream_call_ms",
-            "Duration of an answered call, by service.",
+            "Time of an answered call, by service.",
         )
         self.instance_facts = aioprometheus.Gauge(
             "hyssoptack_gateway",
-            "Gauges of this instance, by name.",
+            "Facts of this instance, by name.",
             registry=self._registry,
         )
 
--- a/hyssoptack/revisions/change.py
+++ b/hyssoptack/revisions/change.py
@@ -273,7 +273,7 @@
             case expression.Result(tag="ok", ok=store.Stored(value=value)):
                 parts[name] = value
             case expression.Result(tag="ok"):
-                detail = f"part {name} is missing in the store"
+                detail = f"part {name} is missing"
                 return expression.Error(store.Unreachable(detail=detail))
             case expression.Result(error=unreachable):
                 return expression.Error(unreachable)
