--- a/hyssoptack/core/catalog.py
+++ b/hyssoptack/core/catalog.py
@@ -69,7 +69,7 @@
 
     Attributes:
         name: Name that callers use.
-        team: Customer that owns the service.
+        team: Team that owns the service.
         profile: Name of the service's profile.
         accepts_actions: Whether non-idempotent requests are allowed.
         action_retention_ms: Retention of idempotency keys, in milliseconds.
@@ -125,7 +125,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Manifest:
-    """Head of the chain of configuration revisions.
+    """Newest revision of the configuration: number, author, parts' digests.
+
+    It is stored as the head of the chain of revisions.
 
     Attributes:
         revision: Number of the revision; one more than its predecessor's.
--- a/hyssoptack/core/gatewaymessage.py
+++ b/hyssoptack/core/gatewaymessage.py
@@ -386,7 +386,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DelegationCommit:
-    """Promises that the sender will not take a delegated query back.
+    """Commits the sender to a delegation: it will not take the query back.
 
     Attributes:
         sender_address: Address of the instance that delegated the query.
--- a/hyssoptack/core/traffic.py
+++ b/hyssoptack/core/traffic.py
@@ -88,7 +88,7 @@
 
     @property
     def is_rerunnable(self) -> bool:
-        """Whether more than one instance may send a request to upstreams."""
+        """Whether a request may be sent to upstreams more than once."""
         return self.idempotent and self.max_attempts_count > 1
 
 
--- a/hyssoptack/events/log.py
+++ b/hyssoptack/events/log.py
@@ -42,11 +42,11 @@
     )
     STOP_ASKED = (
         1004,
-        "A stop signal was received; a second one cuts the drain short.",
+        "A stop signal was received; a second one ends the drain early.",
     )
     THAWED = (
         1005,
-        "The process was paused for too long; it gives up its owned upstreams.",
+        "The process was paused for too long; it gives up its upstreams for now.",
     )
     CONFIG_IN_FORCE = (
         2001,
@@ -86,11 +86,11 @@
     )
     DOMAINS_LOST = (
         2201,
-        "The own failure domain cannot reach the other ones.",
+        "This instance's failure domain cannot reach the others.",
     )
     DOMAINS_BACK = (
         2202,
-        "The own failure domain can reach the other ones again.",
+        "This instance's failure domain can reach the others again.",
     )
     PEER_UNREADABLE = (
         3001,
@@ -170,7 +170,7 @@
     )
     QUERY_LEFT_THERE = (
         6109,
-        "A silent neighbour keeps a delegated query: no budget to rerun here.",
+        "A neighbour does not answer a delegated query; no budget to rerun.",
     )
     SUSPICION_BEGAN = (
         6201,
@@ -208,7 +208,7 @@
 
     @property
     def description(self) -> str:
-        """What has happened when the event is written."""
+        """Description of the event, as in docs/LOGS.md."""
         return self.value[1]
 
 
--- a/hyssoptack/events/writer.py
+++ b/hyssoptack/events/writer.py
@@ -16,8 +16,8 @@
 from hyssoptack.events import log
 
 BUFFER_LIMIT_BYTES = 256 * 1024
-"""Size of the buffer: about 600 lines, which a busy instance writes in some
-seconds, and a thousandth of its memory."""
+"""Size of the buffer. It holds about 600 lines, which a busy instance writes
+within a few seconds, and takes about a thousandth of the instance's memory."""
 
 _encoder = msgspec.json.Encoder(enc_hook=repr)
 
@@ -67,7 +67,7 @@
         except BlockingIOError:
             return 0
         except OSError:
-            # The reader is gone for good, so the line is discarded.
+            # The line can never be written, as when the pipe is closed.
             return len(line)
 
     def _add_drop_report(self) -> None:
--- a/hyssoptack/http1/httpclient.py
+++ b/hyssoptack/http1/httpclient.py
@@ -18,8 +18,8 @@
 """Largest reply body accepted. It is far larger than what services send and
 keeps a faulty service from exhausting the memory."""
 
-INFORMATIONAL_LIMIT = 200
-"""Status codes below this are informational (1xx): the final reply follows."""
+FINAL_STATUS_MIN = 200
+"""Lowest final status code; lower ones (1xx) announce another reply."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -30,7 +30,8 @@
         reason: Identifier of the cause, such as `connection_reset`.
         sent: Whether any byte of the request may have been sent.
         upstream_exited: Whether the upstream was found to have exited.
-        was_only_call: Whether no other call failed by the same exit.
+        was_only_call: Whether the upstream had no other call from this instance
+            when it exited.
     """
 
     reason: str
@@ -165,7 +166,7 @@
         )
         bodyless = status in message.NO_BODY_STATUSES
         self._until_close = not framed and not bodyless
-        if self._is_head and status >= INFORMATIONAL_LIMIT:
+        if self._is_head and status >= FINAL_STATUS_MIN:
             # The parser would wait for a body, but replies to HEAD have none.
             self.reusable = False
             self._complete()
@@ -180,7 +181,7 @@
 
     def on_message_complete(self) -> None:
         """Completes the call, unless the reply is informational (1xx)."""
-        if self._parser.get_status_code() < INFORMATIONAL_LIMIT:
+        if self._parser.get_status_code() < FINAL_STATUS_MIN:
             return
         if not self._parser.should_keep_alive():
             self.reusable = False
--- a/hyssoptack/http1/httpserver.py
+++ b/hyssoptack/http1/httpserver.py
@@ -29,8 +29,9 @@
 """Requests queued on one connection before reading is paused."""
 
 LINGER_S = 0.5
-"""How long bytes are still read and discarded after a refusal: some round
-trips, so that the caller can receive the refusal before the close."""
+"""Time for which input is still read and discarded after an error reply. It
+allows for some round trips, so that the caller receives the reply before the
+connection is closed."""
 
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
@@ -55,7 +56,7 @@
         self._connection.write_reply(self, reply)
 
     def abandon(self) -> None:
-        """Notifies the handler that the caller has disconnected."""
+        """Discards later answers and notifies the handler of the disconnect."""
         self._answered = True
         if self.on_abandoned is not None:
             self.on_abandoned()
@@ -184,7 +185,11 @@
         self._head_bytes += len(name) + len(value)
 
     def _check_head(self) -> None:
-        """Refuses an incomplete head of over twice the limit."""
+        """Refuses an incomplete head of over twice the limit.
+
+        Bytes of parsed headers may be counted twice in `_head_bytes`: when
+        received and when parsed. `on_headers_complete` checks the exact size.
+        """
         if self._head_bytes > 2 * self._server.limits.max_header_bytes:
             self._refuse(431, "head_too_large")
 
@@ -261,7 +266,11 @@
             asyncio.get_running_loop().call_soon(self._serve_next)
 
     def _refuse(self, status: int, reason: str) -> None:
-        """Rejects invalid input with an error reply, and closes."""
+        """Rejects invalid input.
+
+        Sends an error reply and closes. While a request is in progress, it only
+        stops reading input, so that no error reply precedes the answer.
+        """
         if self._closing:
             return
         if self._server.on_refused is not None:
@@ -271,7 +280,6 @@
             self._write(message.reply_bytes(reply, keep_alive=False))
             self._linger()
         else:
-            # The request in progress is answered first.
             self._closing = True
 
     def _write(self, data: bytes) -> None:
--- a/hyssoptack/http1/message.py
+++ b/hyssoptack/http1/message.py
@@ -97,16 +97,16 @@
 
 
 def end_to_end_headers(
-    headers: tuple[Header, ...], without: frozenset[bytes]
+    headers: tuple[Header, ...], excluded: frozenset[bytes]
 ) -> list[Header]:
     """Returns the headers to forward to the next hop.
 
     Args:
         headers: The received headers.
-        without: Further header names to remove, in lower case.
+        excluded: Further header names to remove, in lower case.
 
     Returns:
-        The headers without those of the connection, of framing, and `without`.
+        The headers without those of the connection, of framing, and `excluded`.
     """
     connection_headers = {
         each.strip().lower()
@@ -114,7 +114,7 @@
         if key.lower() == b"connection"
         for each in value.split(b",")
     }
-    dropped = HOP_BY_HOP | without | connection_headers | {b"content-length"}
+    dropped = HOP_BY_HOP | excluded | connection_headers | {b"content-length"}
     return [each for each in headers if each[0].lower() not in dropped]
 
 
--- a/hyssoptack/peers/codec.py
+++ b/hyssoptack/peers/codec.py
@@ -45,9 +45,9 @@
     reason: str = ""
 
 
-def encode_frame(packed: list[tuple[int, msgspec.Raw]]) -> bytes:
+def encode_frame(encoded_messages: list[tuple[int, msgspec.Raw]]) -> bytes:
     """Encodes a frame of encoded messages, compressed if it is large."""
-    data = _ENCODER.encode((FRAME_VERSION, packed))
+    data = _ENCODER.encode((FRAME_VERSION, encoded_messages))
     return compress(data) if len(data) >= COMPRESS_MIN_BYTES else data
 
 
@@ -79,9 +79,11 @@
         self._numbers = {kind: number for number, kind in kinds.items()}
         self._decoders: dict[int, msgspec.msgpack.Decoder] = {}
 
-    def encode(self, each: object) -> tuple[int, msgspec.Raw]:
+    def encode(self, message: object) -> tuple[int, msgspec.Raw]:
         """Encodes one message for a frame; returns its kind and bytes."""
-        return self._numbers[type(each)], msgspec.Raw(_ENCODER.encode(each))
+        return self._numbers[type(message)], msgspec.Raw(
+            _ENCODER.encode(message)
+        )
 
     def _decoder(self, number: int) -> msgspec.msgpack.Decoder:
         found = self._decoders.get(number)
@@ -102,7 +104,7 @@
                 )
             data = plain
         try:
-            version, packed = _FRAME_DECODER.decode(data)
+            version, encoded_messages = _FRAME_DECODER.decode(data)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
             return DecodedFrame(
                 dropped_count=1, reason="frame cannot be decoded"
@@ -113,7 +115,7 @@
             )
         messages: list[typing.Any] = []
         reason = ""
-        for number, raw in packed:
+        for number, raw in encoded_messages:
             if number not in self._kinds:
                 reason = reason or f"unknown message kind {number}"
                 continue
@@ -123,6 +125,6 @@
                 reason = reason or f"message of kind {number} cannot be decoded"
         return DecodedFrame(
             messages=tuple(messages),
-            dropped_count=len(packed) - len(messages),
+            dropped_count=len(encoded_messages) - len(messages),
             reason=reason,
         )
--- a/hyssoptack/peers/codec_test.py
+++ b/hyssoptack/peers/codec_test.py
@@ -23,7 +23,7 @@
 
 
 @given(strategies.binary(max_size=400))
-def test_arbitrary_bytes_are_decoded_or_counted(data):
+def test_arbitrary_bytes_never_raise(data):
     decoded = _CODEC.decode(data)
     assert decoded.messages or decoded.dropped_count or data
 
--- a/hyssoptack/peers/gossip.py
+++ b/hyssoptack/peers/gossip.py
@@ -44,12 +44,12 @@
 
     def __init__(
         self,
-        knowledge: state.InstanceState,
+        instance_state: state.InstanceState,
         config: configuration.ActiveConfiguration,
         send: Send,
         on_config: OnConfig,
     ):
-        self._state = knowledge
+        self._state = instance_state
         self._config = config
         self._send = send
         self._on_config = on_config
--- a/hyssoptack/peers/link.py
+++ b/hyssoptack/peers/link.py
@@ -29,7 +29,7 @@
 RECONNECT_MIN_MS = 50
 RECONNECT_MAX_MS = 1_000
 BATCH_LIMIT_COUNT = 64
-"""Most messages taken from the queue at once, beside the first."""
+"""Maximum number of queued messages added to the first one of a batch."""
 
 REDIAL_MIN_MS = 150.0
 """Time before a connection attempt may be replaced by a new one: the attempt
@@ -114,6 +114,19 @@
         on_undelivered: OnUndelivered,
         on_lost: OnLost | None = None,
     ):
+        """Opens the receiving socket; `start` starts the threads.
+
+        Args:
+            listen_address: `IP:port` to receive on.
+            link_idle_ms: Time after which an unused link is closed.
+            loop: Event loop on which the callbacks run.
+            own_codec: Codec of the messages.
+            on_received: Called with each received frame.
+            on_undelivered: Called with the address and the message if a message
+                cannot be sent.
+            on_lost: Called with the address when a connection to a peer is
+                closed.
+        """
         self.counters = LinkCounters()
         self._link_idle_ms = link_idle_ms
         self._loop = loop
--- a/hyssoptack/peers/link_test.py
+++ b/hyssoptack/peers/link_test.py
@@ -41,9 +41,9 @@
 
 
 def test_a_peer_dialled_before_its_start_is_redialled_at_once():
-    # After a power loss, instances with wide links start first. Without the
-    # redial their answers to the others wait up to a second for the dialer's
-    # next attempt.
+    # After a power loss, instances with faster network links start first.
+    # Without the redial, their answers to the others wait up to a second for
+    # the dialer's next attempt.
     async def test():
         early = f"127.0.0.1:{ports.free_port()}"
         late = [f"127.0.0.1:{ports.free_port()}" for _ in range(LATE_COUNT)]
--- a/hyssoptack/platform/ablation.py
+++ b/hyssoptack/platform/ablation.py
@@ -42,14 +42,14 @@
     """The result of one run.
 
     Attributes:
-        play: The run.
-        worth: The bench's score; None where the run failed.
-        broken: The rules that the run broke, as printed by the bench.
+        run: The run.
+        score: The bench's score; None where the run failed.
+        broken_rules: The rules that the run broke, as printed by the bench.
     """
 
-    play: BenchRun
-    worth: float | None
-    broken: str = ""
+    run: BenchRun
+    score: float | None
+    broken_rules: str = ""
 
 
 def _create_checkout(folder: pathlib.Path, without: str) -> pathlib.Path:
@@ -67,12 +67,12 @@
     return tree
 
 
-def _run_day(bench: str, folder: pathlib.Path, play: BenchRun) -> RunResult:
+def _run_day(bench: str, folder: pathlib.Path, run: BenchRun) -> RunResult:
     """Runs one bench day in its variant's checkout."""
-    tree = folder / (play.without or "all")
-    why = f"ablation: without {play.without or 'nothing'}"
+    tree = folder / (run.without or "all")
+    why = f"ablation: without {run.without or 'nothing'}"
     process = subprocess.run(
-        [bench, "run", play.site, play.day, "--why", why],
+        [bench, "run", run.site, run.day, "--why", why],
         cwd=tree,
         capture_output=True,
         text=True,
@@ -81,19 +81,23 @@
     found = _WORTH_LINE.search(process.stdout)
     broken = _BROKEN_LINE.search(process.stdout)
     return RunResult(
-        play=play,
-        worth=float(found.group(1)) if found else None,
-        broken=broken.group(1) if broken else "",
+        run=run,
+        score=float(found.group(1)) if found else None,
+        broken_rules=broken.group(1) if broken else "",
     )
 
 
 def _markdown_table(
-    played: list[RunResult], days: list[tuple[str, str]]
+    results: list[RunResult], days: list[tuple[str, str]]
 ) -> str:
-    """Formats a Markdown table: the score, and the change without each."""
-    worths = {
-        (each.play.without, each.play.site, each.play.day): each
-        for each in played
+    """Formats a Markdown table of the scores.
+
+    The first row shows the score with all mechanisms enabled; each other row
+    shows the change in score without one of them.
+    """
+    results_by_run = {
+        (each.run.without, each.run.site, each.run.day): each
+        for each in results
     }
     titles = [f"{pathlib.Path(site).stem} {day}" for site, day in days]
     lines = ["| without | " + " | ".join(titles) + " | mean |"]
@@ -102,18 +106,18 @@
         cells = []
         changes = []
         for site, day in days:
-            each = worths[name, site, day]
-            full_worth = worths["", site, day].worth
-            if each.worth is None or full_worth is None:
-                cells.append("not played")
+            each = results_by_run[name, site, day]
+            baseline_score = results_by_run["", site, day].score
+            if each.score is None or baseline_score is None:
+                cells.append("run failed")
                 continue
-            change = each.worth - full_worth
-            changes.append(change if name else each.worth)
-            text = f"{change:+.3f}" if name else f"{each.worth:.3f}"
-            cells.append(f"{text} {each.broken}".strip())
+            change = each.score - baseline_score
+            changes.append(change if name else each.score)
+            text = f"{change:+.3f}" if name else f"{each.score:.3f}"
+            cells.append(f"{text} {each.broken_rules}".strip())
         mean = sum(changes) / len(changes) if changes else 0.0
         cells.append(f"{mean:+.3f}" if name else f"{mean:.3f}")
-        lines.append(f"| {name or '(all at work)'} | " + " | ".join(cells))
+        lines.append(f"| {name or '(all enabled)'} | " + " | ".join(cells))
     return "\n".join(f"{line} |" if line[-1] != "|" else line for line in lines)
 
 
@@ -131,7 +135,7 @@
     site_days = [
         (each.rpartition(":")[0], each.rpartition(":")[2]) for each in days
     ]
-    plays = [
+    runs = [
         BenchRun(without=name, site=site, day=day)
         for name in ("", *mechanism.NAMES)
         for site, day in site_days
@@ -139,10 +143,10 @@
     for name in ("", *mechanism.NAMES):
         _create_checkout(folder, name)
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
-        played = list(
-            pool.map(lambda each: _run_day(bench, folder, each), plays)
+        results = list(
+            pool.map(lambda each: _run_day(bench, folder, each), runs)
         )
-    print(_markdown_table(played, site_days))
+    print(_markdown_table(results, site_days))
 
 
 if __name__ == "__main__":
--- a/hyssoptack/platform/headers.py
+++ b/hyssoptack/platform/headers.py
@@ -21,7 +21,7 @@
 _MISSING_PARTS = b"X-Missing-Parts"
 _NOT_EXECUTED = b"x-not-executed"
 
-_OWN_HEADERS = frozenset((_DEADLINE, _EXPECTED_INSTANCE, b"expect"))
+_NOT_FORWARDED_HEADERS = frozenset((_DEADLINE, _EXPECTED_INSTANCE, b"expect"))
 
 STATUS_MISDIRECTED = 421
 STATUS_BAD_GATEWAY = 502
@@ -55,12 +55,14 @@
         return "host_missing_or_repeated"
     if not request.target.startswith(b"/"):
         return "target_is_no_path"
-    host = hosts[0].decode("latin-1").rpartition(":")
-    name = (
-        host[0] if host[2].isdigit() and host[0] else hosts[0].decode("latin-1")
+    parts = hosts[0].decode("latin-1").rpartition(":")
+    host = (
+        parts[0]
+        if parts[2].isdigit() and parts[0]
+        else hosts[0].decode("latin-1")
     )
     return RequestMetadata(
-        request_id=ids[0], deadline_ms=_deadline(request), host=name
+        request_id=ids[0], deadline_ms=_deadline(request), host=host
     )
 
 
@@ -95,7 +97,7 @@
     head = message.request_head(
         request.method,
         request.target,
-        message.end_to_end_headers(request.headers, _OWN_HEADERS),
+        message.end_to_end_headers(request.headers, _NOT_FORWARDED_HEADERS),
         len(request.body),
     )
     return ForwardedRequest(head=head, body=request.body)
@@ -204,14 +206,16 @@
     return reply.value(_SIGNATURE)
 
 
-def relayed_part(signed: bytes, body: bytes) -> message.Reply:
+def relayed_part(upstream_signature: bytes, body: bytes) -> message.Reply:
     """Builds the reply for a part that another instance received.
 
     Args:
-        signed: The upstream's signature.
-        body: The part's records, or only the greatest of them.
+        upstream_signature: The upstream's signature.
+        body: The part's records, or only the highest-ranked ones.
     """
-    return message.Reply(status=200, headers=((_SIGNATURE, signed),), body=body)
+    return message.Reply(
+        status=200, headers=((_SIGNATURE, upstream_signature),), body=body
+    )
 
 
 def _failed(reason: str) -> callcommand.Outcome:
--- a/hyssoptack/platform/keyvalue.py
+++ b/hyssoptack/platform/keyvalue.py
@@ -1,4 +1,4 @@
-"""Client of the platform's key-value store, on the product's HTTP client.
+"""Client of the platform's key-value store, built on `http1.httpclient`.
 
 A write whose answer is lost may have been applied, or may still be applied
 later, so the client never retries a write by itself.
@@ -28,11 +28,12 @@
 a connection without an answer after a second is considered dead."""
 
 WATCH_MARGIN_MS = 700.0
-"""Added to the wait of a watch to get its timeout, for the same reasons."""
+"""Added to the wait of a watch to get its timeout: the store may take some
+200 ms to answer, and a longer silence means a dead connection."""
 
-STALL_THRESHOLD_MS = 300.0
-"""An answer handled this long after its timeout was delayed by a pause of the
-whole process, not by the network."""
+OUTDATED_ANSWER_MS = 300.0
+"""An answer handled more than this long after its timeout is discarded: it was
+delayed by a pause of the whole process, not by the network."""
 
 _ERA = b"store-era"
 
@@ -302,7 +303,7 @@
         started_ms = clock.now_ms()
         outcome = await self._exchange(method, path, timeout_ms, body)
         took_ms = clock.now_ms() - started_ms
-        if took_ms > timeout_ms + STALL_THRESHOLD_MS:
+        if took_ms > timeout_ms + OUTDATED_ANSWER_MS:
             # The process was paused during the call: the answer is outdated.
             outcome = httpclient.BrokenCall(reason="answer_too_old", sent=True)
         match outcome:
--- a/hyssoptack/platform/storeformat.py
+++ b/hyssoptack/platform/storeformat.py
@@ -1,4 +1,4 @@
-"""Decodes values of the platform's store into the product's records.
+"""Decodes values of the platform's store into records of `core.traffic`.
 
 The field names below are the platform's; they appear in no other module.
 """
@@ -143,7 +143,9 @@
         return traffic.Split(shares=shares)
     if raw.service:
         return traffic.OneService(service=raw.service)
-    raise ValueError(f"route {raw.name} has no service")
+    raise ValueError(
+        f"route {raw.name}: expected service, traffic_split or fanout_services"
+    )
 
 
 def _service(raw: _Service) -> traffic.Service:
@@ -184,7 +186,7 @@
     if not _is_visible_ascii(listed_id):
         # The id is sent in a header of each call.
         return expression.Error(
-            "unreadable entry: id must be printable ASCII without spaces"
+            "unreadable entry: expected an id of visible ASCII"
         )
     if traffic.split_address(raw.address) is None:
         return expression.Error(
--- a/hyssoptack/reports/margins.py
+++ b/hyssoptack/reports/margins.py
@@ -1,4 +1,4 @@
-"""`python -m hyssoptack.reports.margins LOG`: how close limits were reached.
+"""`python -m hyssoptack.reports.margins LOG`: how close calls came to limits.
 
 Reads the log lines of all instances of a deployment, with any prefix, and joins
 them by request, since each instance logs only its own calls.
@@ -44,13 +44,13 @@
     Attributes:
         service: Name of the service.
         extra_count: Number of extra calls.
-        request_count: Number of first calls in the same window.
+        first_call_count: Number of first calls in the same window.
         end_s: End of the window, as Unix time of the instances.
     """
 
     service: str
     extra_count: int
-    request_count: int
+    first_call_count: int
     end_s: float
 
 
@@ -148,11 +148,11 @@
             recent.popleft()
         if len(recent) > most_count:
             most_count, end_s = len(recent), at_s
-    request_count = sum(end_s - window_s < each <= end_s for each in firsts)
+    first_call_count = sum(end_s - window_s < each <= end_s for each in firsts)
     return Window(
         service=service,
         extra_count=most_count,
-        request_count=request_count,
+        first_call_count=first_call_count,
         end_s=end_s,
     )
 
@@ -177,7 +177,7 @@
     for each in windows(entries, window_s)[:SHOWN_COUNT]:
         rows.append(
             f"  {each.service}: {each.extra_count} in addition to"
-            f" {each.request_count} first calls, until {each.end_s:.3f} s"
+            f" {each.first_call_count} first calls, until {each.end_s:.3f} s"
         )
     return "\n".join(rows)
 
--- a/hyssoptack/reports/margins_test.py
+++ b/hyssoptack/reports/margins_test.py
@@ -43,7 +43,7 @@
 def test_the_window_with_the_most_extra_calls_is_found():
     (found, *_) = margins.windows(timeline.read(LINES), 10.0)
     assert (found.service, found.extra_count) == ("s1", 3)
-    assert found.request_count == 2
+    assert found.first_call_count == 2
     (short_window, *_) = margins.windows(timeline.read(LINES), 0.05)
     assert short_window.extra_count == 1
 
--- a/hyssoptack/reports/profile.py
+++ b/hyssoptack/reports/profile.py
@@ -26,8 +26,8 @@
 
     Attributes:
         took_ms: Time from arrival to answer, one entry per request.
-        first_ms: Time to the first reply of an upstream that was used.
-        last_ms: Time to the last reply of an upstream that was used.
+        first_ms: Time to the first upstream reply used in the answer.
+        last_ms: Time to the last upstream reply used in the answer.
         reasons: Number of failed or incomplete requests, by reason.
         extras: Extra calls by cause: number made, number whose reply was used,
             and number that were needless since another reply was used.
--- a/hyssoptack/scripts/gateway.py
+++ b/hyssoptack/scripts/gateway.py
@@ -39,7 +39,10 @@
     """Runs a gateway; returns the exit code."""
     path = _settings_path()
     if not path:
-        print("usage: gateway SETTINGS", file=sys.stderr)
+        print(
+            "usage: python -m hyssoptack.scripts.gateway SETTINGS",
+            file=sys.stderr,
+        )
         return EXIT_USAGE
     match gateway.load(path):
         case expression.Result(tag="ok", ok=settings):
--- a/hyssoptack/scripts/main.py
+++ b/hyssoptack/scripts/main.py
@@ -104,6 +104,7 @@
     )
 
 
+# The client uses only one of the two addresses.
 def _store(address: str) -> store.StoreClient:
     return store.StoreClient(_platform(address, address))
 
@@ -149,7 +150,7 @@
 
 @application.command
 def entry(settings: pathlib.Path) -> None:
-    """Run an entry instance until SIGTERM; a second one cuts the drain short.
+    """Run an entry instance until SIGTERM; a second SIGTERM ends the drain.
 
     Args:
         settings: The instance's YAML file.
@@ -421,7 +422,7 @@
     try:
         document = json.loads(request)
     except json.JSONDecodeError as error:
-        _fail(f"request: {error}", EXIT_USAGE)
+        _fail(f"request: expected a JSON object: {error}", EXIT_USAGE)
     result = caller.act(front, service, subject, document, key)
     print(result.text)
     sys.exit(EXIT_OK if result.status == caller.STATUS_OK else EXIT_FAILED)
--- a/hyssoptack/settings/gateway.py
+++ b/hyssoptack/settings/gateway.py
@@ -157,8 +157,8 @@
             )
     if settings.failure_domain not in settings.failure_domains:
         return expression.Error(
-            f"failure_domain: {settings.failure_domain!r} is not listed in "
-            "failure_domains"
+            "failure_domain: expected one of failure_domains, got "
+            f"{settings.failure_domain!r}"
         )
     positive = {
         "grace_ms": settings.grace_ms,
@@ -175,10 +175,11 @@
             )
     if min(settings.budget.ratio, settings.crossing_ratio) < 0:
         return expression.Error(
-            "budget.ratio, crossing_ratio: expected 0 or more"
+            "budget.ratio, crossing_ratio: expected 0 or more for both"
         )
     if min(settings.warmup.overage_ratio, settings.warmup.slack_count) < 0:
         return expression.Error(
-            "warmup.overage_ratio, warmup.slack_count: expected 0 or more"
+            "warmup.overage_ratio, warmup.slack_count: expected 0 or more for "
+            "both"
         )
     return expression.Ok(settings)
--- a/hyssoptack/settings/instance.py
+++ b/hyssoptack/settings/instance.py
@@ -18,8 +18,8 @@
             leaving instances.
         timeout_ms: Timeout of one call to the store.
         watch_ms: Duration of one long poll.
-        instance_list_lag_ms: Longest delay of the instance list; an instance
-            waits this long before it uses its ownership.
+        instance_list_lag_ms: Longest delay of the instance list; a new instance
+            waits this long before it uses its shares of upstreams.
         list_period_ms: Interval between reads of the instance list.
         watcher_count: Instances of each failure domain that watch the store.
     """
@@ -80,11 +80,13 @@
 
     Attributes:
         owner_count: Most instances of a failure domain that share one upstream.
-        column_size_count: Number of upstreams in one unit of ownership.
+        column_size_count: Maximum number of upstreams in a column, a group of
+            upstreams with the same owners.
         flush_ms: How long finished replies are collected into a batch before
             they are sent.
         queue_limit_count: Most calls queued for one upstream.
-        claim_max_age_ms: Age above which a claim is never sent.
+        claim_max_age_ms: Maximum time from the start of an attempt at an action
+            to its send; an older claim is released instead.
     """
 
     owner_count: int
--- a/hyssoptack/settings/validation.py
+++ b/hyssoptack/settings/validation.py
@@ -215,7 +215,7 @@
                 self.error(
                     str(name),
                     value,
-                    f"no such field; known fields: {known}",
+                    f"no field of this name; known fields: {known}",
                 )
 
     def _path_of(self, name: str) -> str:
