--- a/hyssoptack/events/log.py
+++ b/hyssoptack/events/log.py
@@ -46,7 +46,7 @@
     )
     THAWED = (
         1005,
-        "The process was paused for too long; it gives up its upstreams for now.",
+        "The process was paused too long; it gives up its upstreams for now.",
     )
     CONFIG_IN_FORCE = (
         2001,
--- a/hyssoptack/http1/httpclient.py
+++ b/hyssoptack/http1/httpclient.py
@@ -19,7 +19,8 @@
 keeps a faulty service from exhausting the memory."""
 
 FINAL_STATUS_MIN = 200
-"""Lowest final status code; lower ones (1xx) announce another reply."""
+"""Lowest final status code. After a lower, informational one (1xx), the final
+reply follows."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/hyssoptack/peers/gossip.py
+++ b/hyssoptack/peers/gossip.py
@@ -21,13 +21,13 @@
 
 MS_PER_S = 1000.0
 RECENT_SENDER_COUNT = 6
-"""Most recent senders that a heartbeat passes on to its receiver."""
+"""Maximum number of recent senders that a heartbeat passes on."""
 
 CONFIG_REQUEST_INTERVAL_MS = 300.0
-"""Least time between two requests for the configuration."""
+"""Minimum time between two requests for the configuration."""
 
 BROADCAST_LIMIT_COUNT = 64
-"""Most peers to which a heartbeat is broadcast."""
+"""Maximum number of peers to which a heartbeat is broadcast."""
 
 PARTNER_COUNT = 12
 """Peers from which the receivers of heartbeats are drawn."""
@@ -83,7 +83,7 @@
     def broadcast_heartbeat(self) -> None:
         """Sends a heartbeat to many peers, for example when leaving.
 
-        Peers beyond `BROADCAST_LIMIT_COUNT` learn of it from the instance list.
+        Peers beyond `BROADCAST_LIMIT_COUNT` receive it from the instance list.
         """
         beat = message.Heartbeat(
             sender=self._state.own_member(),
--- a/hyssoptack/peers/link.py
+++ b/hyssoptack/peers/link.py
@@ -36,7 +36,7 @@
 may only be slow."""
 
 LAST_RECEIVED_LIMIT_COUNT = 1_000
-"""Most peers for which the time of the last message is kept."""
+"""Maximum number of peers whose time of the last message is kept."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/hyssoptack/platform/keyvalue.py
+++ b/hyssoptack/platform/keyvalue.py
@@ -38,10 +38,11 @@
 _ERA = b"store-era"
 
 CONNECTION_LIMIT_COUNT = 6
-"""Most connections to the store."""
+"""Maximum number of connections to the store."""
 
 PAGE_LIMIT_COUNT = 400
-"""Most pages of one range read: 200,000 items, far more than are stored."""
+"""Maximum number of pages of one range read: 200,000 items, far more than are
+stored."""
 
 
 class FailureKind(enum.Enum):
--- a/hyssoptack/reports/margins.py
+++ b/hyssoptack/reports/margins.py
@@ -15,7 +15,7 @@
 from hyssoptack.reports import timeline
 
 SHOWN_COUNT = 5
-"""Most requests and services listed for each limit."""
+"""Maximum number of requests and services listed for each limit."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/hyssoptack/reports/profile.py
+++ b/hyssoptack/reports/profile.py
@@ -17,7 +17,7 @@
 from hyssoptack.reports import timeline
 
 TOP_COUNT = 5
-"""Most failure reasons listed for each route."""
+"""Maximum number of failure reasons listed for each route."""
 
 
 @dataclasses.dataclass(kw_only=True)
--- a/hyssoptack/scripts/main.py
+++ b/hyssoptack/scripts/main.py
@@ -422,7 +422,7 @@
     try:
         document = json.loads(request)
     except json.JSONDecodeError as error:
-        _fail(f"request: expected a JSON object: {error}", EXIT_USAGE)
+        _fail(f"request: not valid JSON: {error}", EXIT_USAGE)
     result = caller.act(front, service, subject, document, key)
     print(result.text)
     sys.exit(EXIT_OK if result.status == caller.STATUS_OK else EXIT_FAILED)
--- a/hyssoptack/settings/instance.py
+++ b/hyssoptack/settings/instance.py
@@ -39,9 +39,9 @@
 
     Attributes:
         thread_count: Threads that read requests and wait for answers.
-        max_query_count: Most queries in flight at the same time.
+        max_query_count: Maximum number of queries in flight at the same time.
         urgent_reserve_count: Number of these reserved for urgent lookups.
-        max_action_count: Most actions in flight at the same time.
+        max_action_count: Maximum number of actions in flight at the same time.
         body_limit_bytes: Size of the largest body accepted.
         client_timeout_ms: Longest wait for a caller's next bytes.
     """
@@ -79,12 +79,13 @@
     """Settings of the connections to upstreams.
 
     Attributes:
-        owner_count: Most instances of a failure domain that share one upstream.
+        owner_count: Maximum number of instances of a failure domain that share
+            one upstream.
         column_size_count: Maximum number of upstreams in a column, a group of
             upstreams with the same owners.
         flush_ms: How long finished replies are collected into a batch before
             they are sent.
-        queue_limit_count: Most calls queued for one upstream.
+        queue_limit_count: Maximum number of calls queued for one upstream.
         claim_max_age_ms: Maximum time from the start of an attempt at an action
             to its send; an older claim is released instead.
     """
--- a/hyssoptack/settings/validation.py
+++ b/hyssoptack/settings/validation.py
@@ -92,8 +92,8 @@
 
         Args:
             name: Name of the field; its suffix is the unit.
-            low: The least value allowed.
-            high: The greatest value allowed.
+            low: The smallest value allowed.
+            high: The largest value allowed.
             default: Value if the field is absent; without a default the field
                 is required.
             whole: Whether only whole numbers are allowed.
