--- a/hyssoptack/reports/fleet.py
+++ b/hyssoptack/reports/fleet.py
@@ -39,7 +39,7 @@
             retries=False,
         )
         if response.status != STATUS_OK:
-            text = f"expected status 200, got {response.status}"
+            text = f"answered {response.status}"
             return Reading(member=each, document=None, error=text)
         document = msgspec.json.decode(response.data)
         return Reading(member=each, document=document)
