--- a/hyssoptack/gateway/callrelay.py
+++ b/hyssoptack/gateway/callrelay.py
@@ -79,7 +79,7 @@
         self.send = send
         self._enabled = enabled
         self.pending: dict[int, PendingRelay] = {}
-        self._ask_ids = correlationids.new_sequence()
+        self._correlation_ids = correlationids.new_sequence()
 
     def choose_gatherer(self, failure_domain: str) -> member.Peer | None:
         """Returns the gatherer of a domain, or None to make calls directly."""
@@ -94,7 +94,7 @@
         calls: collections.abc.Sequence[callcommand.Send],
     ) -> "PendingRelay":
         """Sends calls of a query to a gatherer."""
-        ask_id = next(self._ask_ids)
+        ask_id = next(self._correlation_ids)
         pending = PendingRelay(self, peer, query, ask_id)
         self.pending[ask_id] = pending
         pending.start(calls)
@@ -106,9 +106,11 @@
         if pending is not None and pending.peer.address == batch.sender_address:
             pending.on_batch(batch)
 
-    def on_undelivered(self, ask: gatewaymessage.RelayRequest) -> None:
+    def on_undelivered(
+        self, relay_request: gatewaymessage.RelayRequest
+    ) -> None:
         """Handles a relay request that could not be delivered."""
-        if (pending := self.pending.get(ask.ask_id)) is not None:
+        if (pending := self.pending.get(relay_request.ask_id)) is not None:
             pending.on_lost(sent=False)
 
     def on_link_lost(self, address: str) -> None:
@@ -143,7 +145,7 @@
         self.overdue_at_ms = (
             now_ms + self._relay.selector.first_report_timeout_ms(to_goal_ms)
         )
-        ask = gatewaymessage.RelayRequest(
+        relay_request = gatewaymessage.RelayRequest(
             sender_address=self._relay.own_address,
             ask_id=self._ask_id,
             route_name=self._query.route_name,
@@ -161,7 +163,7 @@
                 for each in calls
             ),
         )
-        self._relay.send(self.peer.address, ask)
+        self._relay.send(self.peer.address, relay_request)
 
     def on_batch(self, batch: gatewaymessage.RelayBatch) -> None:
         """Records the outcomes of some calls and passes them to the query."""
--- a/hyssoptack/gateway/daemon.py
+++ b/hyssoptack/gateway/daemon.py
@@ -63,8 +63,9 @@
 """Settings that take effect only at a restart."""
 
 IDLE_CLOSE_DELAY_MS = 2_600.0
-"""Time from a stop signal until idle connections are closed: the balancer needs
-two probes, a second apart, to see that an instance is not ready."""
+"""Time from a stop signal until idle connections are closed: the platform's
+balancer needs two probes, a second apart, to see that an instance is not
+ready."""
 
 KILL_MARGIN_MS = 400.0
 """Time before the platform's kill at which the process ends by itself."""
@@ -102,21 +103,21 @@
             load_balancer=self._placing,
             pools=self._pools,
             on_configuration=self._on_configuration,
-            keeps_lapsed_upstreams=settings.mechanisms.grace,
+            keeps_expired_upstreams=settings.mechanisms.grace,
         )
         self.reader_election = readerelection.ReaderElection(
             settings.instance_id,
             settings.failure_domain,
             readerelection.read_timings(settings.propagation_bound_ms),
         )
-        self._extra_calls = windowbudget.WindowBudget(
+        self._extra_call_budget = windowbudget.WindowBudget(
             budgetshare.even_share(settings.budget, 0), clock.now_ms()
         )
         self._partition_detector = partitiondetector.PartitionDetector()
-        self._suspicions = quarantine.SuspectRegistry(
+        self._suspect_registry = quarantine.SuspectRegistry(
             random.Random(), settings.mechanisms.suspicion
         )
-        self._suspicions.set_trusted(
+        self._suspect_registry.set_trusted(
             settings.trusted_fingerprints, clock.now_ms()
         )
         self._metrics = metrics.Metrics()
@@ -172,10 +173,10 @@
             self._peering.send,
             self._serving.connection_limit_count,
             self._delegating.messages_may_be_stale,
-            self._suspicions,
+            self._suspect_registry,
         )
         self._quarantine_sync = quarantinesync.QuarantineSync(
-            self._suspicions,
+            self._suspect_registry,
             derivedsettings.own_peer(settings),
             self.reader_election.neighbours,
             self._relaying.selector.peers,
@@ -184,7 +185,7 @@
             self._metrics,
         )
         self._quarantine_store = quarantinestore.QuarantineStore(
-            self._suspicions, self._store, storeformat.BLOCKED_PREFIX
+            self._suspect_registry, self._store, storeformat.BLOCKED_PREFIX
         )
         self._pools.on_upstream_exit = self._quarantine_sync.on_upstream_exit
         self._peering.on_message = self._on_peer_message
@@ -197,20 +198,20 @@
             lambda: self._settings.store_address,
             self._on_partition_change,
         )
-        self._stop = asyncio.Event()
+        self._stop_requested = asyncio.Event()
         self._listeners = listeners.Listeners()
 
     def _plan_context(self) -> plancontext.PlanContext:
         return plancontext.PlanContext(
             load_balancer=self._placing,
-            extra_call_budget=self._extra_calls,
+            extra_call_budget=self._extra_call_budget,
             partition_detector=self._partition_detector,
             mechanisms=self._settings.mechanisms,
-            suspicions=self._suspicions,
+            suspicions=self._suspect_registry,
         )
 
     def _on_peer_message(self, peer_message: gatewaymessage.Message) -> None:
-        ready = self.view.is_complete and not self._stop.is_set()
+        ready = self.view.is_complete and not self._stop_requested.is_set()
         match peer_message:
             case gatewaymessage.DelegationRequest():
                 self._serving.serve_delegated(peer_message, ready)
@@ -242,12 +243,18 @@
     def _on_configuration(self, configuration: traffic.Configuration) -> None:
         self._caller_server.limits = configuration.limits
         self._warmups.set_services(configuration.services)
-        self._extra_calls.gathered_services = configuration.shard_services
+        self._extra_call_budget.gathered_services = configuration.shard_services
 
     def _on_partition_change(self) -> None:
-        """Takes the instance out of rotation during a network partition."""
+        """Updates the rotation after a change of the partition state.
+
+        During a partition, also notifies neighbours and abandons calls to
+        other failure domains.
+        """
         leaves_rotation = self._partition_detector.leaves_rotation
-        self._caller_server.closing = leaves_rotation or self._stop.is_set()
+        self._caller_server.closing = (
+            leaves_rotation or self._stop_requested.is_set()
+        )
         if not self._partition_detector.is_partitioned:
             return
         if self._partition_detector.detected_locally:
@@ -257,7 +264,7 @@
     def _is_ready(self) -> bool:
         return (
             self.view.is_complete
-            and not self._stop.is_set()
+            and not self._stop_requested.is_set()
             and not self._partition_detector.leaves_rotation
         )
 
@@ -272,8 +279,8 @@
             "opened_connection_count": self._pools.opened_count,
             "store_call_count": self._store.call_count,
             "instance_count": self.reader_election.instance_count,
-            "suspected_count": self._suspicions.suspected_count,
-            "blocked_count": self._suspicions.quarantined_count,
+            "suspected_count": self._suspect_registry.suspected_count,
+            "blocked_count": self._suspect_registry.quarantined_count,
         }
 
     async def run(self, callers_port: socket.socket | None = None) -> None:
@@ -306,7 +313,7 @@
         self._peering.start()
         try:
             await self._serve_until_stopped(callers_port)
-            await self._finish()
+            await self._drain()
         finally:
             self._peering.stop()
 
@@ -328,7 +335,7 @@
                 watcher.poll_instances(),
                 watcher.maintain_registration(),
                 self._watch_settings_file(),
-                self._delegating.watch_stalls(),
+                self._delegating.watch_event_loop(),
                 self._caller_server.sweep(),
                 self._readiness_server.sweep(),
                 self._pools.sweep(),
@@ -339,7 +346,7 @@
         await self._listeners.accept_callers(
             callers_port, self._caller_server, self.view
         )
-        stopped = loop.create_task(self._stop.wait())
+        stopped = loop.create_task(self._stop_requested.wait())
         done, _ = await asyncio.wait(
             (*tasks, stopped), return_when=asyncio.FIRST_COMPLETED
         )
@@ -351,7 +358,7 @@
         """Returns the tasks of the mechanisms that are switched on."""
         tasks = []
         if self._settings.mechanisms.told_calls:
-            tasks.append(self._peering.publish_calls_periodically())
+            tasks.append(self._peering.publish_latencies_periodically())
         if self._settings.mechanisms.suspicion:
             tasks.append(self._quarantine_sync.share_periodically())
         if self._settings.mechanisms.cut_belief:
@@ -361,7 +368,7 @@
     def stop(self) -> None:
         """Begins a graceful shutdown."""
         log.write(log.Event.STOP_ASKED, running=len(self._serving.active_runs))
-        self._stop.set()
+        self._stop_requested.set()
 
     async def _watch_settings_file(self) -> None:
         """Reloads the settings file when it has changed."""
@@ -406,9 +413,9 @@
             derivedsettings.delegation_link_mbps(settings)
         )
         budgetshare.update_shares(
-            self._extra_calls, self._settings, self.reader_election
+            self._extra_call_budget, self._settings, self.reader_election
         )
-        self._suspicions.set_trusted(
+        self._suspect_registry.set_trusted(
             settings.trusted_fingerprints, clock.now_ms()
         )
 
@@ -431,17 +438,19 @@
             ),
         )
         budgetshare.update_shares(
-            self._extra_calls, self._settings, self.reader_election
+            self._extra_call_budget, self._settings, self.reader_election
         )
 
     def _has_work(self) -> bool:
         """Returns whether requests, or calls for other instances, run here."""
         return bool(self._serving.active_runs or self._gathering.active_gathers)
 
-    async def _finish(self) -> None:
+    async def _drain(self) -> None:
         """Closes connections to callers, finishes the work and closes ports."""
         started_ms = clock.now_ms()
         self._caller_server.closing = True
+        # `grace_ms` is the time until the platform kills the process, not the
+        # grace period for upstreams (`replicatedview`).
         end_ms = started_ms + self._settings.grace_ms - KILL_MARGIN_MS
         idle_close_ms = min(started_ms + IDLE_CLOSE_DELAY_MS, end_ms)
         await asyncio.sleep((idle_close_ms - clock.now_ms()) / message.MS_PER_S)
--- a/hyssoptack/gateway/gateway_crash_test.py
+++ b/hyssoptack/gateway/gateway_crash_test.py
@@ -5,10 +5,10 @@
 the upstreams that have just restarted. Without a quarantine, one such request
 crashes 90 to 120 upstreams, and no query is served in between.
 
-The request is recognised by events 4104 of all instances: its fingerprint is in
-progress at every upstream that exits, in different attempts, and is answered
-nowhere. Other requests are in progress at one or two of these upstreams, and
-are answered elsewhere.
+The request is recognised by the event UPSTREAM_ENDED (4104) of all instances:
+its fingerprint is in progress at every upstream that exits, in different
+attempts, and is answered nowhere. Other requests are in progress at one or two
+of these upstreams, and are answered elsewhere.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 COPY_COUNT = 4
 WORK_MS = 20.0
 RETURN_MS = 2_000.0
-BOUND_MS = 1_000.0
+QUARANTINE_BOUND_MS = 1_000.0
 """Time after the third crash from which the request must reach no upstream: a
 quarter of the shortest time that the users allow."""
 
@@ -43,7 +43,7 @@
     at_ms: float
 
 
-class CrashWatch:
+class CrashRecorder:
     """Records the runs and crashes on the upstreams of a site."""
 
     def __init__(self, site: harness.Site, bad_path: bytes):
@@ -61,14 +61,16 @@
         self.runs.append(run)
 
     def late_count(self, prefix: str) -> int:
-        """Returns the number of runs later than `BOUND_MS` after crash three.
+        """Returns the number of runs that are too late after crash three.
+
+        Too late is later than `QUARANTINE_BOUND_MS`.
 
         Args:
             prefix: Prefix of the request ids to count.
         """
         if len(self.crash_ms) < CRASH_LIMIT_COUNT:
             return 0
-        bound_ms = self.crash_ms[CRASH_LIMIT_COUNT - 1] + BOUND_MS
+        bound_ms = self.crash_ms[CRASH_LIMIT_COUNT - 1] + QUARANTINE_BOUND_MS
         return sum(
             each.request_id.startswith(prefix) and each.at_ms > bound_ms
             for each in self.runs
@@ -146,7 +148,7 @@
     async def test():
         async with harness.Site() as site:
             await start_sharded_site(site)
-            watch = CrashWatch(site, b"/all/bad")
+            watch = CrashRecorder(site, b"/all/bad")
             repeats, statuses = await asyncio.gather(
                 send_repeatedly(site, "/all/bad", 8.0, 0.25, "bad"),
                 _send_other_queries(site, 8.0),
@@ -173,7 +175,7 @@
             site.configure(gateway_test.SINGLE, gateway_test.ONCE)
             await start_gateways(site)
             for path, method in (("/one/bad", "GET"), ("/once/bad", "POST")):
-                watch = CrashWatch(site, path.encode())
+                watch = CrashRecorder(site, path.encode())
                 body = b"book" if method == "POST" else b""
                 repeats = await send_repeatedly(
                     site, path, 6.0, 0.2, method, method=method, body=body
@@ -191,7 +193,7 @@
     async def test():
         async with harness.Site() as site:
             await start_sharded_site(site)
-            watch = CrashWatch(site, b"/all/bad")
+            watch = CrashRecorder(site, b"/all/bad")
             await send_repeatedly(site, "/all/bad", 3.0, 0.25, "bad")
             await site.start("n3")
             # By then, all upstreams have restarted.
--- a/hyssoptack/gateway/gathererservice.py
+++ b/hyssoptack/gateway/gathererservice.py
@@ -1,8 +1,10 @@
 """Makes calls that instances of other failure domains relay to this one.
 
-Each call is made once. Answers are reported together once no more arrive, and
-each later answer as it arrives. The requesting instance decides on retries and
-timeouts of calls.
+Each call is made once. Answers are reported together when all have arrived,
+when they have stopped arriving, or at 0.4 of the time to the latency goal
+(`policy.gatherers.REPORT_RATIO`). Failures, and answers after that, are
+reported at once. The requesting instance decides on retries and timeouts of
+calls.
 """
 
 import asyncio
@@ -32,7 +34,7 @@
 Send = collections.abc.Callable[[str, gatewaymessage.Message], None]
 """Sends a message to the instance at an address."""
 
-LimitCount = collections.abc.Callable[[traffic.Upstream], int]
+ConnectionLimitCount = collections.abc.Callable[[traffic.Upstream], int]
 """Returns this instance's connection limit for an upstream."""
 
 
@@ -44,9 +46,9 @@
         view: replicatedview.ReplicatedView,
         own_address: str,
         send: Send,
-        limit_count: LimitCount,
+        connection_limit_count: ConnectionLimitCount,
         is_stale: collections.abc.Callable[[], bool],
-        suspicions: quarantine.SuspectRegistry,
+        suspect_registry: quarantine.SuspectRegistry,
     ):
         """Creates a service without any calls.
 
@@ -54,34 +56,39 @@
             view: Upstreams, their load balancer state and connection pools.
             own_address: Address at which this instance receives messages.
             send: Sends a message to an address.
-            limit_count: Returns the connection limit for an upstream.
+            connection_limit_count: Returns the connection limit for an
+                upstream.
             is_stale: Returns whether received messages may date from a stall
                 of this process.
-            suspicions: Registry of requests that crash upstreams.
+            suspect_registry: Registry of requests that crash upstreams.
         """
         self.view = view
         self.own_address = own_address
         self.send = send
-        self.connection_limit_count = limit_count
+        self.connection_limit_count = connection_limit_count
         self._is_stale = is_stale
-        self._suspicions = suspicions
+        self._suspect_registry = suspect_registry
         self.active_gathers: dict[tuple[str, int], GatherTask] = {}
 
-    def accept(self, ask: gatewaymessage.RelayRequest, ready: bool) -> None:
+    def accept(
+        self, relay_request: gatewaymessage.RelayRequest, ready: bool
+    ) -> None:
         """Makes the calls of a relay request, or declines them at once.
 
         Args:
-            ask: The relay request.
+            relay_request: The relay request.
             ready: Whether this instance accepts new work.
         """
-        key = ask.sender_address, ask.ask_id
+        key = relay_request.sender_address, relay_request.ask_id
         if key in self.active_gathers:
             return
-        gather = GatherTask(self, ask)
+        gather = GatherTask(self, relay_request)
         if not ready or self._is_stale():
             gather.decline(callresult.GATHERER_DECLINED)
             return
-        if self._suspicions.is_quarantined(ask.fingerprint, clock.now_ms()):
+        if self._suspect_registry.is_quarantined(
+            relay_request.fingerprint, clock.now_ms()
+        ):
             gather.decline(callresult.CRASHES_UPSTREAMS)
             return
         self.active_gathers[key] = gather
@@ -98,12 +105,16 @@
     """The calls of one relay request."""
 
     def __init__(
-        self, service: GathererService, ask: gatewaymessage.RelayRequest
+        self,
+        service: GathererService,
+        relay_request: gatewaymessage.RelayRequest,
     ):
         self._service = service
-        self._ask = ask
+        self._relay_request = relay_request
         self._started_ms = clock.now_ms()
-        self._forwarded = headers.ForwardedRequest(head=ask.head, body=ask.body)
+        self._forwarded = headers.ForwardedRequest(
+            head=relay_request.head, body=relay_request.body
+        )
         self._calls: dict[int, pool.Call] = {}
         self._open_upstream_ids: dict[int, str] = {}
         self._unsent: list[gatewaymessage.RelayedOutcome] = []
@@ -111,24 +122,24 @@
         self._flush_scheduled = False
         self._timer: asyncio.TimerHandle | None = None
         self._end_timer: asyncio.TimerHandle | None = None
-        self._to_goal_ms = max(0.0, ask.to_goal_ms)
+        self._to_goal_ms = max(0.0, relay_request.to_goal_ms)
         self._hedge_timing = hedgetiming.HedgeTiming(
-            service.view.load_balancer.latency_of(ask.route_name),
+            service.view.load_balancer.latency_of(relay_request.route_name),
             self._to_goal_ms,
             self._started_ms + self._to_goal_ms,
             self._started_ms,
-            len(ask.calls),
+            len(relay_request.calls),
         )
 
     def decline(self, reason: str) -> None:
         """Reports all calls as not run."""
-        for each in self._ask.calls:
+        for each in self._relay_request.calls:
             self._unsent.append(_not_run(each.call_id, reason))
         self._flush()
 
     def start(self) -> None:
         """Makes the calls and schedules the first report."""
-        for each in self._ask.calls:
+        for each in self._relay_request.calls:
             upstream = self._service.view.load_balancer.usable_upstream(
                 each.upstream_id, RELAYED_RANK, self._started_ms
             )
@@ -139,7 +150,8 @@
                 self._make_call(each.call_id, upstream)
         loop = asyncio.get_running_loop()
         self._end_timer = loop.call_later(
-            max(0.0, self._ask.remaining_ms) / message.MS_PER_S, self.end
+            max(0.0, self._relay_request.remaining_ms) / message.MS_PER_S,
+            self.end,
         )
         if self._unsent:
             self._flush_soon()
@@ -153,19 +165,19 @@
         job = pool.Job(
             upstream=upstream,
             build_request=lambda: self._build_request(upstream),
-            request_id=self._ask.request_id,
+            request_id=self._relay_request.request_id,
             is_head=False,
             needs_new_connection=False,
             needs_recent_connection=False,
             on_outcome=lambda outcome: self._on_outcome(call_id, outcome),
-            fingerprint=self._ask.fingerprint,
+            fingerprint=self._relay_request.fingerprint,
         )
         limit_count = self._service.connection_limit_count(upstream)
         self._calls[call_id] = self._service.view.pools.call(job, limit_count)
 
     def _build_request(self, upstream: traffic.Upstream) -> bytes:
         spent_ms = clock.now_ms() - self._started_ms
-        remaining_ms = self._ask.remaining_ms - spent_ms
+        remaining_ms = self._relay_request.remaining_ms - spent_ms
         return headers.upstream_request(self._forwarded, upstream, remaining_ms)
 
     def _on_outcome(self, call_id: int, outcome: httpclient.Outcome) -> None:
@@ -179,7 +191,7 @@
         # as well.
         callfeedback.record_outcome(
             load_balancer,
-            self._ask.route_name,
+            self._relay_request.route_name,
             upstream_id,
             self._started_ms,
             call_outcome,
@@ -205,7 +217,7 @@
                 reply=message.Reply() as reply,
             ):
                 top_records = records.greatest(
-                    (reply.body,), self._ask.top_count
+                    (reply.body,), self._relay_request.top_count
                 )
                 signature = headers.signature(reply)
             case _:
@@ -241,10 +253,10 @@
             report_at_ms == stall_at_ms,
         )
 
-    def _report(self, dried_up: bool) -> None:
+    def _report(self, stalled: bool) -> None:
         """Reports the answers so far; an empty report shows liveness."""
         self._reported = True
-        self._flush(dried_up, alive=True)
+        self._flush(stalled, send_if_empty=True)
 
     def _flush_soon(self) -> None:
         """Schedules a report of all outcomes of this event loop turn."""
@@ -253,18 +265,20 @@
             loop = asyncio.get_running_loop()
             loop.call_soon(self._flush)
 
-    def _flush(self, dried_up: bool = False, alive: bool = False) -> None:
+    def _flush(
+        self, stalled: bool = False, send_if_empty: bool = False
+    ) -> None:
         self._flush_scheduled = False
-        if not self._unsent and not alive:
+        if not self._unsent and not send_if_empty:
             return
         batch = gatewaymessage.RelayBatch(
             sender_address=self._service.own_address,
-            ask_id=self._ask.ask_id,
+            ask_id=self._relay_request.ask_id,
             outcomes=tuple(self._unsent),
-            dried_up=dried_up,
+            dried_up=stalled,
         )
         self._unsent.clear()
-        self._service.send(self._ask.sender_address, batch)
+        self._service.send(self._relay_request.sender_address, batch)
         if not self._open_upstream_ids:
             self.end()
 
@@ -279,7 +293,7 @@
             self._service.view.load_balancer.end_call(upstream_id)
         self._calls.clear()
         self._open_upstream_ids.clear()
-        key = self._ask.sender_address, self._ask.ask_id
+        key = self._relay_request.sender_address, self._relay_request.ask_id
         self._service.active_gathers.pop(key, None)
 
 
--- a/hyssoptack/gateway/listeners.py
+++ b/hyssoptack/gateway/listeners.py
@@ -8,12 +8,12 @@
 from hyssoptack.gateway import replicatedview
 from hyssoptack.http1 import httpserver
 
-FIRST_VIEWS_WAIT_MS = 100.0
+INITIAL_VIEW_WAIT_MS = 100.0
 """Maximum time after the start that callers wait for the first configuration
 and upstream list. Both arrive within 20 ms if the store answers. A refusal
 during that time would use up the caller's only retry."""
 
-FIRST_VIEWS_CHECK_S = 0.005
+INITIAL_VIEW_CHECK_S = 0.005
 """Interval of checks for the first configuration and upstream list."""
 
 
@@ -46,9 +46,9 @@
             server: The HTTP server for callers.
             view: The instance's view of configuration and upstreams.
         """
-        limit_ms = clock.now_ms() + FIRST_VIEWS_WAIT_MS
-        while not view.is_complete and clock.now_ms() < limit_ms:
-            await asyncio.sleep(FIRST_VIEWS_CHECK_S)
+        wait_until_ms = clock.now_ms() + INITIAL_VIEW_WAIT_MS
+        while not view.is_complete and clock.now_ms() < wait_until_ms:
+            await asyncio.sleep(INITIAL_VIEW_CHECK_S)
         await self._accept(port, server)
 
     async def _accept(
--- a/hyssoptack/gateway/metrics.py
+++ b/hyssoptack/gateway/metrics.py
@@ -9,7 +9,7 @@
 ]  # fmt: skip
 """Upper bounds of the buckets of all duration histograms."""
 
-MAX_UNCOUNTED_CALL_COUNT = 4_000
+MAX_BUFFERED_CALL_COUNT = 4_000
 """Maximum number of buffered calls if the metrics page is not read: about 100
 queries over 36 shards, 0.4 MB."""
 
@@ -89,10 +89,10 @@
         self._calls[service, outcome] += 1
         if answered_ms is not None:
             self._call_ms.append((service, answered_ms))
-            if len(self._call_ms) >= MAX_UNCOUNTED_CALL_COUNT:
-                self._count_calls()
+            if len(self._call_ms) >= MAX_BUFFERED_CALL_COUNT:
+                self._flush_calls()
 
-    def _count_calls(self) -> None:
+    def _flush_calls(self) -> None:
         for (service, outcome), count in self._calls.items():
             self.calls.add({"service": service, "outcome": outcome}, count)
         self._calls.clear()
@@ -102,6 +102,6 @@
 
     def render_text(self) -> bytes:
         """Returns the metrics in the Prometheus text format."""
-        self._count_calls()
+        self._flush_calls()
         content, _ = aioprometheus.render(self._registry, ["text/plain"])
         return content
--- a/hyssoptack/gateway/partitionmonitor.py
+++ b/hyssoptack/gateway/partitionmonitor.py
@@ -13,9 +13,9 @@
 from hyssoptack.policy import partitiondetector
 
 CHECK_PERIOD_S = 0.05
-"""How soon a suspicion is checked. In a partition that drops packets, two
-checks then take 0.4 s; the balancer takes 1 to 2 s more to send callers
-elsewhere."""
+"""Interval at which the detector's state is examined, and pause between two
+checks of a suspicion. In a partition that drops packets, two checks then take
+0.4 s; the platform's balancer takes 1 to 2 s more to send callers elsewhere."""
 
 PARTITIONED_CHECK_PERIOD_S = 0.4
 """Time between two checks while partitioned, and so the delay until other
--- a/hyssoptack/gateway/partitionmonitor_test.py
+++ b/hyssoptack/gateway/partitionmonitor_test.py
@@ -49,8 +49,8 @@
 
 
 def test_a_refused_connection_counts_as_unreachable():
-    # A partition may refuse all connections. One of 5.6 s was not detected
-    # because a refusal counted as a sign of life.
+    # A partition may refuse all connections. If a refusal counted as a sign of
+    # life, such a partition would not be detected (one lasted 5.6 s).
     address = f"127.0.0.1:{ports.free_port()}"
     assert not asyncio.run(partitionmonitor.accepts_connection(address))
 
--- a/hyssoptack/gateway/peering.py
+++ b/hyssoptack/gateway/peering.py
@@ -23,18 +23,18 @@
 """Time after which a link without messages is closed. Readers change seldom, so
 links to former readers are not needed for long."""
 
-CALLS_PERIOD_S = 0.5
+LATENCY_NOTICE_PERIOD_S = 0.5
 """How often calls to slow upstreams are published. With 26 instances in a
-failure domain, each calls an upstream too seldom to detect alone that it is
-slow (for 5 to 10 s); 25 messages per period cost an instance about 7 ms of
-processor time a second."""
+failure domain, each calls an upstream so seldom that it alone would need 5 to
+10 s to detect that the upstream is slow; 25 messages per period cost an
+instance about 7 ms of processor time a second."""
 
-CALLS_PEERS_COUNT = 32
+LATENCY_NOTICE_PEER_COUNT = 32
 """Maximum number of neighbours that get each notice of calls. They are sampled
 at random, so that the cost of a round does not grow with the number of
 instances in a failure domain."""
 
-INSTANCES_PEERS_COUNT = 32
+INSTANCES_NOTICE_PEER_COUNT = 32
 """Maximum number of neighbours that get the list of instances each time that it
 was read (every 5 s). A neighbour that misses one gets it a few rounds later."""
 
@@ -179,7 +179,7 @@
             total_count=total_count,
             far_gatherers=far_gatherers,
         )
-        for peer in self._sample_neighbours(INSTANCES_PEERS_COUNT):
+        for peer in self._sample_neighbours(INSTANCES_NOTICE_PEER_COUNT):
             self._links.send(peer.address, notice)
 
     def publish_partition(self) -> None:
@@ -201,17 +201,17 @@
         peers = self.reader_election.neighbours()
         return self._random.sample(peers, min(len(peers), max_count))
 
-    async def publish_calls_periodically(self) -> None:
+    async def publish_latencies_periodically(self) -> None:
         """Publishes calls to slow upstreams to neighbours until cancelled."""
         while True:
-            await asyncio.sleep(CALLS_PERIOD_S)
+            await asyncio.sleep(LATENCY_NOTICE_PERIOD_S)
             calls = self._view.load_balancer.calls_to_share(clock.now_ms())
             if not calls or self._links is None:
                 continue
             notice = gatewaymessage.LatencyNotice(
                 sender_id=self._settings.instance_id, seen_calls=calls
             )
-            for peer in self._sample_neighbours(CALLS_PEERS_COUNT):
+            for peer in self._sample_neighbours(LATENCY_NOTICE_PEER_COUNT):
                 self._links.send(peer.address, notice)
 
     def _on_undelivered(
@@ -279,7 +279,7 @@
         if stored is None:
             log.write(
                 log.Event.CONFIG_REFUSED,
-                errors=["compressed configuration can't be read"],
+                errors=["configuration from a peer can't be decompressed"],
             )
             return
         match storeformat.parse_configuration(stored):
--- a/hyssoptack/gateway/peering_test.py
+++ b/hyssoptack/gateway/peering_test.py
@@ -92,7 +92,9 @@
                 while running.reader_election.peak_instance_count < 21:
                     await asyncio.sleep(0.05)
             slack_count = site.settings["g-1"].budget.slack_count
-            assert 21 * running._extra_calls.share.slack_count <= slack_count
+            assert (
+                21 * running._extra_call_budget.share.slack_count <= slack_count
+            )
 
     asyncio.run(test())
 
--- a/hyssoptack/gateway/pool.py
+++ b/hyssoptack/gateway/pool.py
@@ -15,12 +15,12 @@
 """Longest wait for a new connection: 6 ms of handshake, 4 ms of network, and
 some tens of milliseconds while this process is busy. A machine that is down
 never answers, and a SYN packet that a full queue dropped is sent again only
-after a second. Another upstream is then better, while there is still time to
-the latency goal (40 to 175 ms)."""
+after a second. After this timeout a call to another upstream is better, if
+time is left before the latency goal (40 to 175 ms)."""
 
 IDLE_MARGIN_RATIO = 0.6
 """Part of the upstream's idle timeout for which an idle connection is reused,
-so that a request does not cross the upstream's close."""
+so that no request is sent while the upstream closes the connection."""
 
 IDLE_DEFAULT_MS = 3_000.0
 """Idle time limit if the upstream states none."""
@@ -47,9 +47,9 @@
 """Maximum number of exit checks in a row. The system of an exiting process may
 still accept a connection and reset it, and refuses the next one."""
 
-SETTLE_MS = 2.0
-"""Time after which a connection that is still open was accepted by a running
-process."""
+RESET_WAIT_MS = 2.0
+"""Wait for a reset after a connection was accepted. A connection that is still
+open after it was accepted by a running process."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -109,7 +109,7 @@
             self.task.cancel()
         if self.connection is not None:
             self.connection.close()
-        self._upstream_pool.released()
+        self._upstream_pool.start_next_waiting()
 
     def complete(self, outcome: httpclient.Outcome) -> None:
         """Reports the outcome, unless the call is already over."""
@@ -211,6 +211,10 @@
         return None
 
     def _make_room(self) -> bool:
+        """Returns whether a connection may be opened.
+
+        At the limit, the connection that was idle longest is closed first.
+        """
         if self._open_count >= self.limit_count and self._idle:
             self._idle.pop(0).close()
         return self._open_count < self.limit_count
@@ -229,11 +233,11 @@
             case int(error):
                 reason = f"connect_failed_{error}"
                 call.complete(httpclient.BrokenCall(reason=reason, sent=False))
-                self.released()
+                self.start_next_waiting()
             case None:
                 reason = "connect_timeout"
                 call.complete(httpclient.BrokenCall(reason=reason, sent=False))
-                self.released()
+                self.start_next_waiting()
 
     async def _open_connection(
         self, limit_ms: float
@@ -272,10 +276,13 @@
     async def _is_lost_at_once(
         self, found: httpclient.UpstreamConnection | int | None
     ) -> bool:
-        """Returns whether a new connection is lost at once by an exit."""
+        """Returns whether a new connection is lost within `RESET_WAIT_MS`.
+
+        The system of an exiting process resets connections that it accepted.
+        """
         if not isinstance(found, httpclient.UpstreamConnection):
             return False
-        await asyncio.sleep(SETTLE_MS / message.MS_PER_S)
+        await asyncio.sleep(RESET_WAIT_MS / message.MS_PER_S)
         return found.lost
 
     def _on_broken_call(
@@ -299,8 +306,11 @@
                 found
             ):
                 break
+            # The next attempt counts as open before it starts. The count is
+            # undone when it fails or when its connection is lost.
             self._open_count += 1
         else:
+            # No further attempt follows.
             self._open_count -= 1
         self._exit_check = None
         broken_calls, self._broken_calls = tuple(self._broken_calls), []
@@ -319,7 +329,7 @@
             # The upstream is running: only the connection was closed.
             self._return_to_idle(found)
         else:
-            self.released()
+            self.start_next_waiting()
 
     def _lost_handler(
         self, connection: httpclient.UpstreamConnection
@@ -328,7 +338,7 @@
             self._open_count -= 1
             if connection in self._idle:
                 self._idle.remove(connection)
-            self.released()
+            self.start_next_waiting()
 
         return on_lost
 
@@ -357,8 +367,9 @@
     def _release_connection(
         self, connection: httpclient.UpstreamConnection
     ) -> None:
-        # The parser may still be reading the bytes that held the reply, and
-        # may find surplus bytes: check the connection when it is done.
+        # The parser may still be reading the bytes that held the reply and may
+        # find surplus bytes, so the connection is checked after the parser has
+        # returned.
         asyncio.get_running_loop().call_soon(self._return_to_idle, connection)
 
     def _return_to_idle(
@@ -370,7 +381,7 @@
             connection.close()
             return
         self._idle.append(connection)
-        self.released()
+        self.start_next_waiting()
 
     def withdraw(self) -> None:
         """Fails the calls that wait for a connection; none was sent."""
@@ -379,7 +390,7 @@
         for call in waiting:
             call.complete(httpclient.BrokenCall(reason=WITHDRAWN, sent=False))
 
-    def released(self) -> None:
+    def start_next_waiting(self) -> None:
         """Starts the next waiting call if a connection is available."""
         while self._waiting and self._waiting[0].is_over:
             self._waiting.popleft()
@@ -417,5 +428,6 @@
         IDLE_DEFAULT_MS
         if connection.idle_limit_ms == float("inf")
         else connection.idle_limit_ms * IDLE_MARGIN_RATIO,
+        # Upper limit, also if the upstream states a longer idle time.
         30_000.0,
     )
--- a/hyssoptack/gateway/quarantinestore.py
+++ b/hyssoptack/gateway/quarantinestore.py
@@ -97,11 +97,11 @@
         stored = self._merge_entries(own_items)
         now_ms = clock.now_ms()
         missing = [
-            (name, entry)
-            for name, entry in self._registry.newest_quarantined(
+            (fingerprint, entry)
+            for fingerprint, entry in self._registry.newest_quarantined(
                 STORED_COUNT, now_ms
             )
-            if stored.get(name, 0) < entry.quarantine_count
+            if stored.get(fingerprint, 0) < entry.quarantine_count
         ]
         if missing:
             await self._write(missing, now_ms)
@@ -146,31 +146,36 @@
         ttl_ms = max(entry.expires_ms - now_ms for _, entry in missing)
         unix_ms = _unix_ms() - now_ms
         items = {
-            self._prefix + name: msgspec.json.encode(
+            self._prefix + fingerprint: msgspec.json.encode(
                 StoredEntry(
-                    fingerprint=name,
+                    fingerprint=fingerprint,
                     blocked_count=entry.quarantine_count,
                     until_unix_ms=unix_ms + entry.quarantined_until_ms,
                     over_unix_ms=unix_ms + entry.expires_ms,
                 )
             )
-            for name, entry in missing
+            for fingerprint, entry in missing
         }
         match await self._store.grant_lease(min(LEASE_MAX_MS, ttl_ms)):
             case expression.Result(tag="ok", ok=lease):
                 result = await self._store.put_all(items, lease)
             case granted:
                 result = granted
-        self._log_write("stored", [name for name, _ in missing], result)
+        self._log_write(
+            "stored", [fingerprint for fingerprint, _ in missing], result
+        )
 
     def _log_write(
         self,
         what: str,
-        names: list[str],
+        fingerprints: list[str],
         result: expression.Result[object, keyvalue.Failure],
     ) -> None:
         """Logs a write; a failed one is repeated after the next read."""
         error = result.error.detail if result.is_error() else ""
         log.write(
-            log.Event.BLOCKED_STORED, what=what, fingerprints=names, error=error
+            log.Event.BLOCKED_STORED,
+            what=what,
+            fingerprints=fingerprints,
+            error=error,
         )
--- a/hyssoptack/gateway/quarantinestore_test.py
+++ b/hyssoptack/gateway/quarantinestore_test.py
@@ -29,7 +29,7 @@
 async def _quarantine_one(site):
     """Sets up a site on which one request is quarantined and stored."""
     await gateway_crash_test.start_sharded_site(site)
-    watch = gateway_crash_test.CrashWatch(site, b"/all/bad")
+    watch = gateway_crash_test.CrashRecorder(site, b"/all/bad")
     await site.get("/all/bad", "bad-1", name="n1")
     await quarantinesync_test._wait_quarantined(site, "n1", "n2", "s1")
     await _wait_until(lambda: _stored_keys(site))
@@ -61,12 +61,12 @@
         async with harness.Site() as site:
             await _quarantine_one(site)
             for name in site.gateways:
-                known = quarantinesync_test._suspicions(site, name)
+                known = quarantinesync_test._suspect_registry(site, name)
                 (fingerprint,) = known._blocked
                 known.record_answer(fingerprint, clock.now_ms())
             await _wait_until(lambda: not _stored_keys(site))
             for name in site.gateways:
-                known = quarantinesync_test._suspicions(site, name)
+                known = quarantinesync_test._suspect_registry(site, name)
                 assert not known.has_entries
 
     asyncio.run(test())
--- a/hyssoptack/gateway/quarantinesync.py
+++ b/hyssoptack/gateway/quarantinesync.py
@@ -3,8 +3,9 @@
 `policy.quarantine` holds the records of suspected and quarantined requests;
 this module logs and sends them. New records go at once to some instances of the
 own failure domain and of others, which forward those that are new to them.
-Each second, a sample of all records goes to one instance of each kind, which
-makes up for lost messages and for records made during a partition. An instance
+Each second, a sample of all records goes to one instance of the own failure
+domain and to one of another, which makes up for lost messages and for records
+made during a partition. An instance
 that has just started requests the records of others. While there are no
 records, nothing is sent.
 """
@@ -38,8 +39,9 @@
 many: 997 of 1,000 instances get them so within some tens of milliseconds."""
 
 NEW_RECORDS_COUNT = 6
-"""Maximum number of new records in one message. At `MAX_BYTES_PER_S` they take
-a second, so that the next new record is sent in time. Requests that crash
+"""Maximum number of new records in one message. At `MAX_BYTES_PER_S`,
+sending them to six instances takes a second, so that the next new record is
+sent in time. Requests that crash
 upstreams are few; if a caller fabricates many of them, sharing their records is
 of no use."""
 
@@ -121,7 +123,7 @@
     # Changes on this instance.
 
     def on_upstream_exit(
-        self, upstream: traffic.Upstream, in_hand: tuple[pool.Job, ...]
+        self, upstream: traffic.Upstream, broken_jobs: tuple[pool.Job, ...]
     ) -> None:
         """Counts and logs an upstream that exited with calls in progress."""
         self._metrics.upstream_exits.inc({"service": upstream.service})
@@ -131,9 +133,9 @@
             service=upstream.service,
             in_hand=[
                 f"{each.fingerprint} {each.request_id.decode('latin-1')}"
-                for each in in_hand[:LOGGED_CALLS_COUNT]
+                for each in broken_jobs[:LOGGED_CALLS_COUNT]
             ],
-            in_hand_count=len(in_hand),
+            in_hand_count=len(broken_jobs),
         )
 
     def _on_change(self, change: quarantine.SuspicionChange) -> None:
--- a/hyssoptack/gateway/quarantinesync_test.py
+++ b/hyssoptack/gateway/quarantinesync_test.py
@@ -13,14 +13,14 @@
 """Less than the shortest time that the users give from the third crash on."""
 
 
-def _suspicions(site, name):
-    return site.gateways[name]._suspicions
+def _suspect_registry(site, name):
+    return site.gateways[name]._suspect_registry
 
 
 async def _wait_quarantined(site, *names):
     async with asyncio.timeout(TOLD_S):
         while not all(
-            _suspicions(site, each).quarantined_count for each in names
+            _suspect_registry(site, each).quarantined_count for each in names
         ):
             await asyncio.sleep(0.02)
 
@@ -77,7 +77,7 @@
     async def test():
         async with harness.Site() as site:
             await gateway_crash_test.start_sharded_site(site)
-            gateway_crash_test.CrashWatch(site, b"/all/bad")
+            gateway_crash_test.CrashRecorder(site, b"/all/bad")
             heal = _partition(site, "s1")
             await gateway_crash_test.send_repeatedly(
                 site, "/all/bad", 0.6, 0.2, "bad"
@@ -93,7 +93,7 @@
     async def test():
         async with harness.Site() as site:
             await gateway_crash_test.start_sharded_site(site)
-            watch = gateway_crash_test.CrashWatch(site, b"/all/bad")
+            watch = gateway_crash_test.CrashRecorder(site, b"/all/bad")
             heal = _partition(site, "s1")
             await site.get("/all/bad", "bad-1", name="s1")
             await _wait_quarantined(site, "s1")
@@ -111,7 +111,7 @@
     async def test():
         async with harness.Site() as site:
             await gateway_crash_test.start_sharded_site(site)
-            gateway_crash_test.CrashWatch(site, b"/all/bad")
+            gateway_crash_test.CrashRecorder(site, b"/all/bad")
             site.store.stop()
             await site.get("/all/bad", "bad-1", name="n1")
             await _wait_quarantined(site, "n1", "n2", "s1")
@@ -126,7 +126,7 @@
         async with harness.Site() as site:
             await _start_desk(site, 12)
             await gateway_crash_test.start_gateways(site)
-            gateway_crash_test.CrashWatch(site, b"/one/bad")
+            gateway_crash_test.CrashRecorder(site, b"/one/bad")
             beside = [
                 asyncio.create_task(
                     _get_with_retry(site, f"/one/ok-{index}", name)
@@ -138,7 +138,7 @@
             statuses = [got.status for got in await asyncio.gather(*beside)]
             assert statuses.count(200) == len(statuses)
             for name in site.gateways:
-                assert _suspicions(site, name).quarantined_count == 0
+                assert _suspect_registry(site, name).quarantined_count == 0
 
     asyncio.run(test())
 
@@ -147,7 +147,7 @@
     async def test():
         async with harness.Site() as site:
             await gateway_crash_test.start_sharded_site(site, budget=BUDGET)
-            gateway_crash_test.CrashWatch(site, b"/none")
+            gateway_crash_test.CrashRecorder(site, b"/none")
             statuses = []
             for turn in range(6):
                 requests = [
@@ -169,7 +169,7 @@
                 await asyncio.sleep(0.5)
             assert statuses == [200] * len(statuses)
             for name in site.gateways:
-                assert _suspicions(site, name).quarantined_count == 0
+                assert _suspect_registry(site, name).quarantined_count == 0
 
     asyncio.run(test())
 
@@ -178,7 +178,7 @@
     async def test():
         async with harness.Site() as site:
             await gateway_crash_test.start_sharded_site(site)
-            watch = gateway_crash_test.CrashWatch(site, b"/all/bad")
+            watch = gateway_crash_test.CrashRecorder(site, b"/all/bad")
             await site.get("/all/bad", "bad-1", name="n1")
             await _wait_quarantined(site, "n1", "n2", "s1")
             await asyncio.sleep(gateway_crash_test.RETURN_MS / message.MS_PER_S)
@@ -186,7 +186,7 @@
                 each.behaviour.crashes_on = b""
             crashes = len(watch.crash_ms)
             # The quarantine is over at the instance that gets the request.
-            entry = next(iter(_suspicions(site, "n2")._blocked.values()))
+            entry = next(iter(_suspect_registry(site, "n2")._blocked.values()))
             entry.quarantined_until_ms = entry.probe_jitter_ms = 0.0
             got = await site.get("/all/bad", "ok-1", name="n2")
             assert got.status == 200
@@ -232,7 +232,7 @@
                     await site.add_upstream(name, f"s{shard}")
             site.configure(gateway_test.SHARDS)
             narrow, wide = await site.start_delegating_pair()
-            watch = gateway_crash_test.CrashWatch(site, b"/all/bad")
+            watch = gateway_crash_test.CrashRecorder(site, b"/all/bad")
             got = await site.get("/all/bad", "bad-1", name="narrow")
             assert got.status == 502
             await _wait_quarantined(site, "narrow", "wide")
@@ -250,14 +250,14 @@
     async def test():
         async with harness.Site() as site:
             await gateway_crash_test.start_sharded_site(site)
-            gateway_crash_test.CrashWatch(site, b"/all/bad")
+            gateway_crash_test.CrashRecorder(site, b"/all/bad")
             await site.get("/all/bad", "bad-1", name="n1")
             await _wait_quarantined(site, "n2", "s1")
-            name = next(iter(_suspicions(site, "s1")._blocked))
+            name = next(iter(_suspect_registry(site, "s1")._blocked))
             gathering = site.gateways["s1"]._gathering
             sent = []
             gathering.send = lambda _, body: sent.append(body)
-            ask = gatewaymessage.RelayRequest(
+            relay_request = gatewaymessage.RelayRequest(
                 sender_address="127.0.0.1:1",
                 ask_id=1,
                 route_name="route-0",
@@ -272,7 +272,7 @@
                 ),
                 fingerprint=name,
             )
-            gathering.accept(ask, ready=True)
+            gathering.accept(relay_request, ready=True)
             (batch,) = sent
             assert batch.outcomes[0].reason == "crashes_upstreams"
             assert not gathering.active_gathers
--- a/hyssoptack/gateway/querydelegation.py
+++ b/hyssoptack/gateway/querydelegation.py
@@ -29,11 +29,11 @@
 Send = collections.abc.Callable[[str, gatewaymessage.Message], None]
 """Sends a message to the instance at an address."""
 
-STALL_CHECK_PERIOD_S = 0.1
+LOOP_CHECK_PERIOD_S = 0.1
 """Interval at which an instance checks whether its event loop has stalled; 20
 checks cost 1 ms of processor time."""
 
-STALL_MS = 300.0
+LOOP_STALL_MS = 300.0
 """Stall of the event loop after which an instance declines queries that may
 have waited during the stall. Their senders have run those queries by then."""
 
@@ -108,7 +108,7 @@
         self.send = send
         self.run_locally = run_locally
         self.pending: dict[int, DelegatedQuery] = {}
-        self._ask_ids = correlationids.new_sequence()
+        self._correlation_ids = correlationids.new_sequence()
         self._accepted: dict[tuple[str, int], PeerExchange] = {}
         self._last_tick_ms = clock.now_ms()
         self._resumed_ms = -math.inf
@@ -136,38 +136,42 @@
                 return False
         if peer is None:
             return False
-        delegated = DelegatedQuery(self, query, peer, next(self._ask_ids))
+        delegated = DelegatedQuery(
+            self, query, peer, next(self._correlation_ids)
+        )
         delegated.start(version)
         return True
 
     # Queries received from neighbours.
 
-    async def watch_stalls(self) -> None:
+    async def watch_event_loop(self) -> None:
         """Records stalls of the event loop until cancelled."""
         while True:
             now_ms = clock.now_ms()
-            if now_ms - self._last_tick_ms >= STALL_MS:
+            if now_ms - self._last_tick_ms >= LOOP_STALL_MS:
                 self._resumed_ms = now_ms
             self._last_tick_ms = now_ms
-            await asyncio.sleep(STALL_CHECK_PERIOD_S)
+            await asyncio.sleep(LOOP_CHECK_PERIOD_S)
 
     def messages_may_be_stale(self) -> bool:
         """Returns whether received messages may date from a recent stall.
 
-        After a stall the event loop runs `watch_stalls` before it reads
+        After a stall the event loop runs `watch_event_loop` before it reads
         messages, so its last tick alone does not show the stall.
         """
         now_ms = clock.now_ms()
-        stalled = now_ms - self._last_tick_ms >= STALL_MS
+        stalled = now_ms - self._last_tick_ms >= LOOP_STALL_MS
         return stalled or now_ms - self._resumed_ms < RESUME_WINDOW_MS
 
     def accept(
-        self, ask: gatewaymessage.DelegationRequest, can_serve: bool
+        self,
+        delegation_request: gatewaymessage.DelegationRequest,
+        can_serve: bool,
     ) -> PeerExchange | None:
         """Accepts or declines a neighbour's query and reports which to it.
 
         Args:
-            ask: The neighbour's request.
+            delegation_request: The neighbour's request.
             can_serve: Whether this instance is ready and has the configuration
                 version of the sender.
 
@@ -175,42 +179,46 @@
             The exchange to answer, or None if no new query is to be started.
         """
         now_ms = clock.now_ms()
-        key = ask.sender_address, ask.ask_id
+        key = delegation_request.sender_address, delegation_request.ask_id
         already_running = key in self._accepted
         stale = self.messages_may_be_stale()
-        begun = already_running or (can_serve and not stale and ask.fresh)
+        begun = already_running or (
+            can_serve and not stale and delegation_request.fresh
+        )
         status = gatewaymessage.DelegationStatus(
-            sender_address=self.own_address, ask_id=ask.ask_id, begun=begun
+            sender_address=self.own_address,
+            ask_id=delegation_request.ask_id,
+            begun=begun,
         )
-        self.send(ask.sender_address, status)
+        self.send(delegation_request.sender_address, status)
         if already_running:
-            if not ask.fresh:
+            if not delegation_request.fresh:
                 # A sender sends a request that is not fresh only after it has
                 # received the report that the query has started.
                 self._on_commit(key)
             return None
         request = message.Request(
-            method=ask.method,
-            target=ask.target,
-            headers=ask.headers,
-            body=ask.body,
-            received_ms=now_ms - max(0.0, ask.elapsed_ms),
+            method=delegation_request.method,
+            target=delegation_request.target,
+            headers=delegation_request.headers,
+            body=delegation_request.body,
+            received_ms=now_ms - max(0.0, delegation_request.elapsed_ms),
             keep_alive=True,
         )
         log.write(
             log.Event.QUERY_TAKEN,
             request_id=headers.request_id_text(request),
-            sender_address=ask.sender_address,
-            ask_id=ask.ask_id,
-            elapsed_ms=round(ask.elapsed_ms, 1),
-            fresh=ask.fresh,
+            sender_address=delegation_request.sender_address,
+            ask_id=delegation_request.ask_id,
+            elapsed_ms=round(delegation_request.elapsed_ms, 1),
+            fresh=delegation_request.fresh,
             willing=can_serve,
             stale=stale,
             begun=begun,
         )
         if not begun:
             return None
-        route_name = ask.route_name
+        route_name = delegation_request.route_name
         exchange = PeerExchange(
             request=request,
             send_reply=lambda reply: self._send_answer(key, route_name, reply),
@@ -315,7 +323,7 @@
 
     def _send_request(self, version: int, fresh: bool) -> None:
         request = self._query.exchange.request
-        ask = gatewaymessage.DelegationRequest(
+        delegation_request = gatewaymessage.DelegationRequest(
             sender_address=self._delegator.own_address,
             ask_id=self._ask_id,
             version=version,
@@ -328,7 +336,7 @@
             away_ms=self._query.reserved_ms + self._hop_delay_ms,
             fresh=fresh,
         )
-        self._delegator.send(self._peer.address, ask)
+        self._delegator.send(self._peer.address, delegation_request)
 
     def _start_timer(
         self, wait_ms: float, function: collections.abc.Callable[[], None]
--- a/hyssoptack/gateway/querydelegation_test.py
+++ b/hyssoptack/gateway/querydelegation_test.py
@@ -150,11 +150,11 @@
         async with harness.Site() as site:
             narrow = await _start_pair(site)
             empty_share = dataclasses.replace(
-                narrow._extra_calls.share, slack_count=0.0
+                narrow._extra_call_budget.share, slack_count=0.0
             )
-            narrow._extra_calls.share = empty_share
-            narrow._extra_calls.gather_share = empty_share
-            for each in narrow._extra_calls._services.values():
+            narrow._extra_call_budget.share = empty_share
+            narrow._extra_call_budget.gather_share = empty_share
+            for each in narrow._extra_call_budget._services.values():
                 each.slack_count = 0.0
             wide = site.gateways["wide"]._peering
             deliver = wide.on_message
@@ -199,10 +199,10 @@
         None,
         None,
     )
-    delegator._last_tick_ms -= 2 * querydelegation.STALL_MS
+    delegator._last_tick_ms -= 2 * querydelegation.LOOP_STALL_MS
     assert delegator.accept(_delegation_request(), can_serve=True) is None
     assert [each.begun for each in sent] == [False]
-    delegator._last_tick_ms += 2 * querydelegation.STALL_MS
+    delegator._last_tick_ms += 2 * querydelegation.LOOP_STALL_MS
     exchange = delegator.accept(_delegation_request(), can_serve=True)
     assert exchange is not None
     assert sent[-1].begun
@@ -221,10 +221,10 @@
         None,
         None,
     )
-    delegator._last_tick_ms -= 2 * querydelegation.STALL_MS
+    delegator._last_tick_ms -= 2 * querydelegation.LOOP_STALL_MS
 
     async def run_watch():
-        watch = asyncio.create_task(delegator.watch_stalls())
+        watch = asyncio.create_task(delegator.watch_event_loop())
         await asyncio.sleep(0.01)
         watch.cancel()
 
@@ -233,7 +233,7 @@
     assert [each.begun for each in sent] == [False]
 
 
-def test_a_late_answer_is_not_shortened_by_the_reserved_time():
+def test_a_goal_that_reserved_time_puts_in_the_past_is_not_reduced():
     route = types.SimpleNamespace(latency_goal_ms=150.0)
     query = inbound.Request(
         exchange=types.SimpleNamespace(
--- a/hyssoptack/gateway/replicatedview.py
+++ b/hyssoptack/gateway/replicatedview.py
@@ -17,8 +17,8 @@
 from hyssoptack.policy import routetable
 
 REREGISTRATION_GRACE_MS = 2_000.0
-"""Time that a running upstream needs to register again after the store's
-return, as the users state; an upstream that is missing for longer is gone."""
+"""Time within which a running upstream registers again after the store's
+return (specified); an upstream that is missing for longer is gone."""
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -38,7 +38,7 @@
         evacuations: Failure domains whose upstreams must get no requests.
         store_recovered_ms: Time at which the store last returned from an
             outage.
-        keeps_lapsed_upstreams: Whether entries that lapsed in an outage are
+        keeps_expired_upstreams: Whether entries that expired in an outage are
             kept for the grace period.
     """
 
@@ -61,7 +61,7 @@
     _evacuated: frozenset[str] = dataclasses.field(
         default=frozenset(), init=False
     )
-    keeps_lapsed_upstreams: bool = True
+    keeps_expired_upstreams: bool = True
 
     @property
     def version(self) -> int:
@@ -128,7 +128,7 @@
             return
         kept = dict(listed)
         if self.remaining_grace_ms(now_ms) > 0:
-            # A missing entry may merely have lapsed in the outage. That holds
+            # A missing entry may merely have expired in the outage. That holds
             # for a neighbour's list too: the neighbour may have just started.
             kept = _unreplaced(self.upstreams, kept) | kept
         self._log_changes(kept)
@@ -188,8 +188,8 @@
         return self.apply_evacuations(source, now_ms)
 
     def remaining_grace_ms(self, now_ms: float) -> float:
-        """Returns the rest of the grace period for lapsed upstreams."""
-        if not self.keeps_lapsed_upstreams:
+        """Returns the rest of the grace period for expired upstreams."""
+        if not self.keeps_expired_upstreams:
             return 0.0
         return max(
             0.0, self.store_recovered_ms + REREGISTRATION_GRACE_MS - now_ms
@@ -198,7 +198,7 @@
     def extend_grace(self, grace_ms: float, now_ms: float) -> None:
         """Extends the grace period to a neighbour's.
 
-        The neighbour's list still holds lapsed upstreams, which may return.
+        The neighbour's list still holds expired upstreams, which may return.
         """
         if grace_ms > 0:
             back_ms = (
@@ -243,10 +243,10 @@
 def _unreplaced(
     before: dict[str, traffic.Upstream], listed: dict[str, traffic.Upstream]
 ) -> dict[str, traffic.Upstream]:
-    """Returns the upstreams that no listed restart of themselves replaces."""
-    names = {each.expected_id for each in listed.values()}
+    """Returns the upstreams whose expected id no listed upstream has."""
+    expected_ids = {each.expected_id for each in listed.values()}
     return {
         upstream_id: upstream
         for upstream_id, upstream in before.items()
-        if upstream.expected_id not in names
+        if upstream.expected_id not in expected_ids
     }
--- a/hyssoptack/gateway/requesthandler.py
+++ b/hyssoptack/gateway/requesthandler.py
@@ -56,20 +56,20 @@
         self._serve(exchange, None)
 
     def serve_delegated(
-        self, ask: gatewaymessage.DelegationRequest, ready: bool
+        self, delegation_request: gatewaymessage.DelegationRequest, ready: bool
     ) -> None:
         """Accepts or declines a query that a neighbour delegates."""
         # Under another configuration version the query could run in a way
         # that its sender's configuration does not allow.
-        can_serve = ready and ask.version == self._view.version
-        exchange = self.delegator.accept(ask, can_serve)
+        can_serve = ready and delegation_request.version == self._view.version
+        exchange = self.delegator.accept(delegation_request, can_serve)
         if exchange is not None:
-            self._serve(exchange, ask)
+            self._serve(exchange, delegation_request)
 
     def _serve(
         self,
         exchange: inbound.Exchange,
-        ask: gatewaymessage.DelegationRequest | None,
+        delegation_request: gatewaymessage.DelegationRequest | None,
     ) -> None:
         metadata = headers.read_metadata(exchange.request)
         if isinstance(metadata, str):
@@ -88,16 +88,16 @@
                 status = http.HTTPStatus.NOT_FOUND
                 self._refuse(exchange, metadata, status, match_result.value)
             case routetable.RouteMatch():
-                query = inbound.Request(
+                request = inbound.Request(
                     exchange=exchange,
                     metadata=metadata,
                     route_match=match_result,
                 )
-                if ask is None:
-                    self._serve_caller(query)
+                if delegation_request is None:
+                    self._serve_caller(request)
                 else:
                     prepared = dataclasses.replace(
-                        query, transit_margin_ms=ask.away_ms
+                        request, transit_margin_ms=delegation_request.away_ms
                     )
                     run = requestrun.RequestRun(
                         self, prepared, awaits_grant=True
@@ -105,48 +105,49 @@
                     exchange.on_commit = run.on_attempts_granted
                     run.start()
 
-    def _serve_caller(self, query: inbound.Request) -> None:
+    def _serve_caller(self, request: inbound.Request) -> None:
         timed = dataclasses.replace(
-            query, transit_margin_ms=self._caller_latency.margin_ms
+            request, transit_margin_ms=self._caller_latency.margin_ms
         )
         if self._plan_context.mechanisms.caller_time:
             spent_ms = self._caller_latency.observe_elapsed_ms(
-                query.route_match.route.name,
-                query.metadata.deadline_ms,
-                query.exchange.request.is_first,
+                request.route_match.route.name,
+                request.metadata.deadline_ms,
+                request.exchange.request.is_first,
             )
             timed = dataclasses.replace(timed, caller_spent_ms=spent_ms)
         version = self._view.version
-        suspicions = self._plan_context.suspicions
+        suspect_registry = self._plan_context.suspicions
         keep_local = self.delegator is None or (
-            suspicions.has_entries and suspicions.is_tracked(timed.fingerprint)
+            suspect_registry.has_entries
+            and suspect_registry.is_tracked(timed.fingerprint)
         )
         if keep_local or not self.delegator.try_delegate(timed, version):
             self.run_locally(timed, may_have_run=False)
 
-    def run_locally(self, query: inbound.Request, may_have_run: bool) -> None:
+    def run_locally(self, request: inbound.Request, may_have_run: bool) -> None:
         """Runs a request on this instance.
 
         Args:
-            query: The request to run.
+            request: The request to run.
             may_have_run: Whether a neighbour may have run part of the request.
         """
-        requestrun.RequestRun(self, query, may_have_run=may_have_run).start()
+        requestrun.RequestRun(self, request, may_have_run=may_have_run).start()
 
-    def can_rerun_locally(self, query: inbound.Request) -> bool:
+    def can_rerun_locally(self, request: inbound.Request) -> bool:
         """Returns whether the extra call budget allows rerunning a query here.
 
         A neighbour may have started the query, so each part counts as an extra
         call.
         """
-        services = query.route_match.services
+        services = request.route_match.services
         now_ms = clock.now_ms()
         affordable_count = sum(
             self._plan_context.extra_call_budget.can_spend(each, now_ms)
             for each in services
         )
         floor_count = callcommand.coverage_floor_count(
-            query.route_match.route, len(services)
+            request.route_match.route, len(services)
         )
         return affordable_count >= floor_count
 
--- a/hyssoptack/gateway/requestrun.py
+++ b/hyssoptack/gateway/requestrun.py
@@ -23,8 +23,8 @@
     from hyssoptack.gateway import requesthandler
 
 TIMER_LATE_MS = 3.0
-"""A timer that fires later than this was delayed by this process. Replies may
-already wait in its sockets, so they are read before the plan times out."""
+"""Lateness above which a timer was delayed by this process. Replies may already
+wait in its sockets, so they are read before the plan times out."""
 
 
 class RequestRun:
@@ -33,7 +33,7 @@
     def __init__(
         self,
         handler: "requesthandler.RequestHandler",
-        query: inbound.Request,
+        request: inbound.Request,
         *,
         may_have_run: bool = False,
         awaits_grant: bool = False,
@@ -42,15 +42,15 @@
 
         Args:
             handler: The request handler of this instance.
-            query: The request to run.
+            request: The request to run.
             may_have_run: Whether a neighbour may have run part of the request.
             awaits_grant: Whether the neighbour that delegated the request may
                 still take it back.
         """
         exchange, metadata, route_match = (
-            query.exchange,
-            query.metadata,
-            query.route_match,
+            request.exchange,
+            request.metadata,
+            request.route_match,
         )
         self._handler = handler
         self._exchange = exchange
@@ -59,11 +59,11 @@
         self._version = handler.view.version
         self._now_ms = clock.now_ms()
         received_ms = exchange.request.received_ms
-        self._spent_ms = query.caller_spent_ms
-        self._wait_ms = route_match.route.timeout_ms
+        self._spent_ms = request.caller_spent_ms
+        self._time_limit_ms = route_match.route.timeout_ms
         if metadata.deadline_ms is not None:
-            self._wait_ms = min(self._wait_ms, metadata.deadline_ms)
-        self._deadline_at_ms = received_ms + (
+            self._time_limit_ms = min(self._time_limit_ms, metadata.deadline_ms)
+        self._caller_deadline_at_ms = received_ms + (
             metadata.deadline_ms
             if metadata.deadline_ms is not None
             else route_match.route.timeout_ms
@@ -71,16 +71,16 @@
         self._plan_request = callcommand.PlanRequest(
             route=route_match.route,
             services=route_match.services,
-            goal_at_ms=query.goal_at_ms(self._now_ms),
-            deadline_at_ms=received_ms + self._wait_ms,
+            goal_at_ms=request.goal_at_ms(self._now_ms),
+            deadline_at_ms=received_ms + self._time_limit_ms,
             may_have_run=may_have_run,
             awaits_grant=awaits_grant,
-            fingerprint=query.fingerprint,
+            fingerprint=request.fingerprint,
         )
         self._plan = callplan.CallPlan(
             self._plan_request, handler.plan_context, self._now_ms
         )
-        self.fingerprint = query.fingerprint
+        self.fingerprint = request.fingerprint
         self._forwarded = headers.forwarded_request(exchange.request)
         self._calls: dict[int, pool.Call] = {}
         self._traces: dict[int, calltrace.Trace] = {}
@@ -173,7 +173,7 @@
             top_count=self._top_count,
             fingerprint=self.fingerprint,
             forwarded=self._forwarded,
-            deadline_at_ms=self._deadline_at_ms,
+            deadline_at_ms=self._caller_deadline_at_ms,
             goal_at_ms=self._plan_request.goal_at_ms,
             on_outcomes=self._on_relayed,
         )
@@ -203,7 +203,7 @@
 
     def _build_request(self, call_id: int, upstream: traffic.Upstream) -> bytes:
         self._plan.calls.mark_sent(call_id)
-        remaining_ms = self._deadline_at_ms - clock.now_ms()
+        remaining_ms = self._caller_deadline_at_ms - clock.now_ms()
         return headers.upstream_request(self._forwarded, upstream, remaining_ms)
 
     def _cancel(self, call_id: int) -> None:
@@ -385,7 +385,7 @@
             status=status,
             reason=detail,
             took_ms=round(now_ms - started_ms, 1),
-            wait_ms=self._wait_ms,
+            wait_ms=self._time_limit_ms,
             spent_ms=round(self._spent_ms, 1),
             version=self._version,
             version_age_ms=round(now_ms - self._handler.view.config_applied_ms),
--- a/hyssoptack/gateway/startup_test.py
+++ b/hyssoptack/gateway/startup_test.py
@@ -86,8 +86,8 @@
 
 
 def test_early_callers_wait_while_the_process_loads(tmp_path):
-    # After a power failure of all instances, both attempts of a caller were
-    # refused within milliseconds: 40 of 70 failures in such a run.
+    # While the port is closed, both attempts of a caller are refused within
+    # milliseconds: 40 of 70 failures after a power failure of all instances.
     port = ports.free_port()
     process = _start_gateway(tmp_path, f"127.0.0.1:{port}")
     try:
@@ -109,7 +109,8 @@
 
 
 def test_a_sighup_during_the_start_does_not_end_the_process(tmp_path):
-    # A SIGHUP during the start ended the process before its first log line.
+    # The default action of SIGHUP would end the process before its first log
+    # line.
     process = _start_gateway(tmp_path, f"127.0.0.1:{ports.free_port()}")
     try:
         limit_s = time.monotonic() + START_LIMIT_S
--- a/hyssoptack/gateway/statuspages.py
+++ b/hyssoptack/gateway/statuspages.py
@@ -35,7 +35,7 @@
         self._last_logged_ready = False
 
     def answer_readiness(self, exchange: httpserver.Exchange) -> None:
-        """Answers the load balancer's readiness check."""
+        """Answers the readiness check of the platform's balancer."""
         if exchange.request.path != headers.READINESS_PATH:
             exchange.answer(message.problem_reply(404, "unknown_path"))
             return
--- a/hyssoptack/gateway/storewatch.py
+++ b/hyssoptack/gateway/storewatch.py
@@ -31,7 +31,7 @@
 
 GRACE_MIN_LIST_AGE_MS = 2_000.0
 """List age below which no grace applies after an outage. A younger list was
-kept up to date by neighbours, or the outage was too short for entries to lapse
+kept up to date by neighbours, or the outage was too short for entries to expire
 (three heartbeats of 1.2 s), so an upstream that is missing from the next list
 has left."""
 
@@ -47,7 +47,7 @@
 RENEWALS_PER_LEASE_COUNT = 3
 """Number of renewals in one lease period, so that two may fail."""
 
-FIRST_INSTANCE_READS_MS = (20.0, 500.0, 1_500.0)
+FIRST_INSTANCE_READ_PAUSES_MS = (20.0, 500.0, 1_500.0)
 """Pauses before the first reads of the list of instances. The first read finds
 instances that ran before an outage, whose leases outlast it. By the second,
 most of the instances that start at the same time have registered (0.6 s apart
@@ -88,13 +88,14 @@
         self._peers = peers
         self._on_instances = on_instances
         self._on_stored = on_stored
-        self._readers = peers.reader_election
+        self._reader_election = peers.reader_election
         self._random = random.Random()
         self._store_lost_ms: float | None = None
-        # The first read may return slightly stale data: when all instances
-        # start at once, exact reads of several pages each would be a third of
-        # a day's calls.
-        self._read_count = 1
+        # Reads are exact at regular numbers, beginning with 0. The first read
+        # has number 1, so it may be slightly stale: when all instances start
+        # at once, exact reads of several pages each would be a third of a
+        # day's calls to the store.
+        self._next_read_number = 1
         self._lease_ms = max(settings.lease_ms, settings.lease_min_ms)
         self._unreadable: dict[str, str] = {}
         self._ignored: set[str] = set()
@@ -107,20 +108,21 @@
         while True:
             await self._wait_until_reader()
             exact = (
-                self._read_count % readerelection.READS_PER_EXACT_READ_COUNT
+                self._next_read_number
+                % readerelection.READS_PER_EXACT_READ_COUNT
                 == 0
             )
-            self._read_count += 1
+            self._next_read_number += 1
             asked_ms = clock.now_ms()
             result = await self._store.read_range(
                 storeformat.UPSTREAM_PREFIX,
                 allow_stale=not exact,
-                timeout_ms=self._readers.read_timings.list_timeout_ms,
+                timeout_ms=self._reader_election.read_timings.list_timeout_ms,
             )
             match result:
                 case expression.Result(tag="ok", ok=listing):
                     failure_count = 0
-                    self._readers.record_read(asked_ms, exact)
+                    self._reader_election.record_read(asked_ms, exact)
                     self._record_store_recovered()
                     self._apply_list(listing)
                     self._view.apply_evacuations("time", clock.now_ms())
@@ -128,8 +130,8 @@
                     await self._pause(self._list_pause_ms(clock.now_ms()))
                 case expression.Result(error=failure):
                     failure_count += 1
-                    self._read_count = 0
-                    self._readers.record_read_failure()
+                    self._next_read_number = 0
+                    self._reader_election.record_read_failure()
                     self._record_store_lost(failure)
                     await self._pause(RETRY.wait_ms(failure_count))
 
@@ -140,15 +142,15 @@
         """
         grace_ms = self._view.remaining_grace_ms(now_ms)
         if not grace_ms:
-            return self._readers.read_timings.list_period_ms
+            return self._reader_election.read_timings.list_period_ms
         # The next read must be exact.
-        self._read_count = 0
-        period_ms = self._readers.read_timings.list_period_ms
+        self._next_read_number = 0
+        period_ms = self._reader_election.read_timings.list_period_ms
         return min(period_ms, grace_ms + GRACE_SLACK_MS)
 
     async def _wait_until_reader(self) -> None:
-        while wait_ms := self._readers.read_delay_ms(clock.now_ms()):
-            self._read_count = 0
+        while wait_ms := self._reader_election.read_delay_ms(clock.now_ms()):
+            self._next_read_number = 0
             await asyncio.sleep(wait_ms / message.MS_PER_S)
 
     def _apply_list(self, listing: keyvalue.Listing) -> None:
@@ -160,7 +162,7 @@
                     cold_ms = min(max(0.0, upstream.cold_ms), COLD_MAX_MS)
                     if cold_ms != upstream.cold_ms:
                         unreadable[item.key] = (
-                            f"warm-up of {upstream.cold_ms} ms"
+                            f"warm-up of {upstream.cold_ms} ms is out of range"
                         )
                         upstream = dataclasses.replace(
                             upstream, cold_ms=cold_ms
@@ -172,7 +174,7 @@
         self._view.apply_list(listed, listing.store_revision, clock.now_ms())
 
     def _log_unreadable(self, unreadable: dict[str, str]) -> None:
-        """Logs unusable entries, once for each key and reason."""
+        """Logs skipped or corrected entries, once for each key and reason."""
         for key, reason in unreadable.items():
             if self._unreadable.get(key) != reason:
                 log.write(
@@ -186,14 +188,14 @@
     # The configuration.
 
     async def watch_configuration(self) -> None:
-        """Follows the configuration while this instance is a reader."""
+        """Watches the stored configuration while this instance is a reader."""
         failure_count = 0
         revision: int | None = None
         # The first read may be stale, at a tenth of the cost: the watch from
         # its revision, or a neighbour's notice, brings newer changes.
         stale = True
         while True:
-            if self._view.version and self._readers.read_delay_ms(
+            if self._view.version and self._reader_election.read_delay_ms(
                 clock.now_ms()
             ):
                 await self._wait_until_reader()
@@ -202,7 +204,7 @@
                 result = await self._read_configuration(stale)
                 stale = False
             else:
-                result = await self._watch_configuration(revision)
+                result = await self._wait_for_configuration_change(revision)
             match result:
                 case expression.Result(tag="ok", ok=reached):
                     failure_count = 0
@@ -225,13 +227,13 @@
         )
         return result.map(self._apply_operator_keys)
 
-    async def _watch_configuration(
+    async def _wait_for_configuration_change(
         self, revision: int
     ) -> expression.Result[int, keyvalue.Failure]:
         result = await self._store.watch(
             storeformat.OPERATOR_PREFIX,
             revision,
-            self._readers.read_timings.watch_ms,
+            self._reader_election.read_timings.watch_ms,
         )
         return result.map(self._apply_operator_changes)
 
@@ -369,7 +371,8 @@
     async def poll_instances(self) -> None:
         """Reads the list of instances while this instance is a reader."""
         pauses_ms = itertools.chain(
-            FIRST_INSTANCE_READS_MS, itertools.repeat(INSTANCE_READ_PERIOD_MS)
+            FIRST_INSTANCE_READ_PAUSES_MS,
+            itertools.repeat(INSTANCE_READ_PERIOD_MS),
         )
         for pause_ms in pauses_ms:
             await self._pause(pause_ms)
@@ -400,7 +403,7 @@
         neighbours = tuple(
             each for each in peers if each.failure_domain == domain
         )
-        self._readers.install(neighbours, len(peers))
+        self._reader_election.install(neighbours, len(peers))
         far_gatherers = gatherers.select_gatherers(peers, domain)
         self._on_instances(far_gatherers)
         self._peers.publish_instances(neighbours, len(peers), far_gatherers)
--- a/hyssoptack/gateway/storewatch_test.py
+++ b/hyssoptack/gateway/storewatch_test.py
@@ -54,9 +54,9 @@
 
 
 def test_a_list_that_neighbours_kept_fresh_gets_no_grace():
-    # The store refused one instance for 9 s. After its return, the instance
-    # kept 16 upstreams that had left meanwhile for 3 s more, and published
-    # them to its neighbours.
+    # Neighbours kept the list up to date while this instance could not reach
+    # the store. With a grace period it would keep upstreams that have left (16
+    # for 3 s, after 9 s without the store) and publish them.
     watcher, view = store_watcher(list_age_ms=900.0)
     watcher._record_store_recovered()
     view.apply_list({}, 2, clock.now_ms())
@@ -66,7 +66,11 @@
 def receive_view(watcher, view, upstreams, grace_ms=0.0, list_age_ms=0.0):
     """Delivers a neighbour's whole list of upstreams to an instance."""
     peers = peering.Peering(
-        watcher._settings, view, watcher._readers, lambda: None, lambda: None
+        watcher._settings,
+        view,
+        watcher._reader_election,
+        lambda: None,
+        lambda: None,
     )
     history = listdelta.ListHistory()
     history.add(upstreams)
@@ -84,9 +88,9 @@
 
 
 def test_a_neighbours_notice_does_not_make_an_old_list_fresh():
-    # A neighbour that could read the configuration again published it with a
-    # list that was 7 s old. The instance's own read 10 ms later treated that
-    # list as fresh, and dropped 105 upstreams that had lapsed.
+    # A notice about the configuration carries the sender's old list (7 s). If
+    # that list counted as fresh, the own read 10 ms later would start no grace
+    # period and drop all expired upstreams (105).
     watcher, view = store_watcher(list_age_ms=9_000.0)
     receive_view(watcher, view, view.upstreams, list_age_ms=7_000.0)
     watcher._record_store_recovered()
@@ -95,9 +99,9 @@
 
 
 def test_a_neighbours_grace_applies_to_the_next_own_read():
-    # The first instance to read after an outage kept the lapsed upstreams and
-    # published them. A neighbour that read 10 ms later treated that list as
-    # fresh, dropped 121 upstreams and published their removal.
+    # A reader keeps expired upstreams after an outage and publishes them. If a
+    # neighbour took this list for fresh, its own read 10 ms later would drop
+    # them (121) and publish their removal.
     watcher, view = store_watcher(list_age_ms=5_000.0)
     receive_view(
         watcher,
@@ -115,14 +119,14 @@
 
 
 def test_a_new_instances_list_removes_nothing_within_the_grace():
-    # A reader that started during the outage never saw the lapsed upstreams.
+    # A reader that started during the outage never saw the expired upstreams.
     watcher, view = store_watcher(list_age_ms=9_000.0)
     watcher._record_store_recovered()
     receive_view(watcher, view, {"b": callplan_test.upstream("b")})
     assert set(view.upstreams) == {"a", "b"}
 
 
-def test_entries_that_lapsed_in_an_outage_are_kept_for_a_while():
+def test_entries_that_expired_in_an_outage_are_kept_for_a_while():
     watcher, view = store_watcher(list_age_ms=9_000.0)
     watcher._record_store_recovered()
     view.apply_list({}, 2, clock.now_ms())
@@ -160,7 +164,7 @@
     watcher, _ = store_watcher(list_age_ms=0.0)
     watcher._store = _Store(4)
     watcher._peers.publish_view = lambda: None
-    watcher._readers.read_timings = readerelection.read_timings(0.0)
+    watcher._reader_election.read_timings = readerelection.read_timings(0.0)
     with contextlib.suppress(asyncio.CancelledError):
         asyncio.run(watcher.poll_upstreams())
     assert watcher._store.stale == [True, False, True, False]
