--- a/hyssoptack/gateway/quarantinesync.py
+++ b/hyssoptack/gateway/quarantinesync.py
@@ -39,11 +39,10 @@
 many: 997 of 1,000 instances get them so within some tens of milliseconds."""
 
 NEW_RECORDS_COUNT = 6
-"""Maximum number of new records in one message. At `MAX_BYTES_PER_S`,
-sending them to six instances takes a second, so that the next new record is
-sent in time. Requests that crash
-upstreams are few; if a caller fabricates many of them, sharing their records is
-of no use."""
+"""Maximum number of new records in one message. At `MAX_BYTES_PER_S`, sending
+them to six instances takes about a second, so that the next new record is sent
+in time. Requests that crash upstreams are few; if a caller fabricates many of
+them, sharing their records is of no use."""
 
 SAMPLE_COUNT = 16
 """Maximum number of records that a round sends again."""
--- a/hyssoptack/gateway/storewatch.py
+++ b/hyssoptack/gateway/storewatch.py
@@ -91,10 +91,10 @@
         self._reader_election = peers.reader_election
         self._random = random.Random()
         self._store_lost_ms: float | None = None
-        # Reads are exact at regular numbers, beginning with 0. The first read
-        # has number 1, so it may be slightly stale: when all instances start
-        # at once, exact reads of several pages each would be a third of a
-        # day's calls to the store.
+        # Reads whose number is a multiple of `READS_PER_EXACT_READ_COUNT` are
+        # exact. The first read has number 1, so it may be slightly stale: when
+        # all instances start at once, exact reads of several pages each would
+        # be a third of a day's calls to the store.
         self._next_read_number = 1
         self._lease_ms = max(settings.lease_ms, settings.lease_min_ms)
         self._unreadable: dict[str, str] = {}
