--- a/hyssoptack/gateway/gateway_crash_test.py
+++ b/hyssoptack/gateway/gateway_crash_test.py
@@ -148,13 +148,13 @@
     async def test():
         async with harness.Site() as site:
             await start_sharded_site(site)
-            watch = CrashRecorder(site, b"/all/bad")
+            recorder = CrashRecorder(site, b"/all/bad")
             repeats, statuses = await asyncio.gather(
                 send_repeatedly(site, "/all/bad", 8.0, 0.25, "bad"),
                 _send_other_queries(site, 8.0),
             )
-            assert len(watch.crash_ms) >= CRASH_LIMIT_COUNT
-            assert watch.late_count("bad") == 0
+            assert len(recorder.crash_ms) >= CRASH_LIMIT_COUNT
+            assert recorder.late_count("bad") == 0
             for got, took_ms in repeats[-16:]:
                 assert got.status == 502
                 assert "retry-after" not in got.headers
@@ -175,13 +175,13 @@
             site.configure(gateway_test.SINGLE, gateway_test.ONCE)
             await start_gateways(site)
             for path, method in (("/one/bad", "GET"), ("/once/bad", "POST")):
-                watch = CrashRecorder(site, path.encode())
+                recorder = CrashRecorder(site, path.encode())
                 body = b"book" if method == "POST" else b""
                 repeats = await send_repeatedly(
                     site, path, 6.0, 0.2, method, method=method, body=body
                 )
-                assert len(watch.crash_ms) >= CRASH_LIMIT_COUNT
-                assert watch.late_count(method) == 0
+                assert len(recorder.crash_ms) >= CRASH_LIMIT_COUNT
+                assert recorder.late_count(method) == 0
                 assert {got.status for got, _ in repeats[-10:]} == {502}
                 assert all(took < REFUSED_MS for _, took in repeats[-10:])
                 await asyncio.sleep(RETURN_MS / message.MS_PER_S)
@@ -193,17 +193,19 @@
     async def test():
         async with harness.Site() as site:
             await start_sharded_site(site)
-            watch = CrashRecorder(site, b"/all/bad")
+            recorder = CrashRecorder(site, b"/all/bad")
             await send_repeatedly(site, "/all/bad", 3.0, 0.25, "bad")
             await site.start("n3")
             # By then, all upstreams have restarted.
             await asyncio.sleep(RETURN_MS / message.MS_PER_S)
-            before = len(watch.crash_ms)
+            before = len(recorder.crash_ms)
             got, _ = await _get_timed(site, "/all/bad", "new-1", "n3")
             assert got.status == 502
-            assert len(watch.crash_ms) == before
+            assert len(recorder.crash_ms) == before
             assert not [
-                each for each in watch.runs if each.request_id.startswith("new")
+                each
+                for each in recorder.runs
+                if each.request_id.startswith("new")
             ]
 
     asyncio.run(test())
--- a/hyssoptack/gateway/quarantinestore_test.py
+++ b/hyssoptack/gateway/quarantinestore_test.py
@@ -29,17 +29,17 @@
 async def _quarantine_one(site):
     """Sets up a site on which one request is quarantined and stored."""
     await gateway_crash_test.start_sharded_site(site)
-    watch = gateway_crash_test.CrashRecorder(site, b"/all/bad")
+    recorder = gateway_crash_test.CrashRecorder(site, b"/all/bad")
     await site.get("/all/bad", "bad-1", name="n1")
     await quarantinesync_test._wait_quarantined(site, "n1", "n2", "s1")
     await _wait_until(lambda: _stored_keys(site))
-    return watch
+    return recorder
 
 
 def test_a_quarantine_survives_the_restart_of_all_instances():
     async def test():
         async with harness.Site() as site:
-            watch = await _quarantine_one(site)
+            recorder = await _quarantine_one(site)
             for name in tuple(site.gateways):
                 site.kill(name)
             await asyncio.sleep(0.2)
@@ -47,11 +47,11 @@
             await site.start("n4")
             await site.start("s4", failure_domain="south")
             await quarantinesync_test._wait_quarantined(site, "n4", "s4")
-            count = len(watch.runs)
+            count = len(recorder.runs)
             for name in site.gateways:
                 got = await site.get("/all/bad", f"bad-{name}", name=name)
                 assert got.status == 502
-            assert len(watch.runs) == count
+            assert len(recorder.runs) == count
 
     asyncio.run(test())
 
--- a/hyssoptack/gateway/quarantinesync_test.py
+++ b/hyssoptack/gateway/quarantinesync_test.py
@@ -93,16 +93,16 @@
     async def test():
         async with harness.Site() as site:
             await gateway_crash_test.start_sharded_site(site)
-            watch = gateway_crash_test.CrashRecorder(site, b"/all/bad")
+            recorder = gateway_crash_test.CrashRecorder(site, b"/all/bad")
             heal = _partition(site, "s1")
             await site.get("/all/bad", "bad-1", name="s1")
             await _wait_quarantined(site, "s1")
-            alone_count = len(watch.crash_ms)
+            alone_count = len(recorder.crash_ms)
             heal()
             await _wait_quarantined(site, "n1", "n2")
             got = await site.get("/all/bad", "bad-2", name="n1")
             assert got.status == 502
-            assert len(watch.crash_ms) == alone_count
+            assert len(recorder.crash_ms) == alone_count
 
     asyncio.run(test())
 
@@ -178,13 +178,13 @@
     async def test():
         async with harness.Site() as site:
             await gateway_crash_test.start_sharded_site(site)
-            watch = gateway_crash_test.CrashRecorder(site, b"/all/bad")
+            recorder = gateway_crash_test.CrashRecorder(site, b"/all/bad")
             await site.get("/all/bad", "bad-1", name="n1")
             await _wait_quarantined(site, "n1", "n2", "s1")
             await asyncio.sleep(gateway_crash_test.RETURN_MS / message.MS_PER_S)
             for each in site.services.values():
                 each.behaviour.crashes_on = b""
-            crashes = len(watch.crash_ms)
+            crashes = len(recorder.crash_ms)
             # The quarantine is over at the instance that gets the request.
             entry = next(iter(_suspect_registry(site, "n2")._blocked.values()))
             entry.quarantined_until_ms = entry.probe_jitter_ms = 0.0
@@ -194,7 +194,7 @@
             for name in site.gateways:
                 got = await site.get("/all/bad", f"ok-{name}", name=name)
                 assert got.status == 200
-            assert len(watch.crash_ms) == crashes
+            assert len(recorder.crash_ms) == crashes
 
     asyncio.run(test())
 
@@ -232,16 +232,16 @@
                     await site.add_upstream(name, f"s{shard}")
             site.configure(gateway_test.SHARDS)
             narrow, wide = await site.start_delegating_pair()
-            watch = gateway_crash_test.CrashRecorder(site, b"/all/bad")
+            recorder = gateway_crash_test.CrashRecorder(site, b"/all/bad")
             got = await site.get("/all/bad", "bad-1", name="narrow")
             assert got.status == 502
             await _wait_quarantined(site, "narrow", "wide")
-            count = len(watch.runs)
+            count = len(recorder.runs)
             narrow._delegating.try_delegate = None
             for name in site.gateways:
                 got = await site.get("/all/bad", f"bad-{name}", name=name)
                 assert got.status == 502
-            assert len(watch.runs) == count
+            assert len(recorder.runs) == count
 
     asyncio.run(test())
 
