--- a/bench/slopes/gossip.py
+++ b/bench/slopes/gossip.py
@@ -103,7 +103,7 @@
                 case message.ConfigOffer():
                     self.gossip.on_config_offer(body)
 
-    def _on_config(self, taken: configuration.InForce) -> None:
+    def _on_config(self, taken: configuration.NewConfiguration) -> None:
         self.revised_ms[taken.manifest.revision] = clock.now_ms()
         self.gossip.send_heartbeat()
 
@@ -120,7 +120,7 @@
             parts={"profiles": digest},
         )
         taken = self.config.merge_offer(
-            configuration.manifest_text(manifest), {digest: text}
+            configuration.encode_manifest(manifest), {digest: text}
         )
         self._on_config(taken)
 
--- a/bench/slopes/memory.py
+++ b/bench/slopes/memory.py
@@ -16,7 +16,7 @@
 
 def _upstreams(count: int) -> object:
     service = example.service(count // 3, 3)
-    knowledge = example.knowledge(service)
+    knowledge = example.planning_context(service)
     for upstream_id in service.upstreams:
         knowledge.upstream_health.upstreams[upstream_id].held_versions = (1, 2)
         knowledge.router.paths(service, upstream_id)
@@ -39,7 +39,7 @@
 
 def _queries(count: int) -> object:
     service = example.service(370, 3)
-    knowledge = example.knowledge(service)
+    knowledge = example.planning_context(service)
     plans = []
     for number in range(count):
         plan = queryplan.QueryPlan(
--- a/bench/slopes/part.py
+++ b/bench/slopes/part.py
@@ -77,7 +77,7 @@
 
     started_s = time.process_time()
     for upstream in listed:
-        job = pool.Job(
+        job = pool.CallRequest(
             upstream=upstream,
             build_request=lambda: REQUEST,
             request_id=b"9c41d07be2a35f68",
--- a/bench/slopes/plan.py
+++ b/bench/slopes/plan.py
@@ -39,7 +39,7 @@
     rows, cpus = [], []
     for size in SIZES:
         current = example.service(size, 3)
-        knowledge = example.knowledge(current)
+        knowledge = example.planning_context(current)
         _one_query(current, knowledge, 0)
         gc.collect()
         # The median, because the speed of the machine varies.
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -76,7 +76,7 @@
 
     def __init__(self, trace: Trace, hedges: hedging.HedgePolicy):
         self._service = example.service(len(trace.upstream_ms) // 3, 3)
-        self._knowledge = example.knowledge(self._service, hedges)
+        self._knowledge = example.planning_context(self._service, hedges)
         self._times = {
             upstream_id: itertools.cycle(times)
             for upstream_id, times in zip(
--- a/hyssoptack/entry/actionexecutor.py
+++ b/hyssoptack/entry/actionexecutor.py
@@ -105,7 +105,7 @@
         """Returns the number of attempts and claim updates still running."""
         return len(self._tasks)
 
-    def on_ask(self, ask: message.ActionAsk) -> None:
+    def on_action_ask(self, ask: message.ActionAsk) -> None:
         """Executes an action for a peer and sends the outcome to it."""
         self._start(self._execute_and_reply(ask))
 
--- a/hyssoptack/entry/daemon.py
+++ b/hyssoptack/entry/daemon.py
@@ -222,7 +222,9 @@
         await self._client.close()
         self._threads.shutdown(wait=False, cancel_futures=True)
 
-    def _on_config(self, new_configuration: configuration.InForce) -> None:
+    def _on_config(
+        self, new_configuration: configuration.NewConfiguration
+    ) -> None:
         now_ms = clock.now_ms()
         self._state.apply_catalog(new_configuration.catalog, now_ms)
         self._state.refresh(self._relay, now_ms)
@@ -279,7 +281,7 @@
             case message.Cancel():
                 self._relay.cancel(body)
             case message.ActionAsk():
-                self._executor.on_ask(body)
+                self._executor.on_action_ask(body)
             case message.ActionReply():
                 self._action_coordinator.on_reply(body)
             case _:
--- a/hyssoptack/entry/state.py
+++ b/hyssoptack/entry/state.py
@@ -80,7 +80,7 @@
         self.plan_context = queryplan.QueryPlanContext(
             router=self.router,
             upstream_health=self.upstream_health,
-            retry_budgets=self.retry_budgets,
+            extra_call_budgets=self.retry_budgets,
             hedge_policy=hedge_policy,
             current_service=lambda name: self.catalog.services.get(name),
         )
@@ -230,7 +230,7 @@
         if self._view is not None and _views_equal(view, self._view):
             return
         self._view = view
-        self.router.install(view)
+        self.router.set_view(view)
         self._owned = self._compute_owned_upstreams(view)
         log.write(
             log.Event.VIEW_CHANGED,
--- a/hyssoptack/gateway/budgetshare.py
+++ b/hyssoptack/gateway/budgetshare.py
@@ -81,10 +81,10 @@
     equal_share = even_share(
         settings.budget, reader_election.peak_instance_count
     )
-    budget.share = budget.gather_share = equal_share
+    budget.share = budget.shard_share = equal_share
     own_mbps = derivedsettings.delegation_link_mbps(settings)
     if own_mbps and reader_election.peak_neighbour_mbps:
-        budget.gather_share = gather_share(
+        budget.shard_share = gather_share(
             settings.budget,
             reader_election.peak_instance_count,
             len(settings.failure_domains),
--- a/hyssoptack/gateway/callrelay.py
+++ b/hyssoptack/gateway/callrelay.py
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Query:
+class RelayedQuery:
     """The query that relayed calls belong to.
 
     Attributes:
@@ -90,7 +90,7 @@
     def relay(
         self,
         peer: member.Peer,
-        query: Query,
+        query: RelayedQuery,
         calls: collections.abc.Sequence[callcommand.Send],
     ) -> "PendingRelay":
         """Sends calls of a query to a gatherer."""
@@ -124,7 +124,11 @@
     """Calls of one query that were relayed to one gatherer."""
 
     def __init__(
-        self, relay: CallRelay, peer: member.Peer, query: Query, ask_id: int
+        self,
+        relay: CallRelay,
+        peer: member.Peer,
+        query: RelayedQuery,
+        ask_id: int,
     ):
         self.peer = peer
         self._relay = relay
--- a/hyssoptack/gateway/callrelay_test.py
+++ b/hyssoptack/gateway/callrelay_test.py
@@ -26,13 +26,13 @@
     north = await site.start("north")
     await site.start("south", failure_domain="south")
     async with asyncio.timeout(WAIT_S):
-        while north._relaying.selector.choose("south", 0.0) is None:
+        while north._call_relay.selector.choose("south", 0.0) is None:
             await asyncio.sleep(0.05)
     return north
 
 
 def _runs(site, request_id):
-    return [s.run_counts[request_id] for s in site.services.values()]
+    return [s.run_counts[request_id] for s in site.upstreams.values()]
 
 
 def test_calls_to_another_domain_are_relayed_to_its_gatherer():
@@ -49,8 +49,8 @@
             assert response.body[:16] == bytes([200]) * 16
             assert _runs(site, b"r1") == [1] * SHARD_COUNT
             assert north._pools.opened_count == opened
-            assert not north._relaying.pending
-            assert not site.gateways["south"]._gathering.active_gathers
+            assert not north._call_relay.pending
+            assert not site.gateways["south"]._gatherer_service.active_gathers
 
     asyncio.run(test())
 
@@ -78,12 +78,12 @@
             response = await site.get("/all/x", "r1", name="north")
             assert response.status == 200
             shard_runs = [
-                site.services[f"i-{index}"].run_counts[b"r1"]
-                + site.services[f"w-{index}"].run_counts[b"r1"]
+                site.upstreams[f"i-{index}"].run_counts[b"r1"]
+                + site.upstreams[f"w-{index}"].run_counts[b"r1"]
                 for index in range(SHARD_COUNT)
             ]
             assert max(shard_runs) <= 2
-            assert not north._relaying.pending
+            assert not north._call_relay.pending
 
     asyncio.run(test())
 
@@ -96,7 +96,7 @@
             response = await site.get("/all/x", "r1", name="north")
             assert response.status == 200
             assert _runs(site, b"r1") == [1] * SHARD_COUNT
-            assert north._relaying.selector.choose("south", 0.0) is None
+            assert north._call_relay.selector.choose("south", 0.0) is None
 
     asyncio.run(test())
 
@@ -106,7 +106,7 @@
         async with harness.Site() as site:
             await _start_north_and_south(site)
             south = site.gateways["south"]
-            south._delegating._last_tick_ms -= 1_000.0
+            south._delegator._last_tick_ms -= 1_000.0
             response = await site.get("/all/x", "r1", name="north")
             assert response.status == 200
             assert _runs(site, b"r1") == [1] * SHARD_COUNT
@@ -125,7 +125,7 @@
             response = await site.get("/all/x", "r1", name="north")
             assert response.status == 200
             runs = [
-                site.services[f"i-{index}"].run_counts[b"r1"]
+                site.upstreams[f"i-{index}"].run_counts[b"r1"]
                 for index in range(SHARD_COUNT)
             ]
             assert not any(runs)
@@ -137,21 +137,21 @@
     async def test():
         async with harness.Site() as site:
             await _start_north_and_south(site)
-            for each in site.services.values():
+            for each in site.upstreams.values():
                 each.behaviour.never = True
             address = site.settings["north"].callers_address
             host, _, port = address.rpartition(":")
             _, writer = await asyncio.open_connection(host, int(port))
             writer.write(harness.request_bytes("/all/x", "r1"))
             await asyncio.sleep(0.1)
-            assert site.gateways["south"]._gathering.active_gathers
+            assert site.gateways["south"]._gatherer_service.active_gathers
             writer.close()
             async with asyncio.timeout(0.5):
                 while any(
-                    not s.cancelled_count for s in site.services.values()
+                    not s.cancelled_count for s in site.upstreams.values()
                 ):
                     await asyncio.sleep(0.02)
-            assert not site.gateways["south"]._gathering.active_gathers
+            assert not site.gateways["south"]._gatherer_service.active_gathers
 
     asyncio.run(test())
 
@@ -161,7 +161,7 @@
         async with harness.Site() as site:
             await _start_north_and_south(site, with_west=True)
             for index in range(SHARD_COUNT):
-                site.services[f"i-{index}"].behaviour.delay_ms = 700.0
+                site.upstreams[f"i-{index}"].behaviour.delay_ms = 700.0
             pending = asyncio.create_task(
                 site.get("/all/x", "r1", name="north")
             )
@@ -184,14 +184,14 @@
             batch = gatewaymessage.RelayBatch(
                 sender_address="127.0.0.1:1", ask_id=1, outcomes=(outcome,)
             )
-            for each in site.services.values():
+            for each in site.upstreams.values():
                 each.behaviour.delay_ms = 150.0
             pending = asyncio.create_task(
                 site.get("/all/x", "r1", name="north")
             )
             await asyncio.sleep(0.05)
-            north._relaying.on_batch(batch)
-            north._relaying.on_batch(batch)
+            north._call_relay.on_batch(batch)
+            north._call_relay.on_batch(batch)
             response = await pending
             assert response.status == 200
             assert b"forged" not in response.headers["x-part-stamps"].encode()
@@ -211,7 +211,7 @@
                 while sum(_runs(site, b"r1")) < SHARD_COUNT:
                     await asyncio.sleep(0.02)
             pending.cancel()
-            assert not north._relaying.pending
-            assert not site.gateways["south"]._gathering.active_gathers
+            assert not north._call_relay.pending
+            assert not site.gateways["south"]._gatherer_service.active_gathers
 
     asyncio.run(test())
--- a/hyssoptack/gateway/calltrace.py
+++ b/hyssoptack/gateway/calltrace.py
@@ -17,7 +17,8 @@
         upstream_id: The upstream called.
         service: The service of the upstream.
         sent_ms: Time at which the call was sent.
-        extra: Reason of an extra call; empty for the first call of a part.
+        extra_reason: Reason of an extra call; empty for the first call of a
+            part.
         gatherer_id: The instance that makes the call; empty if it is this one.
         outcome: Outcome of the call, or `OPEN` until it ends.
         took_ms: Duration of the call.
@@ -26,7 +27,7 @@
     upstream_id: str
     service: str
     sent_ms: float
-    extra: str
+    extra_reason: str
     gatherer_id: str = ""
     outcome: str = OPEN
     took_ms: float = 0.0
@@ -34,7 +35,7 @@
     def describe(self, started_ms: float) -> str:
         """Returns `upstream[@gatherer] reason +start duration outcome`."""
         after_ms = self.sent_ms - started_ms
-        reason = self.extra or "first"
+        reason = self.extra_reason or "first"
         gatherer = f"@{self.gatherer_id}" if self.gatherer_id else ""
         return (
             f"{self.upstream_id}{gatherer} {reason} +{after_ms:.0f} "
--- a/hyssoptack/gateway/daemon.py
+++ b/hyssoptack/gateway/daemon.py
@@ -96,11 +96,11 @@
             settings.warmup,
             clock.now_ms(),
         )
-        self._placing = loadbalancer.LoadBalancer(
+        self._load_balancer = loadbalancer.LoadBalancer(
             derivedsettings.load_balancer_settings(settings), self._warmups
         )
         self.view = replicatedview.ReplicatedView(
-            load_balancer=self._placing,
+            load_balancer=self._load_balancer,
             pools=self._pools,
             on_configuration=self._on_configuration,
             keeps_expired_upstreams=settings.mechanisms.grace,
@@ -121,14 +121,14 @@
             settings.trusted_fingerprints, clock.now_ms()
         )
         self._metrics = metrics.Metrics()
-        self._serving = requesthandler.RequestHandler(
+        self._request_handler = requesthandler.RequestHandler(
             self.view,
             self._plan_context(),
             settings.failure_domain,
             self._metrics,
         )
         self._caller_server = httpserver.Server(
-            handler=self._serving.handle,
+            handler=self._request_handler.handle,
             on_refused=requesthandler.log_unreadable_request,
         )
         status_pages = statuspages.StatusPages(
@@ -150,38 +150,38 @@
             self._on_instances,
             self._partition_detector.on_neighbour_suspicion,
         )
-        self._delegating = querydelegation.Delegator(
+        self._delegator = querydelegation.Delegator(
             delegation.DelegateSelector(
                 derivedsettings.delegation_link_mbps(settings), random.Random()
             ),
             settings.peer_address,
             self._peering.send,
-            self._serving.run_locally,
-            self._serving.can_rerun_locally,
+            self._request_handler.run_locally,
+            self._request_handler.can_rerun_locally,
         )
-        self._serving.delegator = self._delegating
-        self._relaying = callrelay.CallRelay(
+        self._request_handler.delegator = self._delegator
+        self._call_relay = callrelay.CallRelay(
             gatherers.GathererSelector(random.Random()),
             settings.peer_address,
             self._peering.send,
             settings.mechanisms.relaying,
         )
-        self._serving.call_relay = self._relaying
-        self._gathering = gathererservice.GathererService(
+        self._request_handler.call_relay = self._call_relay
+        self._gatherer_service = gathererservice.GathererService(
             self.view,
             settings.peer_address,
             self._peering.send,
-            self._serving.connection_limit_count,
-            self._delegating.messages_may_be_stale,
+            self._request_handler.connection_limit_count,
+            self._delegator.messages_may_be_stale,
             self._suspect_registry,
         )
         self._quarantine_sync = quarantinesync.QuarantineSync(
             self._suspect_registry,
             derivedsettings.own_peer(settings),
             self.reader_election.neighbours,
-            self._relaying.selector.peers,
+            self._call_relay.selector.peers,
             self._peering.send,
-            self._serving.on_quarantined,
+            self._request_handler.on_quarantined,
             self._metrics,
         )
         self._quarantine_store = quarantinestore.QuarantineStore(
@@ -203,47 +203,47 @@
 
     def _plan_context(self) -> plancontext.PlanContext:
         return plancontext.PlanContext(
-            load_balancer=self._placing,
+            load_balancer=self._load_balancer,
             extra_call_budget=self._extra_call_budget,
             partition_detector=self._partition_detector,
             mechanisms=self._settings.mechanisms,
-            suspicions=self._suspect_registry,
+            suspect_registry=self._suspect_registry,
         )
 
     def _on_peer_message(self, peer_message: gatewaymessage.Message) -> None:
         ready = self.view.is_complete and not self._stop_requested.is_set()
         match peer_message:
             case gatewaymessage.DelegationRequest():
-                self._serving.serve_delegated(peer_message, ready)
+                self._request_handler.serve_delegated(peer_message, ready)
             case gatewaymessage.RelayRequest():
-                self._gathering.accept(peer_message, ready)
+                self._gatherer_service.accept(peer_message, ready)
             case gatewaymessage.RelayBatch():
-                self._relaying.on_batch(peer_message)
+                self._call_relay.on_batch(peer_message)
             case gatewaymessage.RelayCancel():
-                self._gathering.on_cancel(peer_message)
+                self._gatherer_service.on_cancel(peer_message)
             case (
                 gatewaymessage.SuspectsNotice()
                 | gatewaymessage.SuspectsRequest()
             ):
                 self._quarantine_sync.on_message(peer_message)
             case _:
-                self._delegating.on_message(peer_message)
+                self._delegator.on_message(peer_message)
 
     def _on_undelivered(self, peer_message: gatewaymessage.Message) -> None:
         match peer_message:
             case gatewaymessage.RelayRequest():
-                self._relaying.on_undelivered(peer_message)
+                self._call_relay.on_undelivered(peer_message)
             case _:
-                self._delegating.on_undelivered(peer_message)
+                self._delegator.on_undelivered(peer_message)
 
     def _on_link_lost(self, address: str) -> None:
-        self._delegating.on_link_lost(address)
-        self._relaying.on_link_lost(address)
+        self._delegator.on_link_lost(address)
+        self._call_relay.on_link_lost(address)
 
     def _on_configuration(self, configuration: traffic.Configuration) -> None:
         self._caller_server.limits = configuration.limits
         self._warmups.set_services(configuration.services)
-        self._extra_call_budget.gathered_services = configuration.shard_services
+        self._extra_call_budget.shard_services = configuration.shard_services
 
     def _on_partition_change(self) -> None:
         """Updates the rotation after a change of the partition state.
@@ -257,9 +257,9 @@
         )
         if not self._partition_detector.is_partitioned:
             return
-        if self._partition_detector.detected_locally:
+        if self._partition_detector.suspected_locally:
             self._peering.publish_partition()
-        self._serving.on_partition()
+        self._request_handler.on_partition()
 
     def _is_ready(self) -> bool:
         return (
@@ -274,7 +274,7 @@
             "version_age_ms": now_ms - self.view.config_applied_ms,
             "list_age_ms": now_ms - self.view.list_read_ms,
             "upstream_count": len(self.view.upstreams),
-            "running_count": len(self._serving.active_runs),
+            "running_count": len(self._request_handler.active_runs),
             "caller_connection_count": len(self._caller_server.connections),
             "opened_connection_count": self._pools.opened_count,
             "store_call_count": self._store.call_count,
@@ -335,9 +335,9 @@
                 watcher.poll_instances(),
                 watcher.maintain_registration(),
                 self._watch_settings_file(),
-                self._delegating.watch_event_loop(),
-                self._caller_server.sweep(),
-                self._readiness_server.sweep(),
+                self._delegator.watch_event_loop(),
+                self._caller_server.close_timed_out_connections(),
+                self._readiness_server.close_timed_out_connections(),
                 self._pools.sweep(),
                 self._store_pools.sweep(),
             )
@@ -367,7 +367,9 @@
 
     def stop(self) -> None:
         """Begins a graceful shutdown."""
-        log.write(log.Event.STOP_ASKED, running=len(self._serving.active_runs))
+        log.write(
+            log.Event.STOP_ASKED, running=len(self._request_handler.active_runs)
+        )
         self._stop_requested.set()
 
     async def _watch_settings_file(self) -> None:
@@ -405,11 +407,11 @@
         self.reader_election.read_timings = readerelection.read_timings(
             settings.propagation_bound_ms
         )
-        self._placing.settings = derivedsettings.load_balancer_settings(
+        self._load_balancer.settings = derivedsettings.load_balancer_settings(
             settings
         )
         self._warmups.limits = settings.warmup
-        self._delegating.selector.link_mbps = (
+        self._delegator.selector.link_mbps = (
             derivedsettings.delegation_link_mbps(settings)
         )
         budgetshare.update_shares(
@@ -425,13 +427,15 @@
         Args:
             far_gatherers: Instances of other failure domains that may gather.
         """
-        self._delegating.selector.install(self.reader_election.neighbours())
-        self._relaying.selector.install(far_gatherers)
+        self._delegator.selector.set_neighbours(
+            self.reader_election.neighbours()
+        )
+        self._call_relay.selector.set_gatherers(far_gatherers)
         self._warmups.update_instances(
             self.reader_election.neighbours(), clock.now_ms()
         )
         own_count = len(self.reader_election.neighbours()) + 1
-        self._serving.instance_counts = connections.InstanceCounts(
+        self._request_handler.instance_counts = connections.InstanceCounts(
             same_domain_count=own_count,
             other_domain_count=max(
                 0, self.reader_election.instance_count - own_count
@@ -443,7 +447,10 @@
 
     def _has_work(self) -> bool:
         """Returns whether requests, or calls for other instances, run here."""
-        return bool(self._serving.active_runs or self._gathering.active_gathers)
+        return bool(
+            self._request_handler.active_runs
+            or self._gatherer_service.active_gathers
+        )
 
     async def _drain(self) -> None:
         """Closes connections to callers, finishes the work and closes ports."""
@@ -463,7 +470,7 @@
         log.write(
             log.Event.STOPPED,
             took_ms=round(clock.now_ms() - started_ms),
-            unfinished=len(self._serving.active_runs),
+            unfinished=len(self._request_handler.active_runs),
         )
 
 
--- a/hyssoptack/gateway/delegation_attempts_test.py
+++ b/hyssoptack/gateway/delegation_attempts_test.py
@@ -50,7 +50,7 @@
     """Returns the highest number of a shard's upstreams that ran a request."""
     return max(
         sum(
-            site.services[f"i-{shard}-{number}"].run_counts[request_id] > 0
+            site.upstreams[f"i-{shard}-{number}"].run_counts[request_id] > 0
             for number in range(UPSTREAM_COUNT)
         )
         for shard in range(SHARD_COUNT)
@@ -60,10 +60,10 @@
 def _make_choices_differ(site, narrow):
     """Makes two instances prefer different upstreams of a silent shard."""
     for number in range(UPSTREAM_COUNT):
-        site.services[f"i-0-{number}"].behaviour.never = True
+        site.upstreams[f"i-0-{number}"].behaviour.never = True
     for number in range(ATTEMPTS_COUNT):
         for _ in range(OPEN_CALL_COUNT):
-            narrow._placing.begin_call(f"i-0-{number}", 0.0)
+            narrow._load_balancer.begin_call(f"i-0-{number}", 0.0)
 
 
 def test_a_query_taken_back_from_a_late_neighbour_keeps_to_its_attempts():
@@ -94,7 +94,7 @@
             _delay(wide, gatewaymessage.DelegationCancel, LOST_DELAY_S)
             begun = asyncio.create_task(site.get("/all/x", "r1", name="narrow"))
             await asyncio.sleep(0.01)
-            narrow._delegating.on_link_lost(wide._settings.peer_address)
+            narrow._delegator.on_link_lost(wide._settings.peer_address)
             response = await begun
             await asyncio.sleep(DELAY_S)
             assert response.status == 200
@@ -108,13 +108,13 @@
     async def test():
         async with harness.Site() as site:
             narrow, wide = await _start_pair(site, route_type="unsafe")
-            for each in site.services.values():
+            for each in site.upstreams.values():
                 each.behaviour.delay_ms = 60.0
             _delay(narrow, gatewaymessage.DelegationStatus, DELAY_S)
             _delay(wide, gatewaymessage.DelegationCancel, DELAY_S)
             await site.get("/all/x", "r1", name="narrow", method="POST")
             await asyncio.sleep(0.2)
-            runs = [each.run_counts[b"r1"] for each in site.services.values()]
+            runs = [each.run_counts[b"r1"] for each in site.upstreams.values()]
             assert sum(runs) == SHARD_COUNT
 
     asyncio.run(test())
@@ -132,6 +132,8 @@
             response = await site.get("/all/x", "r1", name="narrow")
             assert response.headers["x-missing-parts"] == "1"
             assert _max_upstream_count(site, b"r1") == ATTEMPTS_COUNT
-            assert not narrow._pools._lanes.keys() & site.services.keys()
+            assert (
+                not narrow._pools._upstream_pools.keys() & site.upstreams.keys()
+            )
 
     asyncio.run(test())
--- a/hyssoptack/gateway/evacuation_test.py
+++ b/hyssoptack/gateway/evacuation_test.py
@@ -36,7 +36,7 @@
 def _south_request_count(site: harness.Site) -> int:
     return sum(
         len(each.request_heads)
-        for name, each in site.services.items()
+        for name, each in site.upstreams.items()
         if name.startswith("s")
     )
 
@@ -139,11 +139,11 @@
             gateway.view.load_balancer.settings = dataclasses.replace(
                 gateway.view.load_balancer.settings, failure_domain="south"
             )
-            gateway._serving.connection_limit_count = lambda _: 1
+            gateway._request_handler.connection_limit_count = lambda _: 1
             gateway.view.load_balancer.upstream_states[
                 "n3"
             ].ejected_until_ms = 1e15
-            site.services["s3"].behaviour.delay_ms = 700.0
+            site.upstreams["s3"].behaviour.delay_ms = 700.0
             calls = [
                 asyncio.create_task(
                     site.get("/once/x", f"r{index}", method="POST", body=b"b")
@@ -158,7 +158,7 @@
                 200,
                 200,
             ]
-            assert len(site.services["s3"].request_heads) == 1
+            assert len(site.upstreams["s3"].request_heads) == 1
 
     asyncio.run(test())
 
--- a/hyssoptack/gateway/gateway_crash_test.py
+++ b/hyssoptack/gateway/gateway_crash_test.py
@@ -49,7 +49,7 @@
     def __init__(self, site: harness.Site, bad_path: bytes):
         self.runs: list[_Run] = []
         self.crash_ms: list[float] = []
-        for each in site.services.values():
+        for each in site.upstreams.values():
             each.behaviour.delay_ms = WORK_MS
             each.behaviour.return_ms = RETURN_MS
             each.behaviour.crashes_on = bad_path
--- a/hyssoptack/gateway/gateway_test.py
+++ b/hyssoptack/gateway/gateway_test.py
@@ -46,7 +46,9 @@
             assert response.status == 200
             assert response.body == b"booked" * 4
             assert response.headers["x-server-stamp"].endswith(".r1")
-            heads = [h for s in site.services.values() for h in s.request_heads]
+            heads = [
+                h for s in site.upstreams.values() for h in s.request_heads
+            ]
             assert heads[0].startswith(b"GET /one/x?q=1 HTTP/1.1\r\n")
             assert b"X-Request-Deadline: " in heads[0]
             assert site.run_count("r1") == 1
@@ -71,7 +73,7 @@
     async def test():
         async with harness.Site() as site:
             await _start_sharded_service(site)
-            site.services["i-3"].behaviour.never = True
+            site.upstreams["i-3"].behaviour.never = True
             started = asyncio.get_running_loop().time()
             response = await site.get("/all/", "r1")
             took_s = asyncio.get_running_loop().time() - started
@@ -87,7 +89,7 @@
         async with harness.Site() as site:
             await _start_sharded_service(site)
             for each in ("i-2", "i-3"):
-                site.services[each].behaviour.fail_count = 9
+                site.upstreams[each].behaviour.fail_count = 9
             response = await site.get("/all/", "r1")
             assert response.status == 502
             assert "retry-after" not in response.headers
@@ -99,7 +101,7 @@
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site)
-            for each in site.services.values():
+            for each in site.upstreams.values():
                 each.behaviour.reset_count = 1
             response = await site.get(
                 "/once/x", "r1", method="POST", body=b"book"
@@ -114,7 +116,7 @@
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site)
-            for each in site.services.values():
+            for each in site.upstreams.values():
                 each.behaviour.shed_count = 1
             response = await site.get(
                 "/once/x", "r1", method="POST", body=b"book"
@@ -129,7 +131,7 @@
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site)
-            for each in site.services.values():
+            for each in site.upstreams.values():
                 each.behaviour.shed_count = 9
             response = await site.get(
                 "/once/x", "r1", method="POST", body=b"book"
@@ -145,12 +147,12 @@
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site)
-            for each in site.services.values():
+            for each in site.upstreams.values():
                 each.behaviour.reset_count = 1
             first = await site.get("/one/x", "r1")
             assert first.status == 502
-            site.services["i-0"].behaviour.reset_count = 1
-            site.services["i-1"].behaviour.reset_count = 0
+            site.upstreams["i-0"].behaviour.reset_count = 1
+            site.upstreams["i-1"].behaviour.reset_count = 0
             for number in range(4):
                 response = await site.get("/one/x", f"r1{number}")
                 assert response.status == 200
@@ -163,7 +165,7 @@
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site, 1)
-            setattr(site.services["i-0"].behaviour, fault, True)
+            setattr(site.upstreams["i-0"].behaviour, fault, True)
             for number in range(6):
                 response = await site.get("/one/x", f"r{number}")
                 assert response.status == 200
@@ -180,7 +182,7 @@
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site, 1)
-            setattr(site.services["i-0"].behaviour, fault, True)
+            setattr(site.upstreams["i-0"].behaviour, fault, True)
             response = await site.get("/one/x", "r1")
             assert response.status == 502
 
@@ -191,7 +193,7 @@
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site, 1)
-            site.services["i-0"].upstream_id = "i-other"
+            site.upstreams["i-0"].upstream_id = "i-other"
             response = await site.get("/once/x", "r1", method="POST")
             assert response.status == 503
             assert site.run_count("r1") == 0
@@ -203,7 +205,7 @@
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site, 1)
-            site.services["i-0"].behaviour.never = True
+            site.upstreams["i-0"].behaviour.never = True
             address = site.settings["gateway-1"].callers_address
             host, _, port = address.rpartition(":")
             _, writer = await asyncio.open_connection(host, int(port))
@@ -211,7 +213,7 @@
             await asyncio.sleep(0.1)
             writer.close()
             await asyncio.sleep(0.3)
-            assert site.services["i-0"].cancelled_count == 1
+            assert site.upstreams["i-0"].cancelled_count == 1
 
     run(test())
 
@@ -266,7 +268,7 @@
             response = await harness.send_raw(address, data)
             assert response.status == status
             assert not sum(
-                map(len, (s.run_counts for s in site.services.values()))
+                map(len, (s.run_counts for s in site.upstreams.values()))
             )
 
     run(test())
@@ -284,7 +286,7 @@
             )
             response = await harness.send_raw(address, data)
             assert response.status == 200
-            head = site.services["i-0"].request_heads[0].lower()
+            head = site.upstreams["i-0"].request_heads[0].lower()
             assert b"content-length: 7\r\n" in head
             assert b"transfer-encoding" not in head
 
@@ -330,11 +332,11 @@
             await _start_single_service(site)
             site.put_upstream_entry("i-0", "desk", state="draining")
             await asyncio.sleep(1.5)
-            before = sum(site.services["i-0"].run_counts.values())
+            before = sum(site.upstreams["i-0"].run_counts.values())
             for number in range(10):
                 response = await site.get("/one/x", f"r{number}")
                 assert response.status == 200
-            assert sum(site.services["i-0"].run_counts.values()) == before
+            assert sum(site.upstreams["i-0"].run_counts.values()) == before
 
     run(test())
 
@@ -388,7 +390,7 @@
             await site.start()
             for number in range(20):
                 await site.get("/one/x", f"r{number}")
-            assert sum(site.services["i-0"].run_counts.values()) == 14
+            assert sum(site.upstreams["i-0"].run_counts.values()) == 14
 
     run(test())
 
@@ -397,7 +399,7 @@
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site, 1)
-            site.services["i-0"].behaviour.delay_ms = 500
+            site.upstreams["i-0"].behaviour.delay_ms = 500
             first = asyncio.create_task(site.get("/one/x", "r1"))
             await asyncio.sleep(0.1)
             site.gateways["gateway-1"].stop()
@@ -425,10 +427,10 @@
             changed = dataclasses.replace(settings, crossing_ratio=4.0)
             path.write_bytes(msgspec.json.encode(changed))
             running.reload()
-            assert running._placing.settings.crossing_ratio == 4.0
+            assert running._load_balancer.settings.crossing_ratio == 4.0
             path.write_text("callers_address: nowhere")
             running.reload()
-            assert running._placing.settings.crossing_ratio == 4.0
+            assert running._load_balancer.settings.crossing_ratio == 4.0
             assert (await site.get("/one/x", "r1")).status == 200
 
     run(test())
--- a/hyssoptack/gateway/gathererservice.py
+++ b/hyssoptack/gateway/gathererservice.py
@@ -162,7 +162,7 @@
         self._service.view.load_balancer.begin_call(
             upstream.upstream_id, self._started_ms
         )
-        job = pool.Job(
+        job = pool.CallRequest(
             upstream=upstream,
             build_request=lambda: self._build_request(upstream),
             request_id=self._relay_request.request_id,
@@ -216,7 +216,7 @@
                 kind=callcommand.OutcomeKind.ANSWERED,
                 reply=message.Reply() as reply,
             ):
-                top_records = records.greatest(
+                top_records = records.merge_greatest(
                     (reply.body,), self._relay_request.top_count
                 )
                 signature = headers.signature(reply)
--- a/hyssoptack/gateway/harness.py
+++ b/hyssoptack/gateway/harness.py
@@ -44,7 +44,7 @@
 
     def __init__(self) -> None:
         self.store = kvstore.Store()
-        self.services: dict[str, fakeupstream.FakeUpstream] = {}
+        self.upstreams: dict[str, fakeupstream.FakeUpstream] = {}
         self.gateways: dict[str, daemon.Gateway] = {}
         self.settings: dict[str, gateway.GatewaySettings] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
@@ -59,7 +59,7 @@
         for task in self._tasks.values():
             task.cancel()
         await asyncio.gather(*self._tasks.values(), return_exceptions=True)
-        for each in self.services.values():
+        for each in self.upstreams.values():
             each.stop()
         self.store.stop()
 
@@ -73,7 +73,7 @@
         """Starts an upstream and writes its entry to the store."""
         added = fakeupstream.FakeUpstream(upstream_id, body)
         await added.start()
-        self.services[upstream_id] = added
+        self.upstreams[upstream_id] = added
         self.put_upstream_entry(upstream_id, service_name, zone)
         return added
 
@@ -88,7 +88,7 @@
         """Writes an upstream's entry to the store."""
         entry = {
             "service": service_name,
-            "address": self.services[upstream_id].address,
+            "address": self.upstreams[upstream_id].address,
             "zone": zone,
             "version": "v1",
             "slots": 3,
@@ -199,7 +199,7 @@
                 await asyncio.sleep(0.05)
             while narrow.view.version != wide.view.version:
                 await asyncio.sleep(0.05)
-        narrow._delegating.selector.record_reply_size("route-0", REPLY_BYTES)
+        narrow._delegator.selector.record_reply_size("route-0", REPLY_BYTES)
         return narrow, wide
 
     async def _wait_for_budget_share(self, gateway: daemon.Gateway) -> None:
@@ -238,7 +238,7 @@
     def run_count(self, request_id: str) -> int:
         """Returns how often a request ran, over all upstreams."""
         key = request_id.encode()
-        return sum(each.run_counts[key] for each in self.services.values())
+        return sum(each.run_counts[key] for each in self.upstreams.values())
 
 
 def _route(index: int, given: dict[str, object]) -> dict[str, object]:
--- a/hyssoptack/gateway/inbound.py
+++ b/hyssoptack/gateway/inbound.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Request:
+class RoutedRequest:
     """A request to be served, with its metadata and route.
 
     Attributes:
--- a/hyssoptack/gateway/metrics.py
+++ b/hyssoptack/gateway/metrics.py
@@ -59,7 +59,7 @@
             "hyssoptack_upstream_call_ms",
             "Time of an answered call, by service.",
         )
-        self.instance_facts = aioprometheus.Gauge(
+        self.instance_gauges = aioprometheus.Gauge(
             "hyssoptack_gateway",
             "Facts of this instance, by name.",
             registry=self._registry,
--- a/hyssoptack/gateway/partitionmonitor.py
+++ b/hyssoptack/gateway/partitionmonitor.py
@@ -96,7 +96,7 @@
         return partitiondetector.CheckResult(
             others_alive=any(remote_alive) or not remote_upstreams,
             store_alive=store_alive,
-            covers_all_services=self._view.load_balancer.own_domain_covers(
+            covers_all_services=self._view.load_balancer.local_domain_covers(
                 self._services()
             ),
         )
--- a/hyssoptack/gateway/peering.py
+++ b/hyssoptack/gateway/peering.py
@@ -229,7 +229,7 @@
                 case gatewaymessage.ViewNotice():
                     self._receive_view(each)
                 case gatewaymessage.InstancesNotice():
-                    self.reader_election.install(
+                    self.reader_election.set_neighbours(
                         each.neighbours, each.total_count
                     )
                     self._on_instances(each.far_gatherers)
--- a/hyssoptack/gateway/pool.py
+++ b/hyssoptack/gateway/pool.py
@@ -53,7 +53,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Job:
+class CallRequest:
     """One call to an upstream.
 
     Attributes:
@@ -81,19 +81,21 @@
 
 
 OnUpstreamExit = collections.abc.Callable[
-    [traffic.Upstream, tuple[Job, ...]], None
+    [traffic.Upstream, tuple[CallRequest, ...]], None
 ]
 """Called with an upstream that has exited and the calls it had in progress."""
 
 
-def _ignore(_upstream: traffic.Upstream, _jobs: tuple[Job, ...]) -> None:
+def _ignore(
+    _upstream: traffic.Upstream, _jobs: tuple[CallRequest, ...]
+) -> None:
     """Ignores an upstream's exit when no handler is set."""
 
 
 class Call:
     """A call that waits for a connection or is in progress."""
 
-    def __init__(self, upstream_pool: "_UpstreamPool", job: Job):
+    def __init__(self, upstream_pool: "_UpstreamPool", job: CallRequest):
         self.job = job
         self._upstream_pool = upstream_pool
         self.connection: httpclient.UpstreamConnection | None = None
@@ -124,34 +126,34 @@
 
     def __init__(self, id_header: bytes) -> None:
         self._id_header = id_header
-        self._lanes: dict[str, _UpstreamPool] = {}
+        self._upstream_pools: dict[str, _UpstreamPool] = {}
         self.opened_count = 0
         self.on_upstream_exit: OnUpstreamExit = _ignore
 
-    def call(self, job: Job, connection_limit_count: int) -> Call:
+    def call(self, job: CallRequest, connection_limit_count: int) -> Call:
         """Starts a call."""
-        upstream_pool = self._lanes.get(job.upstream.upstream_id)
+        upstream_pool = self._upstream_pools.get(job.upstream.upstream_id)
         if upstream_pool is None:
             upstream_pool = _UpstreamPool(self, job.upstream, self._id_header)
-            self._lanes[job.upstream.upstream_id] = upstream_pool
+            self._upstream_pools[job.upstream.upstream_id] = upstream_pool
         upstream_pool.limit_count = connection_limit_count
         return upstream_pool.start(job)
 
     def keep_only(self, upstream_ids: collections.abc.Container[str]) -> None:
         """Closes the pools of all other upstreams, which get no new calls."""
-        for upstream_id, upstream_pool in tuple(self._lanes.items()):
+        for upstream_id, upstream_pool in tuple(self._upstream_pools.items()):
             if upstream_id not in upstream_ids:
                 upstream_pool.close_idle(0.0)
                 upstream_pool.withdraw()
                 if upstream_pool.empty:
-                    del self._lanes[upstream_id]
+                    del self._upstream_pools[upstream_id]
 
     async def sweep(self) -> None:
         """Closes connections that were idle for too long, until cancelled."""
         while True:
             await asyncio.sleep(SWEEP_PERIOD_S)
             now_ms = clock.now_ms()
-            for upstream_pool in self._lanes.values():
+            for upstream_pool in self._upstream_pools.values():
                 upstream_pool.close_stale(now_ms)
 
 
@@ -179,7 +181,7 @@
         """Whether there are no connections, waiting calls or exit checks."""
         return not (self._open_count or self._waiting or self._exit_check)
 
-    def start(self, job: Job) -> Call:
+    def start(self, job: CallRequest) -> Call:
         """Starts a call, or queues it until a connection is free."""
         call = Call(self, job)
         connection = (
--- a/hyssoptack/gateway/pool_test.py
+++ b/hyssoptack/gateway/pool_test.py
@@ -19,7 +19,7 @@
         self.pools.on_upstream_exit = lambda _, jobs: self.exited_jobs.append(
             jobs
         )
-        self.exited_jobs: list[tuple[pool.Job, ...]] = []
+        self.exited_jobs: list[tuple[pool.CallRequest, ...]] = []
         self._upstream = traffic.Upstream(
             upstream_id=called.upstream_id,
             service="desk",
@@ -37,7 +37,7 @@
             (b"X-Request-Id", b"r1"),
             (b"X-Expected-Instance", self._upstream.expected_id.encode()),
         ]
-        job = pool.Job(
+        job = pool.CallRequest(
             upstream=self._upstream,
             build_request=lambda: message.request_bytes(
                 b"GET", path, headers, b""
--- a/hyssoptack/gateway/quarantinestore_test.py
+++ b/hyssoptack/gateway/quarantinestore_test.py
@@ -62,7 +62,7 @@
             await _quarantine_one(site)
             for name in site.gateways:
                 known = quarantinesync_test._suspect_registry(site, name)
-                (fingerprint,) = known._blocked
+                (fingerprint,) = known._quarantined
                 known.record_answer(fingerprint, clock.now_ms())
             await _wait_until(lambda: not _stored_keys(site))
             for name in site.gateways:
--- a/hyssoptack/gateway/quarantinesync.py
+++ b/hyssoptack/gateway/quarantinesync.py
@@ -106,7 +106,7 @@
                 refused from now on.
             instance_metrics: The instance's metrics.
         """
-        self.suspicions = registry
+        self.registry = registry
         self._own = own
         self._domain_peers = domain_peers
         self._remote_peers = remote_peers
@@ -122,7 +122,9 @@
     # Changes on this instance.
 
     def on_upstream_exit(
-        self, upstream: traffic.Upstream, broken_jobs: tuple[pool.Job, ...]
+        self,
+        upstream: traffic.Upstream,
+        broken_jobs: tuple[pool.CallRequest, ...],
     ) -> None:
         """Counts and logs an upstream that exited with calls in progress."""
         self._metrics.upstream_exits.inc({"service": upstream.service})
@@ -158,7 +160,7 @@
     async def share_periodically(self) -> None:
         """Sends records to other instances until cancelled."""
         while True:
-            if self._remaining_request_count or self.suspicions.has_entries:
+            if self._remaining_request_count or self.registry.has_entries:
                 await self._wait_for_new_records()
             else:
                 await self._has_new_records.wait()
@@ -177,11 +179,11 @@
     def _run_round(self) -> float:
         """Runs one round; returns the pause after it in seconds."""
         now_ms = clock.now_ms()
-        self.suspicions.expire(now_ms)
+        self.registry.expire(now_ms)
         self._request_records()
         if self._has_new_records.is_set():
             self._has_new_records.clear()
-            new_records = self.suspicions.pop_new_notices(
+            new_records = self.registry.pop_new_notices(
                 NEW_RECORDS_COUNT, now_ms
             )
             sent_count = self._send_records(
@@ -189,7 +191,7 @@
             )
             self._log_shared(new_records)
         else:
-            sample = self.suspicions.sample_notices(SAMPLE_COUNT, now_ms)
+            sample = self.registry.sample_notices(SAMPLE_COUNT, now_ms)
             sent_count = self._send_records(sample, 1, 1)
         return sent_count * RECORD_BYTES / MAX_BYTES_PER_S
 
@@ -265,8 +267,8 @@
                 sender_id=sender_id, suspects=suspects
             ):
                 for suspect in suspects:
-                    self.suspicions.merge_notice(suspect, sender_id, now_ms)
+                    self.registry.merge_notice(suspect, sender_id, now_ms)
             case gatewaymessage.SuspectsRequest(address=address):
-                suspects = self.suspicions.sample_notices(ANSWER_COUNT, now_ms)
+                suspects = self.registry.sample_notices(ANSWER_COUNT, now_ms)
                 if suspects:
                     self._send(address, self._notice(suspects))
--- a/hyssoptack/gateway/quarantinesync_test.py
+++ b/hyssoptack/gateway/quarantinesync_test.py
@@ -159,7 +159,7 @@
                 await asyncio.sleep(gateway_crash_test.WORK_MS / 2 / 1_000.0)
                 # Crash half of all copies in turns: if all copies of a failure
                 # domain crashed, a partition would be detected instead.
-                for each in site.services.values():
+                for each in site.upstreams.values():
                     if int(each.upstream_id[-1]) // 2 == turn % 2:
                         each.behaviour.return_ms = 300.0
                         each.crash()
@@ -182,11 +182,13 @@
             await site.get("/all/bad", "bad-1", name="n1")
             await _wait_quarantined(site, "n1", "n2", "s1")
             await asyncio.sleep(gateway_crash_test.RETURN_MS / message.MS_PER_S)
-            for each in site.services.values():
+            for each in site.upstreams.values():
                 each.behaviour.crashes_on = b""
             crashes = len(recorder.crash_ms)
             # The quarantine is over at the instance that gets the request.
-            entry = next(iter(_suspect_registry(site, "n2")._blocked.values()))
+            entry = next(
+                iter(_suspect_registry(site, "n2")._quarantined.values())
+            )
             entry.quarantined_until_ms = entry.probe_jitter_ms = 0.0
             got = await site.get("/all/bad", "ok-1", name="n2")
             assert got.status == 200
@@ -237,7 +239,7 @@
             assert got.status == 502
             await _wait_quarantined(site, "narrow", "wide")
             count = len(recorder.runs)
-            narrow._delegating.try_delegate = None
+            narrow._delegator.try_delegate = None
             for name in site.gateways:
                 got = await site.get("/all/bad", f"bad-{name}", name=name)
                 assert got.status == 502
@@ -253,8 +255,8 @@
             gateway_crash_test.CrashRecorder(site, b"/all/bad")
             await site.get("/all/bad", "bad-1", name="n1")
             await _wait_quarantined(site, "n2", "s1")
-            name = next(iter(_suspect_registry(site, "s1")._blocked))
-            gathering = site.gateways["s1"]._gathering
+            name = next(iter(_suspect_registry(site, "s1")._quarantined))
+            gathering = site.gateways["s1"]._gatherer_service
             sent = []
             gathering.send = lambda _, body: sent.append(body)
             relay_request = gatewaymessage.RelayRequest(
--- a/hyssoptack/gateway/querydelegation.py
+++ b/hyssoptack/gateway/querydelegation.py
@@ -72,12 +72,12 @@
     BEGUN = "begun"
 
 
-RunLocally = collections.abc.Callable[[inbound.Request, bool], None]
+RunLocally = collections.abc.Callable[[inbound.RoutedRequest, bool], None]
 """Runs a query on this instance; the flag says whether a neighbour may have run
 part of it."""
 
 
-CanRerunLocally = collections.abc.Callable[[inbound.Request], bool]
+CanRerunLocally = collections.abc.Callable[[inbound.RoutedRequest], bool]
 """Returns whether a query that a neighbour may have started can run here."""
 
 
@@ -113,7 +113,7 @@
         self._last_tick_ms = clock.now_ms()
         self._resumed_ms = -math.inf
 
-    def try_delegate(self, query: inbound.Request, version: int) -> bool:
+    def try_delegate(self, query: inbound.RoutedRequest, version: int) -> bool:
         """Delegates a query if a neighbour is better; returns whether it did.
 
         Args:
@@ -295,7 +295,7 @@
     def __init__(
         self,
         delegator: Delegator,
-        query: inbound.Request,
+        query: inbound.RoutedRequest,
         peer: member.Peer,
         ask_id: int,
     ):
--- a/hyssoptack/gateway/querydelegation_test.py
+++ b/hyssoptack/gateway/querydelegation_test.py
@@ -35,10 +35,12 @@
             assert first.status == 200
             assert first.headers["x-missing-parts"] == "0"
             assert first.body[:16] == bytes([200]) * 16
-            assert sum(s.run_counts[b"r1"] for s in site.services.values()) == 4
+            assert (
+                sum(s.run_counts[b"r1"] for s in site.upstreams.values()) == 4
+            )
             # No replies were gathered over the narrow link.
             assert narrow._pools.opened_count < wide._pools.opened_count
-            assert not narrow._delegating.pending
+            assert not narrow._delegator.pending
 
     asyncio.run(test())
 
@@ -68,8 +70,10 @@
             response = await site.get("/all/x", "r1", name="narrow")
             table.route_table = original_table
             assert response.status == 200
-            assert sum(s.run_counts[b"r1"] for s in site.services.values()) == 4
-            assert not narrow._delegating.pending
+            assert (
+                sum(s.run_counts[b"r1"] for s in site.upstreams.values()) == 4
+            )
+            assert not narrow._delegator.pending
 
     asyncio.run(test())
 
@@ -78,7 +82,7 @@
     async def test():
         async with harness.Site() as site:
             await _start_pair(site)
-            for each in site.services.values():
+            for each in site.upstreams.values():
                 each.behaviour.delay_ms = 150.0
             begun = asyncio.create_task(site.get("/all/x", "r1", name="narrow"))
             await asyncio.sleep(0.05)
@@ -88,7 +92,7 @@
             assert (response.status, later.status) == (200, 200)
             for name in ("r1", "r2"):
                 key = name.encode()
-                runs = [s.run_counts[key] for s in site.services.values()]
+                runs = [s.run_counts[key] for s in site.upstreams.values()]
                 assert runs == [1, 1, 1, 1]
 
     asyncio.run(test())
@@ -98,7 +102,7 @@
     async def test():
         async with harness.Site() as site:
             await _start_pair(site)
-            for each in site.services.values():
+            for each in site.upstreams.values():
                 each.behaviour.never = True
             address = site.settings["narrow"].callers_address
             host, _, port = address.rpartition(":")
@@ -108,10 +112,10 @@
             writer.close()
             async with asyncio.timeout(0.5):
                 while any(
-                    not s.cancelled_count for s in site.services.values()
+                    not s.cancelled_count for s in site.upstreams.values()
                 ):
                     await asyncio.sleep(0.02)
-            assert not site.gateways["wide"]._serving.active_runs
+            assert not site.gateways["wide"]._request_handler.active_runs
 
     asyncio.run(test())
 
@@ -122,7 +126,7 @@
             narrow = await _start_pair(site)
             # A frozen process receives messages without answering.
             site.gateways["wide"]._peering.on_message = lambda _: None
-            for each in site.services.values():
+            for each in site.upstreams.values():
                 each.behaviour.delay_ms = 20.0
             started_s = asyncio.get_running_loop().time()
             response = await site.get("/all/x", "r1", name="narrow")
@@ -131,7 +135,7 @@
             assert took_s * 1_000 < delegation.ACCEPT_TIMEOUT_MS + 150.0
             # No further queries are delegated to it.
             assert (
-                narrow._delegating.selector.choose(
+                narrow._delegator.selector.choose(
                     delegation.Query(
                         route_name="route-0", part_count=4, to_goal_ms=300.0
                     ),
@@ -153,7 +157,7 @@
                 narrow._extra_call_budget.share, slack_count=0.0
             )
             narrow._extra_call_budget.share = empty_share
-            narrow._extra_call_budget.gather_share = empty_share
+            narrow._extra_call_budget.shard_share = empty_share
             for each in narrow._extra_call_budget._services.values():
                 each.slack_count = 0.0
             wide = site.gateways["wide"]._peering
@@ -170,7 +174,7 @@
             assert response.status == 200
             # A request repeated after the answer would run the query again.
             assert received_types.count(gatewaymessage.DelegationRequest) == 1
-            runs = [s.run_counts[b"r1"] for s in site.services.values()]
+            runs = [s.run_counts[b"r1"] for s in site.upstreams.values()]
             assert runs == [1, 1, 1, 1]
 
     asyncio.run(test())
@@ -235,7 +239,7 @@
 
 def test_a_goal_that_reserved_time_puts_in_the_past_is_not_reduced():
     route = types.SimpleNamespace(latency_goal_ms=150.0)
-    query = inbound.Request(
+    query = inbound.RoutedRequest(
         exchange=types.SimpleNamespace(
             request=types.SimpleNamespace(received_ms=1_000.0)
         ),
@@ -254,11 +258,11 @@
     async def test():
         async with harness.Site() as site:
             await _start_pair(site)
-            for each in site.services.values():
+            for each in site.upstreams.values():
                 each.behaviour.delay_ms = 700.0
             response = await site.get("/all/x", "r1", name="narrow")
             assert response.status == 200
-            runs = [s.run_counts[b"r1"] for s in site.services.values()]
+            runs = [s.run_counts[b"r1"] for s in site.upstreams.values()]
             assert runs == [1, 1, 1, 1]
 
     asyncio.run(test())
@@ -268,7 +272,7 @@
     async def test():
         async with harness.Site() as site:
             await _start_pair(site)
-            for each in site.services.values():
+            for each in site.upstreams.values():
                 each.behaviour.delay_ms = 700.0
             begun = asyncio.create_task(site.get("/all/x", "r1", name="narrow"))
             await asyncio.sleep(0.1)
@@ -276,7 +280,7 @@
             async with asyncio.timeout(0.7):
                 response = await begun
             assert response.status == 502
-            runs = [s.run_counts[b"r1"] for s in site.services.values()]
+            runs = [s.run_counts[b"r1"] for s in site.upstreams.values()]
             assert runs == [1, 1, 1, 1]
 
     asyncio.run(test())
--- a/hyssoptack/gateway/requesthandler.py
+++ b/hyssoptack/gateway/requesthandler.py
@@ -88,7 +88,7 @@
                 status = http.HTTPStatus.NOT_FOUND
                 self._refuse(exchange, metadata, status, match_result.value)
             case routetable.RouteMatch():
-                request = inbound.Request(
+                request = inbound.RoutedRequest(
                     exchange=exchange,
                     metadata=metadata,
                     route_match=match_result,
@@ -105,7 +105,7 @@
                     exchange.on_commit = run.on_attempts_granted
                     run.start()
 
-    def _serve_caller(self, request: inbound.Request) -> None:
+    def _serve_caller(self, request: inbound.RoutedRequest) -> None:
         timed = dataclasses.replace(
             request, transit_margin_ms=self._caller_latency.margin_ms
         )
@@ -117,7 +117,7 @@
             )
             timed = dataclasses.replace(timed, caller_spent_ms=spent_ms)
         version = self._view.version
-        suspect_registry = self._plan_context.suspicions
+        suspect_registry = self._plan_context.suspect_registry
         keep_local = self.delegator is None or (
             suspect_registry.has_entries
             and suspect_registry.is_tracked(timed.fingerprint)
@@ -125,7 +125,9 @@
         if keep_local or not self.delegator.try_delegate(timed, version):
             self.run_locally(timed, may_have_run=False)
 
-    def run_locally(self, request: inbound.Request, may_have_run: bool) -> None:
+    def run_locally(
+        self, request: inbound.RoutedRequest, may_have_run: bool
+    ) -> None:
         """Runs a request on this instance.
 
         Args:
@@ -134,7 +136,7 @@
         """
         requestrun.RequestRun(self, request, may_have_run=may_have_run).start()
 
-    def can_rerun_locally(self, request: inbound.Request) -> bool:
+    def can_rerun_locally(self, request: inbound.RoutedRequest) -> bool:
         """Returns whether the extra call budget allows rerunning a query here.
 
         A neighbour may have started the query, so each part counts as an extra
--- a/hyssoptack/gateway/requestrun.py
+++ b/hyssoptack/gateway/requestrun.py
@@ -33,7 +33,7 @@
     def __init__(
         self,
         handler: "requesthandler.RequestHandler",
-        request: inbound.Request,
+        request: inbound.RoutedRequest,
         *,
         may_have_run: bool = False,
         awaits_grant: bool = False,
@@ -126,7 +126,7 @@
                 upstream_id=each.upstream.upstream_id,
                 service=each.upstream.service,
                 sent_ms=self._now_ms,
-                extra=each.extra_reason,
+                extra_reason=each.extra_reason,
             )
             if each.extra_reason:
                 self._log_extra_call(each)
@@ -167,7 +167,7 @@
             return
         for each in calls:
             self._traces[each.call_id].gatherer_id = peer.instance_id
-        query = callrelay.Query(
+        query = callrelay.RelayedQuery(
             request_id=self._metadata.request_id,
             route_name=self._route.name,
             top_count=self._top_count,
@@ -185,7 +185,7 @@
     def _send(self, command: callcommand.Send) -> None:
         upstream = command.upstream
         call_id = command.call_id
-        job = pool.Job(
+        job = pool.CallRequest(
             upstream=upstream,
             build_request=lambda: self._build_request(call_id, upstream),
             request_id=self._metadata.request_id,
@@ -365,7 +365,7 @@
             self._metadata.request_id,
             replies,
             part_count,
-            records.greatest(bodies, self._top_count),
+            records.merge_greatest(bodies, self._top_count),
         )
 
     def _end(self, status: int, detail: str) -> None:
@@ -398,7 +398,7 @@
 
     def _target_fields(self) -> dict[str, str]:
         """Returns log fields for a request during which upstreams exited."""
-        if not self._plan.caution.crash_count:
+        if not self._plan.probe_guard.crash_count:
             return {}
         return calltrace.target_fields(
             self._metadata.host, self._exchange.request.target
--- a/hyssoptack/gateway/restarted_test.py
+++ b/hyssoptack/gateway/restarted_test.py
@@ -27,7 +27,7 @@
     async with asyncio.timeout(WAIT_S):
         while not ready():
             await asyncio.sleep(0.05)
-    narrow._delegating.selector.record_reply_size("route-0", REPLY_BYTES)
+    narrow._delegator.selector.record_reply_size("route-0", REPLY_BYTES)
 
 
 async def _get_part_requests(site, request_id):
@@ -40,7 +40,7 @@
 async def _restart(site, ready):
     """Kills the narrow instance with a query in progress and restarts it."""
     address = site.settings["narrow"].peer_address
-    for each in site.services.values():
+    for each in site.upstreams.values():
         each.behaviour.delay_ms = WORK_MS
     lost = asyncio.create_task(
         site.get("/all/x", "r1", deadline_ms=8_000, name="narrow")
@@ -48,7 +48,7 @@
     await asyncio.sleep(0.1)
     site.kill("narrow")
     lost.cancel()
-    for each in site.services.values():
+    for each in site.upstreams.values():
         each.behaviour.delay_ms = 0.0
     narrow = await site.start("narrow", link_mbps=0.5, peer_address=address)
     await _wait_ready(site, narrow, lambda: ready(narrow))
@@ -68,7 +68,7 @@
 
             await _wait_ready(site, narrow, lambda: knows(narrow))
             await _restart(site, knows)
-            assert site.gateways["wide"]._serving.active_runs
+            assert site.gateways["wide"]._request_handler.active_runs
             assert await _get_part_requests(site, "r2") == (200, {"r2"})
 
     asyncio.run(test())
@@ -84,7 +84,7 @@
 
 
 def _relay_call(call_relay, sink):
-    query = callrelay.Query(
+    query = callrelay.RelayedQuery(
         request_id=b"r",
         route_name="r",
         top_count=5,
--- a/hyssoptack/gateway/statuspages.py
+++ b/hyssoptack/gateway/statuspages.py
@@ -50,7 +50,7 @@
     def answer_metrics(self, exchange: httpserver.Exchange) -> None:
         """Answers with the metrics page, whatever the path."""
         for name, value in self._read_gauges(clock.now_ms()).items():
-            self._metrics.instance_facts.set({"name": name}, value)
+            self._metrics.instance_gauges.set({"name": name}, value)
         page = self._metrics.render_text()
         page_headers = ((b"Content-Type", b"text/plain; version=0.0.4"),)
         exchange.answer(
--- a/hyssoptack/gateway/storewatch.py
+++ b/hyssoptack/gateway/storewatch.py
@@ -403,7 +403,7 @@
         neighbours = tuple(
             each for each in peers if each.failure_domain == domain
         )
-        self._reader_election.install(neighbours, len(peers))
+        self._reader_election.set_neighbours(neighbours, len(peers))
         far_gatherers = gatherers.select_gatherers(peers, domain)
         self._on_instances(far_gatherers)
         self._peers.publish_instances(neighbours, len(peers), far_gatherers)
--- a/hyssoptack/gateway/warmup_test.py
+++ b/hyssoptack/gateway/warmup_test.py
@@ -46,10 +46,10 @@
     async def test():
         async with harness.Site() as site:
             await _start_cold_desk(site, warm=True)
-            before = len(site.services["cold"].request_heads)
+            before = len(site.upstreams["cold"].request_heads)
             assert await _send_requests(site, 30) == [200] * 30
             assert (
-                len(site.services["cold"].request_heads) - before <= ALL_COUNT
+                len(site.upstreams["cold"].request_heads) - before <= ALL_COUNT
             )
 
     asyncio.run(test())
@@ -59,10 +59,10 @@
     async def test():
         async with harness.Site() as site:
             await _start_cold_desk(site, warm=False)
-            before = len(site.services["cold"].request_heads)
+            before = len(site.upstreams["cold"].request_heads)
             statuses = await _send_requests(site, 20)
             served = statuses.count(200)
-            assert len(site.services["cold"].request_heads) - before == served
+            assert len(site.upstreams["cold"].request_heads) - before == served
             assert 0 < served <= ALL_COUNT
             assert statuses.count(503) == 20 - served
             runs = [site.run_count(f"r{index}") for index in range(20)]
--- a/hyssoptack/http1/httpserver.py
+++ b/hyssoptack/http1/httpserver.py
@@ -17,7 +17,7 @@
 from hyssoptack.core import traffic
 from hyssoptack.http1 import message
 
-SWEEP_S = 0.25
+TIMEOUT_CHECK_PERIOD_S = 0.25
 """Interval between checks of caller timeouts, which are seconds long."""
 
 BODY_STALL_MS = 10_000.0
@@ -89,10 +89,10 @@
         """Creates the protocol object of a new connection."""
         return CallerConnection(self)
 
-    async def sweep(self) -> None:
+    async def close_timed_out_connections(self) -> None:
         """Periodically closes connections whose caller exceeded a timeout."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(TIMEOUT_CHECK_PERIOD_S)
             now_ms = clock.now_ms()
             for each in tuple(self.connections):
                 each.check_timeouts(now_ms)
--- a/hyssoptack/peers/gossip.py
+++ b/hyssoptack/peers/gossip.py
@@ -36,7 +36,7 @@
 """Longest time until the partners are drawn again."""
 
 Send = collections.abc.Callable[[str, message.Message], None]
-OnConfig = collections.abc.Callable[[configuration.InForce], None]
+OnConfig = collections.abc.Callable[[configuration.NewConfiguration], None]
 
 
 class Gossip:
@@ -154,7 +154,7 @@
         if manifest is None:
             return
         offer = message.ConfigOffer(
-            manifest_text=configuration.manifest_text(manifest),
+            manifest_text=configuration.encode_manifest(manifest),
             parts=self._config.parts_for_peer(wanted.have_digests),
         )
         self._state.record_message(wanted.sender, clock.now_ms())
@@ -163,5 +163,5 @@
     def on_config_offer(self, offer: message.ConfigOffer) -> None:
         """Merges a configuration offered by a peer."""
         applied = self._config.merge_offer(offer.manifest_text, offer.parts)
-        if isinstance(applied, configuration.InForce):
+        if isinstance(applied, configuration.NewConfiguration):
             self._on_config(applied)
--- a/hyssoptack/platform/keyvalue.py
+++ b/hyssoptack/platform/keyvalue.py
@@ -335,7 +335,7 @@
             if not done.done():
                 done.set_result(outcome)
 
-        job = pool.Job(
+        job = pool.CallRequest(
             upstream=self._store,
             build_request=lambda: data,
             request_id=b"",
--- a/hyssoptack/policy/callplan.py
+++ b/hyssoptack/policy/callplan.py
@@ -44,8 +44,8 @@
         request: The request.
         calls: The open calls.
         finished: Whether the request has ended.
-        caution: Queues calls while the request is sent as a probe, and rejects
-            requests that crash upstreams.
+        probe_guard: Queues calls while the request is sent as a probe, and
+            rejects requests that crash upstreams.
         attempts: The attempts that the request may make from this instance.
     """
 
@@ -85,12 +85,12 @@
             self._can_hedge,
             context.mechanisms.dry_hedges,
         )
-        self.caution = probeguard.ProbeGuard(
-            context.suspicions, request.fingerprint
+        self.probe_guard = probeguard.ProbeGuard(
+            context.suspect_registry, request.fingerprint
         )
         self.attempts = attempts.Attempts(request)
         self._upstream_choice = upstreamchoice.UpstreamChoice(
-            request, context, self.caution, self.attempts
+            request, context, self.probe_guard, self.attempts
         )
 
     def start(self, now_ms: float) -> list[callcommand.Command]:
@@ -101,7 +101,7 @@
         upstreams is not sent either; it fails instead of being refused,
         because earlier attempts have run.
         """
-        if not self.caution.admit(now_ms):
+        if not self.probe_guard.admit(now_ms):
             return self._reject_crashing(now_ms)
         chosen = [
             (part, self._upstream_choice.first_upstream(part, now_ms))
@@ -211,7 +211,7 @@
             return []
         part = call.part
         part.last_reason = outcome.reason or outcome.kind.value
-        if self.caution.record_outcome(call, outcome, now_ms):
+        if self.probe_guard.record_outcome(call, outcome, now_ms):
             return self._reject_crashing(now_ms)
         commands = self._apply_outcome(part, call.upstream_id, outcome, now_ms)
         return commands + self._finish_if_due(now_ms)
@@ -261,14 +261,14 @@
         if self._parts.answered_count:
             # An upstream answered it here, which the reporting instance
             # does not know.
-            self.caution.clear_suspicion(now_ms)
+            self.probe_guard.clear_suspicion(now_ms)
             return []
         return self._reject_crashing(now_ms)
 
     def on_caller_left(self, now_ms: float) -> list[callcommand.Command]:
         """Cancels all calls because the caller has disconnected."""
         self.finished = True
-        self.caution.record_end()
+        self.probe_guard.record_end()
         return self._cancel_all(now_ms)
 
     # Call outcomes.
@@ -285,7 +285,7 @@
         match outcome.kind:
             case callcommand.OutcomeKind.ANSWERED:
                 self._parts.record_answer(part, outcome.reply)
-                self.caution.record_answer(now_ms)
+                self.probe_guard.record_answer(now_ms)
                 self._hedge_timing.record_answer(now_ms)
                 self._may_have_run = True
                 return self._cancel_part(part, now_ms)
@@ -354,14 +354,14 @@
         queued = probeguard.QueuedCall(
             part=part, upstream=upstream, extra_reason=extra_reason
         )
-        if self.caution.queue_if_probing(queued, self.calls.all()):
+        if self.probe_guard.queue_if_probing(queued, self.calls.all()):
             return []
         call = self.calls.add(
             part,
             upstream,
             now_ms,
             cross_domain=self._upstream_choice.is_cross_domain(upstream),
-            is_probe=self.caution.is_probing,
+            is_probe=self.probe_guard.is_probing,
         )
         self._remote_tally.sent_count += call.cross_domain
         self._hedge_queue.add(call)
@@ -381,7 +381,7 @@
         """Sends the calls that were queued while the request was probed."""
         commands: list[callcommand.Command] = []
         while not self.finished:
-            queued = self.caution.next_queued(self.calls, now_ms)
+            queued = self.probe_guard.next_queued(self.calls, now_ms)
             if queued is None:
                 break
             part, extra_reason = queued.part, queued.extra_reason
@@ -492,5 +492,5 @@
         self._context.partition_detector.record_wait(
             self._remote_tally, now_ms - self._started_ms
         )
-        self.caution.record_end()
+        self.probe_guard.record_end()
         return [*self._cancel_all(now_ms), callcommand.Finish(result=result)]
--- a/hyssoptack/policy/callplan_crash_test.py
+++ b/hyssoptack/policy/callplan_crash_test.py
@@ -112,7 +112,7 @@
     assert not any(each.is_probe for each in run.open_calls.values())
     run.end_calls(ANSWERED, 40.0, SHARD_COUNT)
     assert len(run.result.replies) == SHARD_COUNT
-    assert not context.suspicions.has_entries
+    assert not context.suspect_registry.has_entries
 
 
 def test_a_partly_answered_query_is_retried_normally_after_a_crash():
@@ -123,7 +123,7 @@
     run.end_calls(EXITED, 20.0)
     assert len(run.open_calls) == SHARD_COUNT - 1
     assert not any(each.is_probe for each in run.open_calls.values())
-    assert not context.suspicions.has_entries
+    assert not context.suspect_registry.has_entries
 
 
 def test_a_connection_reset_does_not_count_as_a_crash():
@@ -131,7 +131,7 @@
     run = _RequestRun(context).start()
     run.end_calls(RESET, 10.0, SHARD_COUNT)
     assert len(run.open_calls) == SHARD_COUNT
-    assert not context.suspicions.has_entries
+    assert not context.suspect_registry.has_entries
 
 
 def test_a_probe_goes_to_the_upstream_with_the_fewest_open_calls():
@@ -170,7 +170,7 @@
     for step in range(SHARD_COUNT):
         run.end_calls(exited_with_other_calls, 40.0 + step)
     assert run.result != CRASHES
-    assert not context.suspicions.is_quarantined(FINGERPRINT, 100.0)
+    assert not context.suspect_registry.is_quarantined(FINGERPRINT, 100.0)
 
 
 def test_requests_that_lost_the_same_upstreams_probe_different_shards():
@@ -200,7 +200,7 @@
             count += run.sent_count
         assert count == 3
         assert run.result == CRASHES
-        assert context.suspicions.is_quarantined(FINGERPRINT, now_ms)
+        assert context.suspect_registry.is_quarantined(FINGERPRINT, now_ms)
 
 
 def test_a_quarantine_notice_ends_a_request_without_answers():
@@ -232,7 +232,8 @@
     run.end_calls(EXITED, 20.0, SHARD_COUNT)
     assert run.result is not None
     assert [
-        each.fingerprint for each in context.suspicions.pop_new_notices(9, 20.0)
+        each.fingerprint
+        for each in context.suspect_registry.pop_new_notices(9, 20.0)
     ]
 
 
--- a/hyssoptack/policy/delegation.py
+++ b/hyssoptack/policy/delegation.py
@@ -110,7 +110,7 @@
         self._reply_bytes: dict[str, float] = {}
         self.hop_delays = delayestimate.DelayEstimate(HOP_MS)
 
-    def install(self, peers: tuple[member.Peer, ...]) -> None:
+    def set_neighbours(self, peers: tuple[member.Peer, ...]) -> None:
         """Replaces the list of neighbours."""
         self._peers = peers
         addresses = {each.address for each in peers}
--- a/hyssoptack/policy/delegation_test.py
+++ b/hyssoptack/policy/delegation_test.py
@@ -21,7 +21,7 @@
 
 def make_selector(*peers, link_mbps=SLOW_MBPS, size_bytes=1_250):
     selector = delegation.DelegateSelector(link_mbps, random.Random(3))
-    selector.install(peers)
+    selector.set_neighbours(peers)
     selector.record_reply_size("r", size_bytes)
     return selector
 
@@ -45,7 +45,7 @@
 def test_a_default_reply_size_is_assumed_before_the_first_reply():
     # Without it, queries fill slow links in the first seconds after a start.
     selector = delegation.DelegateSelector(SLOW_MBPS, random.Random(3))
-    selector.install((peer("b"),))
+    selector.set_neighbours((peer("b"),))
     assert selector.choose(QUERY, 0.0).instance_id == "b"
     selector.record_reply_size("r", 100)
     assert selector.choose(QUERY, 0.0) is None
--- a/hyssoptack/policy/example.py
+++ b/hyssoptack/policy/example.py
@@ -81,7 +81,7 @@
     return catalog.Profile(name="dawn", **fields)
 
 
-def knowledge(
+def planning_context(
     current: catalog.Service,
     hedges: hedging.HedgePolicy | None = None,
 ) -> queryplan.QueryPlanContext:
@@ -104,7 +104,7 @@
         for domain in DOMAINS
         for number in (1, 2, 3)
     }
-    router.install(
+    router.set_view(
         routing.RoutingView(
             catalog=catalog.Catalog(
                 revision=1,
@@ -124,7 +124,7 @@
     return queryplan.QueryPlanContext(
         router=router,
         upstream_health=upstream_health,
-        retry_budgets=budget.ServiceBudgets(),
+        extra_call_budgets=budget.ServiceBudgets(),
         hedge_policy=hedges or hedging.HedgeAfterQuantile(),
         current_service=services.get,
     )
--- a/hyssoptack/policy/gatherers.py
+++ b/hyssoptack/policy/gatherers.py
@@ -121,7 +121,7 @@
         self._domain_ejections: dict[str, ejectionstate.EjectionState] = {}
         self._first_report_times = latencyestimate.LatencyEstimate()
 
-    def install(self, peers: tuple[member.Peer, ...]) -> None:
+    def set_gatherers(self, peers: tuple[member.Peer, ...]) -> None:
         """Replaces the list of gatherers."""
         self._by_domain = {}
         for each in peers:
--- a/hyssoptack/policy/gatherers_test.py
+++ b/hyssoptack/policy/gatherers_test.py
@@ -31,7 +31,7 @@
 
 def make_selector(*peers):
     selector = gatherers.GathererSelector(random.Random(5))
-    selector.install(tuple(peers))
+    selector.set_gatherers(tuple(peers))
     return selector
 
 
--- a/hyssoptack/policy/loadbalancer.py
+++ b/hyssoptack/policy/loadbalancer.py
@@ -253,7 +253,7 @@
             self._preferred[services] = found
         return found
 
-    def own_domain_covers(
+    def local_domain_covers(
         self, services: collections.abc.Iterable[str]
     ) -> bool:
         """Returns whether the local failure domain serves all given services.
--- a/hyssoptack/policy/loadbalancer_test.py
+++ b/hyssoptack/policy/loadbalancer_test.py
@@ -235,8 +235,8 @@
         dataclasses.replace(upstream("leaving", "s2"), draining=True),
         upstream("staying", "s2", zone="south"),
     )
-    assert balancer.own_domain_covers(["s0"])
-    assert not balancer.own_domain_covers(["s0", "s1"])
-    assert not balancer.own_domain_covers(["s2"])
+    assert balancer.local_domain_covers(["s0"])
+    assert not balancer.local_domain_covers(["s0", "s1"])
+    assert not balancer.local_domain_covers(["s2"])
     # No upstream serves "nowhere" in any domain, so it does not count.
-    assert balancer.own_domain_covers(["s0", "nowhere"])
+    assert balancer.local_domain_covers(["s0", "nowhere"])
--- a/hyssoptack/policy/partitiondetector.py
+++ b/hyssoptack/policy/partitiondetector.py
@@ -99,7 +99,7 @@
         self._stays_in_rotation = False
 
     @property
-    def detected_locally(self) -> bool:
+    def suspected_locally(self) -> bool:
         """Whether calls of this instance, not a notice, caused the suspicion.
 
         Neighbours are notified of such a suspicion.
--- a/hyssoptack/policy/partitiondetector_test.py
+++ b/hyssoptack/policy/partitiondetector_test.py
@@ -94,7 +94,7 @@
 def test_a_neighbours_suspicion_is_decided_by_checks():
     detector = partitiondetector.PartitionDetector()
     detector.on_neighbour_suspicion()
-    assert not detector.detected_locally
+    assert not detector.suspected_locally
     detector.record_check(OTHERS_ALIVE, 1.0)
     assert detector.state is partitiondetector.PartitionState.CONNECTED
     detector.on_neighbour_suspicion()
--- a/hyssoptack/policy/plancontext.py
+++ b/hyssoptack/policy/plancontext.py
@@ -19,7 +19,8 @@
         extra_call_budget: Budget for calls beyond a part's first call.
         partition_detector: Detector of partitions from other failure domains.
         mechanisms: Switches that enable or disable single mechanisms.
-        suspicions: Registry of requests that are suspected to crash upstreams.
+        suspect_registry: Registry of requests that are suspected to crash
+            upstreams.
     """
 
     load_balancer: loadbalancer.LoadBalancer
@@ -28,6 +29,6 @@
         default_factory=partitiondetector.PartitionDetector
     )
     mechanisms: mechanism.Mechanisms = mechanism.ALL_ENABLED
-    suspicions: quarantine.SuspectRegistry = dataclasses.field(
+    suspect_registry: quarantine.SuspectRegistry = dataclasses.field(
         default_factory=lambda: quarantine.SuspectRegistry(random.Random())
     )
--- a/hyssoptack/policy/probeguard.py
+++ b/hyssoptack/policy/probeguard.py
@@ -103,7 +103,7 @@
         crash = suspectrecord.UpstreamCrash(
             upstream_id=call.upstream_id,
             at_ms=now_ms,
-            proven=call.is_probe and outcome.was_only_call,
+            is_separate_event=call.is_probe and outcome.was_only_call,
         )
         self._registry.record_crash(self._fingerprint, crash, now_ms)
         self.is_probing = self._registry.is_tracked(self._fingerprint)
--- a/hyssoptack/policy/quarantine.py
+++ b/hyssoptack/policy/quarantine.py
@@ -112,7 +112,7 @@
         self._suspected: collections.OrderedDict[
             str, suspectrecord.SuspectRecord
         ] = collections.OrderedDict()
-        self._blocked: collections.OrderedDict[
+        self._quarantined: collections.OrderedDict[
             str, suspectrecord.SuspectRecord
         ] = collections.OrderedDict()
         self._answered: dict[str, float] = {}
@@ -131,20 +131,22 @@
     @property
     def quarantined_count(self) -> int:
         """Number of requests that are quarantined."""
-        return len(self._blocked)
+        return len(self._quarantined)
 
     @property
     def has_entries(self) -> bool:
         """Whether any request is suspected or quarantined."""
-        return bool(self._suspected or self._blocked)
+        return bool(self._suspected or self._quarantined)
 
     def is_tracked(self, fingerprint: str) -> bool:
         """Returns whether a request is suspected or quarantined."""
-        return fingerprint in self._suspected or fingerprint in self._blocked
+        return (
+            fingerprint in self._suspected or fingerprint in self._quarantined
+        )
 
     def is_quarantined(self, fingerprint: str, now_ms: float) -> bool:
         """Returns whether a request is quarantined and no probe is due."""
-        entry = self._blocked.get(fingerprint)
+        entry = self._quarantined.get(fingerprint)
         return entry is not None and (
             now_ms < entry.quarantined_until_ms + entry.probe_jitter_ms
         )
@@ -156,7 +158,7 @@
 
         Where a quarantined request's probe is due, this call starts it.
         """
-        entry = self._blocked.get(fingerprint)
+        entry = self._quarantined.get(fingerprint)
         if entry is not None:
             if self.is_quarantined(fingerprint, now_ms):
                 return Verdict.REFUSE
@@ -200,7 +202,7 @@
         """
         if not self._enabled or fingerprint in self._trusted:
             return
-        entry = self._blocked.get(fingerprint)
+        entry = self._quarantined.get(fingerprint)
         if entry is not None:
             # Crashes of calls sent before the quarantine prove nothing new.
             if entry.is_probing:
@@ -250,7 +252,11 @@
                 each.at_ms - entry.last_crash_ms
                 < suspectrecord.CRASH_EVENT_WINDOW_MS
             )
-            if each.proven or not same_event or len(entry.crashes) < 2:
+            if (
+                each.is_separate_event
+                or not same_event
+                or len(entry.crashes) < 2
+            ):
                 entry.crashes.append(each)
             entry.last_crash_ms = max(entry.last_crash_ms, each.at_ms)
         if source and new_crashes:
@@ -282,9 +288,9 @@
         source: str = "",
     ) -> None:
         self._suspected.pop(fingerprint, None)
-        self._blocked[fingerprint] = entry
-        self._blocked.move_to_end(fingerprint)
-        _drop_oldest(self._blocked)
+        self._quarantined[fingerprint] = entry
+        self._quarantined.move_to_end(fingerprint)
+        _drop_oldest(self._quarantined)
         entry.quarantine_count = term.count
         entry.quarantined_until_ms = now_ms + term.duration_ms
         entry.expires_ms = now_ms + term.retention_ms
@@ -305,7 +311,7 @@
 
     def _clear(self, fingerprint: str, source: str) -> None:
         entry = self._suspected.pop(fingerprint, None)
-        entry = self._blocked.pop(fingerprint, entry)
+        entry = self._quarantined.pop(fingerprint, entry)
         if entry.is_shared:
             self._queue_notice(fingerprint)
         self._report_change(
@@ -318,10 +324,10 @@
             if now_ms - entry.last_crash_ms > suspectrecord.SUSPICION_TTL_MS:
                 del self._suspected[fingerprint]
                 self._report_change(ChangeKind.EXPIRED, fingerprint, entry)
-        for fingerprint, entry in tuple(self._blocked.items()):
+        for fingerprint, entry in tuple(self._quarantined.items()):
             # No caller has sent it for as long as a probe was allowed.
             if now_ms > entry.expires_ms:
-                del self._blocked[fingerprint]
+                del self._quarantined[fingerprint]
                 self._report_change(ChangeKind.EXPIRED, fingerprint, entry)
 
     def _report_change(
@@ -360,7 +366,7 @@
         limit are dropped; `sample_notices` covers them later.
         """
         newest = reversed(self._pending_notices)
-        names = sorted(newest, key=lambda each: each not in self._blocked)
+        names = sorted(newest, key=lambda each: each not in self._quarantined)
         self._pending_notices.clear()
         notices = (
             self._notice_for(each, now_ms) for each in names[:limit_count]
@@ -374,7 +380,7 @@
 
         Quarantined requests come first.
         """
-        names = self._sample(self._blocked, limit_count)
+        names = self._sample(self._quarantined, limit_count)
         shared = [name for name, e in self._suspected.items() if e.is_shared]
         names += self._sample(shared, limit_count - len(names))
         notices = (self._notice_for(each, now_ms) for each in names)
@@ -392,7 +398,7 @@
     def _notice_for(
         self, fingerprint: str, now_ms: float
     ) -> gatewaymessage.Suspect | None:
-        entry = self._blocked.get(fingerprint)
+        entry = self._quarantined.get(fingerprint)
         entry = entry or self._suspected.get(fingerprint)
         if entry is None:
             answered_ms = self._answered.get(fingerprint)
@@ -411,7 +417,9 @@
         self, limit_count: int, now_ms: float
     ) -> list[tuple[str, suspectrecord.SuspectRecord]]:
         """Returns the most recently quarantined requests and their records."""
-        newest = itertools.islice(reversed(self._blocked.items()), limit_count)
+        newest = itertools.islice(
+            reversed(self._quarantined.items()), limit_count
+        )
         return [
             each
             for each in newest
@@ -440,7 +448,7 @@
             self._queue_notice(notice.fingerprint)
         elif notice.blocked_count:
             self._merge_quarantine(notice, at_ms, source, now_ms)
-        elif notice.fingerprint not in self._blocked:
+        elif notice.fingerprint not in self._quarantined:
             crashes = suspectrecord.crashes_from_notice(notice, now_ms)
             self._add_crashes(notice.fingerprint, crashes, now_ms, source)
 
@@ -449,7 +457,7 @@
     ) -> None:
         if at_ms > self._answered.get(fingerprint, float("-inf")):
             self._remember_answer(fingerprint, at_ms)
-        entry = self._blocked.get(fingerprint)
+        entry = self._quarantined.get(fingerprint)
         entry = entry or self._suspected.get(fingerprint)
         if entry is not None and entry.last_crash_ms <= at_ms:
             self._clear(fingerprint, source)
@@ -461,7 +469,7 @@
         source: str,
         now_ms: float,
     ) -> None:
-        entry = self._blocked.get(notice.fingerprint)
+        entry = self._quarantined.get(notice.fingerprint)
         if entry is not None and entry.quarantine_count >= notice.blocked_count:
             return
         entry = entry or self._suspected.get(notice.fingerprint)
--- a/hyssoptack/policy/quarantine_test.py
+++ b/hyssoptack/policy/quarantine_test.py
@@ -22,7 +22,9 @@
 
 def crash(each, now_ms, name="", proven=True, fingerprint=BAD):
     record = suspectrecord.UpstreamCrash(
-        upstream_id=name or f"u-{now_ms}", at_ms=now_ms, proven=proven
+        upstream_id=name or f"u-{now_ms}",
+        at_ms=now_ms,
+        is_separate_event=proven,
     )
     each.record_crash(fingerprint, record, now_ms)
 
@@ -125,7 +127,7 @@
     for seed in range(20):
         each = make_registry(seed)
         quarantine_request(each)
-        due_ms.add(round(each._blocked[BAD].probe_jitter_ms / 1_000.0))
+        due_ms.add(round(each._quarantined[BAD].probe_jitter_ms / 1_000.0))
     assert len(due_ms) > 10
 
 
@@ -258,7 +260,7 @@
 def test_a_probe_just_before_expiry_keeps_the_entry():
     each = make_registry()
     quarantine_request(each)
-    now_ms = each._blocked[BAD].expires_ms - 10.0
+    now_ms = each._quarantined[BAD].expires_ms - 10.0
     assert each.decide(BAD, now_ms) is PROBE
     each.expire(now_ms + 50.0)
     crash(each, now_ms + 60.0)
--- a/hyssoptack/policy/queryplan.py
+++ b/hyssoptack/policy/queryplan.py
@@ -39,7 +39,7 @@
     Attributes:
         router: Chooses the relay path of each call.
         upstream_health: Health and latency of upstreams, from earlier calls.
-        retry_budgets: Budgets for extra calls, one for each service.
+        extra_call_budgets: Budgets for extra calls, one for each service.
         hedge_policy: Policy that sets the delay and the budget of hedges.
         current_service: Looks up a service by name in the current
             configuration; returns None for an unknown name.
@@ -47,7 +47,7 @@
 
     router: routing.Router
     upstream_health: health.HealthTracker
-    retry_budgets: budget.ServiceBudgets
+    extra_call_budgets: budget.ServiceBudgets
     hedge_policy: hedging.HedgePolicy
     current_service: collections.abc.Callable[[str], catalog.Service | None]
 
@@ -99,7 +99,7 @@
             isinstance(each, querycommand.Send) for each in commands
         )
         ceiling = self._profile.extra_load_ceiling_ratio
-        self._context.retry_budgets.earn(
+        self._context.extra_call_budgets.earn(
             self._service.name, ceiling, sent_count
         )
         return commands + self._finish_if_done(now_ms)
@@ -276,7 +276,7 @@
     def _call_within_budget(
         self, state: shardstate.ShardState, now_ms: float
     ) -> list[querycommand.Command]:
-        if not self._context.retry_budgets.try_spend(self._service.name):
+        if not self._context.extra_call_budgets.try_spend(self._service.name):
             return self._abandon(state)
         self.extra_call_count += 1
         return self._call_shard(state, now_ms)
@@ -296,7 +296,7 @@
     def _try_spend_for_hedge(self) -> bool:
         match self._context.hedge_policy:
             case hedging.HedgeAfterQuantile():
-                return self._context.retry_budgets.try_spend(
+                return self._context.extra_call_budgets.try_spend(
                     self._service.name, HEDGE_RESERVE_COUNT
                 )
             case hedging.HedgeAfterDelay():
--- a/hyssoptack/policy/queryplan_test.py
+++ b/hyssoptack/policy/queryplan_test.py
@@ -43,7 +43,7 @@
 
 def test_answers_of_all_shards_give_a_complete_answer():
     current = example.service(4, 3)
-    plan, commands = _plan(current, example.knowledge(current))
+    plan, commands = _plan(current, example.planning_context(current))
     answer = _result(_reply_all(plan, current, commands))
     assert answer.coverage_ratio == 1.0
     assert answer.upstream_call_count == 4
@@ -53,7 +53,7 @@
 
 def test_late_and_duplicate_replies_are_ignored():
     current = example.service(2, 3)
-    plan, commands = _plan(current, example.knowledge(current))
+    plan, commands = _plan(current, example.planning_context(current))
     first, second = _sends(commands)
     reply = example.answer_reply(first, current)
     assert _result(plan.on_reply(reply, 5.0)) is None
@@ -65,7 +65,7 @@
 
 def test_an_upstream_that_answers_another_version_is_called_again():
     current = example.service(2, 1)
-    plan, commands = _plan(current, example.knowledge(current))
+    plan, commands = _plan(current, example.planning_context(current))
     first, second = _sends(commands)
     plan.on_reply(example.answer_reply(first, current, 1, (1,)), 5.0)
     mixed = example.answer_reply(second, current, 2, (1, 2))
@@ -80,7 +80,7 @@
 
 def test_a_shard_that_lacks_the_version_lowers_coverage():
     current = example.service(2, 1)
-    plan, commands = _plan(current, example.knowledge(current))
+    plan, commands = _plan(current, example.planning_context(current))
     first, second = _sends(commands)
     plan.on_reply(example.answer_reply(first, current, 1, (1,)), 5.0)
     missing = example.failure_reply(second, _MISSING, held_versions=(2,))
@@ -93,7 +93,7 @@
     # Held versions are known from answers only; the record of an upstream that
     # is never called would never be updated.
     current = example.service(2, 1)
-    context = example.knowledge(current)
+    context = example.planning_context(current)
     upstreams = context.upstream_health.upstreams
     upstreams[current.shards[0].upstream_ids[0]].held_versions = (2,)
     upstreams[current.shards[1].upstream_ids[0]].held_versions = (1,)
@@ -103,7 +103,7 @@
 
 def test_a_retry_goes_to_another_upstream_not_just_another_relay():
     current = example.service(1, 3)
-    plan, commands = _plan(current, example.knowledge(current))
+    plan, commands = _plan(current, example.planning_context(current))
     first = _sends(commands)[0]
     resent = _sends(plan.on_reply(example.failure_reply(first, _FAILED), 5.0))
     assert resent[0].path.upstream_id != first.path.upstream_id
@@ -111,16 +111,19 @@
 
 def test_a_relay_that_sheds_without_a_call_costs_no_budget():
     current = example.service(1, 3)
-    context = example.knowledge(current)
+    context = example.planning_context(current)
     plan, commands = _plan(current, context)
     shed = example.failure_reply(_sends(commands)[0], _SHED, reached=False)
     assert len(_sends(plan.on_reply(shed, 1.0))) == 1
-    assert context.retry_budgets.for_service(current.name).extra_call_count == 0
+    assert (
+        context.extra_call_budgets.for_service(current.name).extra_call_count
+        == 0
+    )
 
 
 def test_retries_stop_when_the_budget_is_spent():
     current = example.service(50, 3)
-    context = example.knowledge(current)
+    context = example.planning_context(current)
     plan, commands = _plan(current, context, coverage_floor_ratio=0.0)
     extra = 0
     open_sends = _sends(commands)
@@ -135,18 +138,21 @@
 
 def test_rerouting_a_call_that_reached_no_upstream_costs_no_budget():
     current = example.service(1, 3)
-    context = example.knowledge(current)
+    context = example.planning_context(current)
     plan, commands = _plan(current, context)
     lost = example.failure_reply(
         _sends(commands)[0], message.CallStatus.NOT_OWNER, reached=False
     )
     assert len(_sends(plan.on_reply(lost, 1.0))) == 1
-    assert context.retry_budgets.for_service(current.name).extra_call_count == 0
+    assert (
+        context.extra_call_budgets.for_service(current.name).extra_call_count
+        == 0
+    )
 
 
 def test_a_slow_call_is_hedged_once_and_the_slower_call_cancelled():
     current = example.service(1, 3)
-    context = example.knowledge(current)
+    context = example.planning_context(current)
     for number in range(40):
         reply = message.UpstreamReply(
             call_id=number,
@@ -173,7 +179,7 @@
 def test_a_query_that_cant_reach_its_floor_is_refused_at_once():
     current = example.service(4, 1)
     plan, commands = _plan(
-        current, example.knowledge(current), coverage_floor_ratio=0.9
+        current, example.planning_context(current), coverage_floor_ratio=0.9
     )
     send = _sends(commands)[0]
     refused = _result(plan.on_reply(example.failure_reply(send, _FAILED), 1.0))
@@ -184,7 +190,7 @@
 
 def test_at_the_deadline_a_partial_answer_states_its_coverage():
     current = example.service(4, 1)
-    plan, commands = _plan(current, example.knowledge(current))
+    plan, commands = _plan(current, example.planning_context(current))
     for send in _sends(commands)[:3]:
         plan.on_reply(example.answer_reply(send, current), 5.0)
     answer = _result(plan.on_timeout(395.0))
@@ -194,7 +200,7 @@
 
 def test_overlapping_ranges_and_their_hits_count_once():
     current = example.service(2, 1)
-    plan, commands = _plan(current, example.knowledge(current))
+    plan, commands = _plan(current, example.planning_context(current))
     first, second = _sends(commands)
     wide = example.answer_reply(first, current)
     wide = message.UpstreamReply(
--- a/hyssoptack/policy/readerelection.py
+++ b/hyssoptack/policy/readerelection.py
@@ -148,7 +148,7 @@
         self.peak_instance_count = 0
         self.peak_neighbour_mbps = 0.0
 
-    def install(
+    def set_neighbours(
         self, neighbours: tuple[member.Peer, ...], total_count: int
     ) -> None:
         """Replaces the list of live instances.
--- a/hyssoptack/policy/readerelection_test.py
+++ b/hyssoptack/policy/readerelection_test.py
@@ -27,7 +27,7 @@
     elections = []
     for name in ranked:
         each = readerelection.ReaderElection(name, "north", TIMINGS)
-        each.install(peers, len(peers))
+        each.set_neighbours(peers, len(peers))
         elections.append((name, each))
     return elections
 
@@ -63,7 +63,7 @@
 
 def test_the_peak_instance_count_survives_an_empty_list():
     (_, each), *_ = elections_by_rank()
-    each.install((), 0)
+    each.set_neighbours((), 0)
     assert each.peak_instance_count == len(NAMES)
 
 
--- a/hyssoptack/policy/records.py
+++ b/hyssoptack/policy/records.py
@@ -6,7 +6,7 @@
 """Length of a record in bytes."""
 
 
-def greatest(bodies: tuple[bytes, ...], top_count: int) -> bytes:
+def merge_greatest(bodies: tuple[bytes, ...], top_count: int) -> bytes:
     """Returns the greatest records of all bodies, greatest first.
 
     Args:
--- a/hyssoptack/policy/records_test.py
+++ b/hyssoptack/policy/records_test.py
@@ -19,8 +19,8 @@
         if len(body[start : start + 16]) == 16
     ]
     expected = b"".join(sorted(whole_records, reverse=True)[:top_count])
-    assert records.greatest(tuple(bodies), top_count) == expected
+    assert records.merge_greatest(tuple(bodies), top_count) == expected
 
 
 def test_duplicate_records_are_kept():
-    assert records.greatest((b"a" * 16, b"a" * 16), 5) == b"a" * 32
+    assert records.merge_greatest((b"a" * 16, b"a" * 16), 5) == b"a" * 32
--- a/hyssoptack/policy/routing.py
+++ b/hyssoptack/policy/routing.py
@@ -68,7 +68,7 @@
         self._path_load: collections.Counter[RelayPath] = collections.Counter()
         self._relay_load: collections.Counter[str] = collections.Counter()
 
-    def install(self, view: RoutingView) -> None:
+    def set_view(self, view: RoutingView) -> None:
         """Replaces the view; discards its paths if the view has changed."""
         if view == self._view:
             return
--- a/hyssoptack/policy/routing_test.py
+++ b/hyssoptack/policy/routing_test.py
@@ -18,7 +18,7 @@
 
 def _service_and_context():
     current = example.service(4, 3)
-    context = example.knowledge(current)
+    context = example.planning_context(current)
     return current, context, current.shards[0].upstream_ids
 
 
--- a/hyssoptack/policy/suspectrecord.py
+++ b/hyssoptack/policy/suspectrecord.py
@@ -50,13 +50,13 @@
     Attributes:
         upstream_id: Identifier of the upstream.
         at_ms: Time at which the crash was noticed.
-        proven: Whether the upstream was known to be alive after an earlier
-            crash, and ran no other call of the same instance.
+        is_separate_event: Whether the upstream was known to be alive after an
+            earlier crash, and ran no other call of the same instance.
     """
 
     upstream_id: str
     at_ms: float
-    proven: bool
+    is_separate_event: bool
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -90,7 +90,10 @@
     count = 0
     before_ms = float("-inf")
     for each in sorted(crashes, key=lambda each: each.at_ms):
-        count += each.proven or each.at_ms - before_ms >= CRASH_EVENT_WINDOW_MS
+        count += (
+            each.is_separate_event
+            or each.at_ms - before_ms >= CRASH_EVENT_WINDOW_MS
+        )
         before_ms = each.at_ms
     return count
 
@@ -120,7 +123,7 @@
             gatewaymessage.SuspectCrash(
                 upstream_id=each.upstream_id,
                 age_ms=now_ms - each.at_ms,
-                proven=each.proven,
+                proven=each.is_separate_event,
             )
             for each in (() if entry.quarantine_count else entry.crashes)
         ),
@@ -135,7 +138,7 @@
         UpstreamCrash(
             upstream_id=given.upstream_id,
             at_ms=now_ms - given.age_ms,
-            proven=given.proven,
+            is_separate_event=given.proven,
         )
         for given in each.endings[:CRASH_LIMIT_COUNT]
     )
--- a/hyssoptack/policy/windowbudget.py
+++ b/hyssoptack/policy/windowbudget.py
@@ -120,9 +120,9 @@
 
     Attributes:
         share: The share for calls to services that are not shards.
-        gather_share: The share for calls to shards; it is larger on instances
+        shard_share: The share for calls to shards; it is larger on instances
             to which queries are delegated.
-        gathered_services: The services that are shards of a route.
+        shard_services: The services that are shards of a route.
     """
 
     def __init__(self, share: BudgetShare, started_ms: float):
@@ -133,8 +133,8 @@
             started_ms: When the instance started.
         """
         self.share = share
-        self.gather_share = share
-        self.gathered_services: frozenset[str] = frozenset()
+        self.shard_share = share
+        self.shard_services: frozenset[str] = frozenset()
         self._started_ms = started_ms
         self._services: dict[str, _ServiceCounts] = {}
 
@@ -174,9 +174,7 @@
     def _share_for(self, service: str) -> BudgetShare:
         """Returns the budget share that calls to a service draw on."""
         return (
-            self.gather_share
-            if service in self.gathered_services
-            else self.share
+            self.shard_share if service in self.shard_services else self.share
         )
 
     def _refresh(
--- a/hyssoptack/policy/windowbudget_test.py
+++ b/hyssoptack/policy/windowbudget_test.py
@@ -186,8 +186,8 @@
 
 def test_gathered_services_draw_on_a_separate_share_of_the_slack():
     budget = running_budget(share(slack_count=0.0))
-    budget.gather_share = share(slack_count=8.0)
-    budget.gathered_services = frozenset(("s",))
+    budget.shard_share = share(slack_count=8.0)
+    budget.shard_services = frozenset(("s",))
     assert spent_count(budget, 0.0) == 4
     assert not budget.try_spend("desk", 0.0)
 
--- a/hyssoptack/relay/client.py
+++ b/hyssoptack/relay/client.py
@@ -66,7 +66,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class ActReply:
+class ActionReplyBody:
     """JSON body of an upstream's reply to a non-idempotent request."""
 
     receipt: str
@@ -98,7 +98,7 @@
 
 _ENCODER = msgspec.json.Encoder()
 _SEARCH_DECODER = msgspec.json.Decoder(SearchReply)
-_ACT_DECODER = msgspec.json.Decoder(ActReply)
+_ACT_DECODER = msgspec.json.Decoder(ActionReplyBody)
 
 
 class UpstreamClient:
--- a/hyssoptack/reports/fleet.py
+++ b/hyssoptack/reports/fleet.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Reading:
+class InstanceResponse:
     """The reply of one instance.
 
     Attributes:
@@ -30,7 +30,7 @@
 
 def _read_one(
     pool: urllib3.PoolManager, each: member.Member, path: str
-) -> Reading:
+) -> InstanceResponse:
     try:
         response = pool.request(
             "GET",
@@ -40,14 +40,16 @@
         )
         if response.status != STATUS_OK:
             text = f"answered {response.status}"
-            return Reading(member=each, document=None, error=text)
+            return InstanceResponse(member=each, document=None, error=text)
         document = msgspec.json.decode(response.data)
-        return Reading(member=each, document=document)
+        return InstanceResponse(member=each, document=document)
     except (urllib3.exceptions.HTTPError, msgspec.DecodeError) as error:
-        return Reading(member=each, document=None, error=repr(error))
+        return InstanceResponse(member=each, document=None, error=repr(error))
 
 
-def read(members: tuple[member.Member, ...], path: str) -> list[Reading]:
+def read(
+    members: tuple[member.Member, ...], path: str
+) -> list[InstanceResponse]:
     """Requests a path from all instances in parallel.
 
     Args:
--- a/hyssoptack/revisions/change.py
+++ b/hyssoptack/revisions/change.py
@@ -230,7 +230,7 @@
     manifest: catalog.Manifest,
     changed_names: tuple[str, ...],
 ) -> Outcome:
-    text = configuration.manifest_text(manifest)
+    text = configuration.encode_manifest(manifest)
     detail = ""
     for _ in range(HEAD_TRY_COUNT):
         written = client.put(configuration.HEAD_KEY, text, head.version)
@@ -285,7 +285,7 @@
     return expression.Ok(parts)
 
 
-def difference(old: dict[str, str], new: dict[str, str]) -> str:
+def parts_diff(old: dict[str, str], new: dict[str, str]) -> str:
     """Returns the unified diff of two sets of part texts."""
     lines: list[str] = []
     for name in sorted(set(old) | set(new)):
--- a/hyssoptack/revisions/configuration.py
+++ b/hyssoptack/revisions/configuration.py
@@ -24,7 +24,7 @@
 _ENCODER = msgspec.json.Encoder()
 
 
-def manifest_text(manifest: catalog.Manifest) -> str:
+def encode_manifest(manifest: catalog.Manifest) -> str:
     """Encodes a manifest in its stored form."""
     return _ENCODER.encode(manifest).decode()
 
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class InForce:
+class NewConfiguration:
     """The offer was accepted: its revision replaces the one in force.
 
     Attributes:
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Lacking:
+class MissingParts:
     """The offer is pending: parts are missing.
 
     Attributes:
@@ -72,7 +72,7 @@
     reason: str
 
 
-OfferResult = InForce | Lacking | Ignored
+OfferResult = NewConfiguration | MissingParts | Ignored
 
 
 class ActiveConfiguration:
@@ -118,8 +118,8 @@
                 digest is ignored.
 
         Returns:
-            `InForce` if the revision was accepted, `Lacking` if parts must be
-            fetched first, otherwise `Ignored`.
+            `NewConfiguration` if the revision was accepted, `MissingParts` if
+            parts must be fetched first, otherwise `Ignored`.
         """
         manifest = decode_manifest(text)
         if manifest is None:
@@ -143,7 +143,7 @@
                 self._parts[digest] = part
         missing = tuple(sorted(set(manifest.parts.values()) - set(self._parts)))
         if missing:
-            return Lacking(digests=missing)
+            return MissingParts(digests=missing)
         return self._assemble(manifest)
 
     def on_fetch_failed(self) -> None:
@@ -180,7 +180,7 @@
             revision=manifest.revision,
             change_id=manifest.change_id,
         )
-        return InForce(catalog=current, manifest=manifest)
+        return NewConfiguration(catalog=current, manifest=manifest)
 
     def _apply_event(self, event: str) -> None:
         self._state = _CHART.step(self._state, event)
--- a/hyssoptack/revisions/configuration_test.py
+++ b/hyssoptack/revisions/configuration_test.py
@@ -18,7 +18,7 @@
         applied_at_text="",
         parts={"profiles": digest},
     )
-    return configuration.manifest_text(manifest), {digest: text}
+    return configuration.encode_manifest(manifest), {digest: text}
 
 
 def _offer_result(config, *offer):
@@ -27,27 +27,27 @@
 
 def test_only_later_revisions_come_into_force():
     config = configuration.ActiveConfiguration()
-    assert _offer_result(config, *_offer(5)) == "InForce"
+    assert _offer_result(config, *_offer(5)) == "NewConfiguration"
     assert _offer_result(config, *_offer(4)) == "Ignored"
     assert _offer_result(config, *_offer(5)) == "Ignored"
     assert config.revision() == 5
-    assert _offer_result(config, *_offer(9)) == "InForce"
+    assert _offer_result(config, *_offer(9)) == "NewConfiguration"
 
 
 def test_revision_with_missing_parts_is_not_in_force():
     config = configuration.ActiveConfiguration()
     text, parts = _offer(1)
     result = config.merge_offer(text, {})
-    assert result == configuration.Lacking(digests=tuple(parts))
+    assert result == configuration.MissingParts(digests=tuple(parts))
     assert config.revision() == 0
-    assert _offer_result(config, text, parts) == "InForce"
+    assert _offer_result(config, text, parts) == "NewConfiguration"
 
 
 def test_part_that_does_not_match_its_digest_is_ignored():
     config = configuration.ActiveConfiguration()
     text, parts = _offer(1)
     forged = dict.fromkeys(parts, _PROFILE % 999)
-    assert _offer_result(config, text, forged) == "Lacking"
+    assert _offer_result(config, text, forged) == "MissingParts"
 
 
 def test_revision_with_errors_does_not_replace_the_one_in_force():
@@ -55,7 +55,7 @@
     config.merge_offer(*_offer(1))
     assert _offer_result(config, *_offer(2, "{profiles: 3}")) == "Ignored"
     assert config.revision() == 1
-    assert _offer_result(config, *_offer(3)) == "InForce"
+    assert _offer_result(config, *_offer(3)) == "NewConfiguration"
 
 
 def test_unreadable_head_is_ignored():
--- a/hyssoptack/revisions/platformwatch.py
+++ b/hyssoptack/revisions/platformwatch.py
@@ -26,7 +26,7 @@
 RETRY = backoff.Backoff(min_ms=100.0, max_ms=3_000.0)
 WATCH_ROLE = "config-watch"
 
-OnConfig = collections.abc.Callable[[configuration.InForce], None]
+OnConfig = collections.abc.Callable[[configuration.NewConfiguration], None]
 
 
 class PlatformWatcher:
@@ -144,14 +144,14 @@
 
     async def _apply_head(self, head: store.Stored) -> bool:
         result = self._config.merge_offer(head.value, {})
-        if isinstance(result, configuration.Lacking):
+        if isinstance(result, configuration.MissingParts):
             parts = await self._fetch_parts(result.digests)
             if len(parts) < len(result.digests):
                 self._config.on_fetch_failed()
                 return False
             result = self._config.merge_offer(head.value, parts)
         self._config.head_version = head.version
-        if isinstance(result, configuration.InForce):
+        if isinstance(result, configuration.NewConfiguration):
             self._on_config(result)
         return True
 
--- a/hyssoptack/scripts/main.py
+++ b/hyssoptack/scripts/main.py
@@ -198,7 +198,7 @@
     """
     parts = _read_file(file)
     _, in_force = _parts_in_force(_store(store_address))
-    text = change.difference(in_force, parts)
+    text = change.parts_diff(in_force, parts)
     print(text or "no difference")
     sys.exit(EXIT_FAILED if text else EXIT_OK)
 
--- a/soak/invariants.py
+++ b/soak/invariants.py
@@ -208,7 +208,9 @@
                 "coverage below the floor", each, str(signatures)
             )
         bodies = tuple(upstream.body for upstream in upstreams)
-        if response.body != records.greatest(bodies, environment.TOP_COUNT):
+        if response.body != records.merge_greatest(
+            bodies, environment.TOP_COUNT
+        ):
             self._add_violation(
                 "merged records are not the greatest", each, str(signatures)
             )
