--- a/hyssoptack/policy/budget.py
+++ b/hyssoptack/policy/budget.py
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Budget:
-    """Tokens for extra calls, and the totals for the burn report.
+    """Tokens for extra calls, and the totals of the calls made so far.
 
     Attributes:
         token_count: Tokens in the bucket.
--- a/hyssoptack/policy/delayestimate.py
+++ b/hyssoptack/policy/delayestimate.py
@@ -39,9 +39,9 @@
         )
         self.estimate_ms = least_ms
 
-    def record(self, late_ms: float) -> None:
+    def record(self, delay_ms: float) -> None:
         """Records one delay."""
-        self._delays_ms.append(min(MAX_MS, late_ms))
+        self._delays_ms.append(min(MAX_MS, delay_ms))
         ordered = sorted(self._delays_ms)
         usual_ms = ordered[int(QUANTILE_RATIO * (len(ordered) - 1))]
         self.estimate_ms = max(self._least_ms, usual_ms)
--- a/hyssoptack/policy/gatherers.py
+++ b/hyssoptack/policy/gatherers.py
@@ -48,7 +48,7 @@
 OVERDUE_QUANTILE_RATIO = 0.97
 """Quantile of first report times that the timeout covers at least. Where
 instances lack CPU time, first reports are usually late (60 to 90 ms of a goal
-of 94 on 0.12 of a core), and repeating their calls would only lengthen all
+of 94 ms on 0.12 of a core), and repeating their calls would only lengthen all
 queues."""
 
 
--- a/hyssoptack/policy/health.py
+++ b/hyssoptack/policy/health.py
@@ -35,7 +35,7 @@
     """Health of one upstream as seen by this instance.
 
     Attributes:
-        state: State in the upstream chart.
+        state: State in the state machine `upstream` (`hyssoptack.charts`).
         service_ms: Smoothed time from sending a call to its answer, in
             milliseconds.
         last_outcome_ms: Time of the last answer, failure or slow cancelled
@@ -53,7 +53,7 @@
     versions_reported_ms: float = 0.0
 
     def apply_event(self, event: str, now_ms: float) -> bool:
-        """Applies an event to the chart; returns whether the state changed."""
+        """Applies a state machine event; returns whether the state changed."""
         before = self.state
         self.state = _CHART.step(before, event)
         if self.state != before:
--- a/hyssoptack/policy/membership.py
+++ b/hyssoptack/policy/membership.py
@@ -144,7 +144,7 @@
 
 def usable(
     roster: Roster,
-    awaited: PendingAnswers,
+    pending_answers: PendingAnswers,
     suspect_after_ms: float,
     gone_after_ms: float,
     now_ms: float,
@@ -158,7 +158,7 @@
 
     Args:
         roster: All sightings.
-        awaited: Pending answers.
+        pending_answers: The answers that instances still have to send.
         suspect_after_ms: Time after which a pending answer is overdue.
         gone_after_ms: Time after which an unseen instance counts as gone.
         now_ms: The current time.
@@ -173,7 +173,7 @@
         name: each.member
         for name, each in newest.items()
         if not each.member.leaving
-        and not awaited.is_overdue(name, suspect_after_ms, now_ms)
+        and not pending_answers.is_overdue(name, suspect_after_ms, now_ms)
         and not (list_is_fresh and now_ms - each.last_seen_ms() > gone_after_ms)
     }
 
--- a/hyssoptack/policy/probeguard.py
+++ b/hyssoptack/policy/probeguard.py
@@ -91,7 +91,7 @@
         """Records a call's outcome.
 
         Returns:
-            Whether the request is now refused because it crashes upstreams.
+            Whether the request must now fail because it crashes upstreams.
         """
         if outcome.reason == callresult.CRASHES_UPSTREAMS:
             return not self._answered
--- a/hyssoptack/policy/quarantine.py
+++ b/hyssoptack/policy/quarantine.py
@@ -14,9 +14,9 @@
 separate events and none has answered it. A harmless request is quarantined only
 if upstreams known to be alive crash by chance that often, each during the tens
 to hundreds of milliseconds in which it runs the request. Quarantined requests
-are refused. When a quarantine ends, one request is sent as a probe: a request
-that has become harmless is served again, and one that still crashes upstreams
-costs one of them.
+are not sent; they fail at once. When a quarantine ends, one request is sent as
+a probe: a request that has become harmless is served again, and one that still
+crashes upstreams costs one of them.
 
 Entries are limited in number and in age. Instances exchange them
 (`gateway.quarantinesync`).
@@ -196,7 +196,7 @@
     ) -> None:
         """Records that an upstream crashed with a request in flight.
 
-        No upstream may have answered the request yet, as far as its plan knows.
+        Must be called only while the request's plan knows of no answer to it.
         """
         if not self._enabled or fingerprint in self._trusted:
             return
--- a/hyssoptack/policy/readerelection.py
+++ b/hyssoptack/policy/readerelection.py
@@ -51,17 +51,18 @@
 """Age of the last exact read at which the second instance reads, even if it has
 received older states since, as a part of the time within which a change must
 take effect. The first instance's next exact read comes within 0.767 of that
-time (two periods with their jitter), a fiftieth of it earlier."""
+time (two periods with their jitter), which is a fiftieth of that time before
+the second instance reads."""
 
 EXACT_STEP_RATIO = 0.025
-"""Additional age for each further rank, 75 to 150 ms: a read takes some 30
-ms."""
+"""Additional age for each further rank, as a part of the same time: 75 to 150
+ms where that time is 3 to 6 s. A read takes some 30 ms."""
 
 BOUND_MIN_MS = 1_000.0
 BOUND_MAX_MS = 6_000.0
-"""Limits on the time within which a change must take effect, as used here:
-longer intervals would save hardly any calls, and the known state would get too
-old."""
+"""Limits to which `read_timings` clamps the time within which a change must
+take effect. Above the upper limit, longer intervals would save hardly any
+calls, and the known state would get too old."""
 
 RANK_STEP_LIMIT_COUNT = 3
 """Largest number of rank steps that an instance waits. Instances of still lower
--- a/hyssoptack/policy/warmup.py
+++ b/hyssoptack/policy/warmup.py
@@ -25,9 +25,9 @@
 """Part of the limit that is divided among the instances."""
 
 WINDOW_MS = 1_250.0
-"""Length of the window in which requests are counted. An upstream counts per
-second; the rest covers requests that arrive late because they waited for a
-connection."""
+"""Length of the window in which requests are counted. An upstream counts
+requests per second; the additional 250 ms cover requests that arrive late
+because they waited for a connection."""
 
 SETTLE_MS = 1_700.0
 """Time after the start of an instance before it uses its share. It uses the
--- a/hyssoptack/policy/windowbudget.py
+++ b/hyssoptack/policy/windowbudget.py
@@ -12,11 +12,11 @@
 contains at most one full bucket and its refill.
 
 An instance stays within its share at each moment at which it spends. In a
-window that ends later some requests may be too old to count while the extra
-calls that they paid for are not. The operator therefore counts the requests in
-the fullest of three windows: the last one, the one before it and the one half a
-window earlier. A margin in the shares covers instances whose fullest windows
-differ.
+window that ends later, some requests may be too old to count while the extra
+calls that they allowed still count. The operator therefore counts the requests
+in the fullest of three windows: the last one, the one before it and the one
+half a window earlier. A margin in the shares covers instances whose fullest
+windows differ.
 """
 
 import collections
@@ -64,8 +64,8 @@
     Attributes:
         number: Number of the slot since time 0.
         request_count: Requests to the service.
-        extra_count: Extra calls paid for by requests; part of a call where the
-            slack paid the rest.
+        extra_count: Extra calls covered by the ratio; a fraction of a call
+            where the slack covered the rest.
     """
 
     number: int
@@ -78,7 +78,7 @@
 
     Attributes:
         request_count: Requests to the service.
-        extra_count: Extra calls paid for by these requests.
+        extra_count: Extra calls covered by the ratio.
         slack_count: Extra calls available in the slack bucket.
         refilled_ms: When the slack bucket was last refilled.
     """
@@ -160,10 +160,10 @@
         found, slot, earned_count = self._refresh(service, now_ms)
         if earned_count + found.slack_count < 1.0 + reserve_count:
             return False
-        paid_count = min(1.0, earned_count)
-        slot.extra_count += paid_count
-        found.extra_count += paid_count
-        found.slack_count -= 1.0 - paid_count
+        covered_count = min(1.0, earned_count)
+        slot.extra_count += covered_count
+        found.extra_count += covered_count
+        found.slack_count -= 1.0 - covered_count
         return True
 
     def can_spend(self, service: str, now_ms: float) -> bool:
