--- a/hyssoptack/gateway/daemon.py
+++ b/hyssoptack/gateway/daemon.py
@@ -140,7 +140,8 @@
         self._metrics_server = httpserver.Server(
             handler=status_pages.answer_metrics
         )
-        # Changes to the list of upstreams don't close connections to the store.
+        # The store has pools of its own, because `Pools.keep_only` closes the
+        # pools of everything but the upstreams that it is given.
         self._store_pools = pool.Pools(headers.REQUEST_ID)
         self._store = keyvalue.Client(settings.store_address, self._store_pools)
         self._peering = peering.Peering(
@@ -246,7 +247,7 @@
         self._extra_call_budget.gathered_services = configuration.shard_services
 
     def _on_partition_change(self) -> None:
-        """Updates the rotation after a change of the partition state.
+        """Sets whether caller connections close after their next reply.
 
         During a partition, also notifies neighbours and abandons calls to
         other failure domains.
--- a/hyssoptack/gateway/gathererservice.py
+++ b/hyssoptack/gateway/gathererservice.py
@@ -28,8 +28,8 @@
 from hyssoptack.policy import records
 
 RELAYED_RANK = sys.maxsize
-"""Rank of relayed calls for scarce upstreams: queries of the upstream's own
-domain go first."""
+"""Priority of relayed calls to upstreams that are warming up, the lowest one:
+queries of the upstream's own domain go first."""
 
 Send = collections.abc.Callable[[str, gatewaymessage.Message], None]
 """Sends a message to the instance at an address."""
--- a/hyssoptack/gateway/peering.py
+++ b/hyssoptack/gateway/peering.py
@@ -24,13 +24,13 @@
 links to former readers are not needed for long."""
 
 LATENCY_NOTICE_PERIOD_S = 0.5
-"""How often calls to slow upstreams are published. With 26 instances in a
-failure domain, each calls an upstream so seldom that it alone would need 5 to
-10 s to detect that the upstream is slow; 25 messages per period cost an
-instance about 7 ms of processor time a second."""
+"""How often latency samples of slow upstreams are sent to neighbours. With 26
+instances in a failure domain, each calls an upstream so seldom that it alone
+would need 5 to 10 s to detect that the upstream is slow; 25 messages per period
+cost an instance about 7 ms of processor time a second."""
 
 LATENCY_NOTICE_PEER_COUNT = 32
-"""Maximum number of neighbours that get each notice of calls. They are sampled
+"""Maximum number of neighbours that get each latency notice. They are sampled
 at random, so that the cost of a round does not grow with the number of
 instances in a failure domain."""
 
@@ -202,7 +202,7 @@
         return self._random.sample(peers, min(len(peers), max_count))
 
     async def publish_latencies_periodically(self) -> None:
-        """Publishes calls to slow upstreams to neighbours until cancelled."""
+        """Sends latencies of slow upstreams to neighbours until cancelled."""
         while True:
             await asyncio.sleep(LATENCY_NOTICE_PERIOD_S)
             calls = self._view.load_balancer.calls_to_share(clock.now_ms())
--- a/hyssoptack/gateway/pool.py
+++ b/hyssoptack/gateway/pool.py
@@ -38,18 +38,19 @@
 requests."""
 
 EXIT_CHECK_TIMEOUT_MS = 50.0
-"""Timeout of a check whether an upstream has exited. The machine of an exited
-upstream refuses a connection at once (0.2 to 4 ms for the round trip); a
-running upstream accepts within 15 ms. If neither happens, the upstream is
-unresponsive, which the timeouts of calls detect."""
+"""Timeout of one connection attempt of a check whether an upstream has exited.
+The machine of an exited upstream refuses a connection at once (0.2 to 4 ms for
+the round trip); a running upstream accepts within 15 ms. If neither happens,
+the upstream is unresponsive, which the timeouts of calls detect."""
 
 EXIT_CHECK_COUNT = 3
-"""Maximum number of exit checks in a row. The system of an exiting process may
-still accept a connection and reset it, and refuses the next one."""
+"""Maximum number of connection attempts in one exit check. The operating system
+of an exiting process may still accept a connection and reset it, and refuses
+the next one."""
 
 RESET_WAIT_MS = 2.0
-"""Wait for a reset after a connection was accepted. A connection that is still
-open after it was accepted by a running process."""
+"""Wait for a reset after a connection was accepted. If the connection is still
+open after this wait, a running process has accepted it."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -278,7 +279,8 @@
     ) -> bool:
         """Returns whether a new connection is lost within `RESET_WAIT_MS`.
 
-        The system of an exiting process resets connections that it accepted.
+        The operating system resets connections that it accepted for a process
+        that is exiting.
         """
         if not isinstance(found, httpclient.UpstreamConnection):
             return False
--- a/hyssoptack/gateway/quarantinestore.py
+++ b/hyssoptack/gateway/quarantinestore.py
@@ -144,14 +144,14 @@
         now_ms: float,
     ) -> None:
         ttl_ms = max(entry.expires_ms - now_ms for _, entry in missing)
-        unix_ms = _unix_ms() - now_ms
+        unix_offset_ms = _unix_ms() - now_ms
         items = {
             self._prefix + fingerprint: msgspec.json.encode(
                 StoredEntry(
                     fingerprint=fingerprint,
                     blocked_count=entry.quarantine_count,
-                    until_unix_ms=unix_ms + entry.quarantined_until_ms,
-                    over_unix_ms=unix_ms + entry.expires_ms,
+                    until_unix_ms=unix_offset_ms + entry.quarantined_until_ms,
+                    over_unix_ms=unix_offset_ms + entry.expires_ms,
                 )
             )
             for fingerprint, entry in missing
--- a/hyssoptack/gateway/quarantinesync.py
+++ b/hyssoptack/gateway/quarantinesync.py
@@ -5,9 +5,8 @@
 own failure domain and of others, which forward those that are new to them.
 Each second, a sample of all records goes to one instance of the own failure
 domain and to one of another, which makes up for lost messages and for records
-made during a partition. An instance
-that has just started requests the records of others. While there are no
-records, nothing is sent.
+made during a partition. An instance that has just started requests the records
+of others. While there are no records, nothing is sent.
 """
 
 import asyncio
@@ -24,9 +23,9 @@
 from hyssoptack.policy import quarantine
 
 ROUND_PERIOD_S = 1.0
-"""How often a sample of all records is sent. As every other instance sends to
-two instances in each round, one that missed a record gets it within 3 s in 399
-of 400 cases."""
+"""How often a sample of all records is sent. As each of the other instances
+sends to two instances in each round, one that missed a record gets it within
+3 s in 399 of 400 cases."""
 
 NEW_RECORDS_DELAY_S = 0.02
 """Delay before new records are sent, so that they share a message. The
@@ -36,7 +35,8 @@
 REMOTE_PEER_COUNT = 2
 """Number of instances of the own (`DOMAIN_PEER_COUNT`) and of other failure
 domains (`REMOTE_PEER_COUNT`) that get new records. Each forwards them to as
-many: 997 of 1,000 instances get them so within some tens of milliseconds."""
+many, so that 997 of 1,000 instances get them within some tens of
+milliseconds."""
 
 NEW_RECORDS_COUNT = 6
 """Maximum number of new records in one message. At `MAX_BYTES_PER_S`, sending
@@ -149,7 +149,8 @@
             source=change.source,
         )
         if change.kind is quarantine.ChangeKind.QUARANTINED:
-            # The call plan that caused the change is still running a command.
+            # Deferred, as the call plan that caused the change is still running
+            # a command.
             loop = asyncio.get_running_loop()
             loop.call_soon(self._on_quarantined, change.fingerprint)
 
--- a/hyssoptack/gateway/querydelegation.py
+++ b/hyssoptack/gateway/querydelegation.py
@@ -157,7 +157,7 @@
         """Returns whether received messages may date from a recent stall.
 
         After a stall the event loop runs `watch_event_loop` before it reads
-        messages, so its last tick alone does not show the stall.
+        messages, so the time of the last tick alone does not show the stall.
         """
         now_ms = clock.now_ms()
         stalled = now_ms - self._last_tick_ms >= LOOP_STALL_MS
--- a/hyssoptack/gateway/replicatedview.py
+++ b/hyssoptack/gateway/replicatedview.py
@@ -209,7 +209,7 @@
             self.store_recovered_ms = max(self.store_recovered_ms, back_ms)
 
     def confirm_list(self, revision: int, read_ms: float) -> None:
-        """Records that the list was unchanged at a later revision.
+        """Records the list's revision, and the time of its read if it is later.
 
         A neighbour's notice of another change carries its old list along, which
         must not make this instance's list younger.
--- a/hyssoptack/gateway/storewatch.py
+++ b/hyssoptack/gateway/storewatch.py
@@ -54,8 +54,8 @@
 on the slowest machines); by the third, all have."""
 
 INSTANCE_READ_PERIOD_MS = 5_000.0
-"""How often a reader reads the list of instances. Until then, new instances
-read the store themselves."""
+"""How often a reader reads the list of instances. Until they get the list that
+a reader has read, new instances read the store themselves."""
 
 
 COLD_MAX_MS = 600_000.0
@@ -94,7 +94,7 @@
         # Reads whose number is a multiple of `READS_PER_EXACT_READ_COUNT` are
         # exact. The first read has number 1, so it may be slightly stale: when
         # all instances start at once, exact reads of several pages each would
-        # be a third of a day's calls to the store.
+        # add up to a third of the calls that the store gets in a day.
         self._next_read_number = 1
         self._lease_ms = max(settings.lease_ms, settings.lease_min_ms)
         self._unreadable: dict[str, str] = {}
