--- a/hyssoptack/core/fingerprint.py
+++ b/hyssoptack/core/fingerprint.py
@@ -8,10 +8,10 @@
 import hashlib
 
 DIGEST_BYTES = 8
-"""Size at which any two of a million requests have the same fingerprint with a
-probability of 1 in 37 million. The hash is cryptographic so that callers can't
-construct a request with the fingerprint of another. Hashing a request without
-a body takes 2 us."""
+"""Size at which the probability that any two among a million requests share a
+fingerprint is 1 in 37 million in total. The hash is cryptographic so that
+callers can't construct a request with the fingerprint of another. Hashing a
+request without a body takes 2 us."""
 
 LENGTH_BYTES = 4
 
--- a/hyssoptack/core/gatewaymessage.py
+++ b/hyssoptack/core/gatewaymessage.py
@@ -149,8 +149,10 @@
         headers: Headers of the request.
         body: Body of the request.
         elapsed_ms: Time since the request reached the sender, in milliseconds.
-        away_ms: Part of the time to the latency goal reserved for transit and
-            used by earlier attempts, in milliseconds.
+        away_ms: Part of the latency goal that the neighbour can't use, in
+            milliseconds: the time that the caller had spent on earlier
+            attempts, the time reserved for transit, and the estimated delay
+            that delegation adds.
         fresh: Whether the neighbour may start the query; if not, the sender
             only asks whether it is still running.
     """
--- a/hyssoptack/core/message.py
+++ b/hyssoptack/core/message.py
@@ -122,7 +122,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Heartbeat:
-    """Periodic gossip: sender, its revision and members heard from lately."""
+    """Periodic heartbeat: sender, its revision and some recent senders."""
 
     sender: member.Member
     revision: int
--- a/hyssoptack/events/writer.py
+++ b/hyssoptack/events/writer.py
@@ -67,7 +67,8 @@
         except BlockingIOError:
             return 0
         except OSError:
-            # The line can never be written, as when the pipe is closed.
+            # Drops the line: it can never be written, for example to a closed
+            # pipe.
             return len(line)
 
     def _add_drop_report(self) -> None:
--- a/hyssoptack/http1/httpserver.py
+++ b/hyssoptack/http1/httpserver.py
@@ -90,7 +90,7 @@
         return CallerConnection(self)
 
     async def sweep(self) -> None:
-        """Periodically closes connections whose caller exceeded a timeout."""
+        """Periodically checks the timeouts of all connections."""
         while True:
             await asyncio.sleep(SWEEP_S)
             now_ms = clock.now_ms()
@@ -311,7 +311,7 @@
             self._end()
 
     def check_timeouts(self, now_ms: float) -> None:
-        """Closes the connection if the caller exceeded a timeout."""
+        """Closes the connection on a timeout, with a 408 if a request began."""
         if self._current is not None or self._queue:
             return
         if self._closing:
--- a/hyssoptack/peers/gossip.py
+++ b/hyssoptack/peers/gossip.py
@@ -30,7 +30,7 @@
 """Maximum number of peers to which a heartbeat is broadcast."""
 
 PARTNER_COUNT = 12
-"""Peers from which the receivers of heartbeats are drawn."""
+"""Number of partners: the peers of which a few receive each heartbeat."""
 
 PARTNER_REDRAW_MS = 60_000.0
 """Longest time until the partners are drawn again."""
@@ -83,7 +83,8 @@
     def broadcast_heartbeat(self) -> None:
         """Sends a heartbeat to many peers, for example when leaving.
 
-        Peers beyond `BROADCAST_LIMIT_COUNT` receive it from the instance list.
+        At most `BROADCAST_LIMIT_COUNT` peers receive it; the others learn from
+        the instance list that this instance leaves.
         """
         beat = message.Heartbeat(
             sender=self._state.own_member(),
--- a/hyssoptack/reports/profile.py
+++ b/hyssoptack/reports/profile.py
@@ -78,7 +78,7 @@
 
 
 def _add_extra_calls(route: Route, part: list[calls.Call]) -> None:
-    """Adds the extra calls of one part: whether each one's reply was used."""
+    """Counts the extra calls of one part: made, used and needless ones."""
     used = next((each for each in part if each.answered), None)
     for each in part:
         if each.cause == "first":
--- a/hyssoptack/scripts/caller.py
+++ b/hyssoptack/scripts/caller.py
@@ -1,4 +1,4 @@
-"""HTTP client of the front, used by the command line."""
+"""HTTP client of the balancer or an instance, for the command line."""
 
 import contextlib
 import dataclasses
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Result:
-    """The front's reply.
+    """Reply from the balancer or an instance.
 
     Attributes:
         status: The status code; 0 if there was no reply.
@@ -32,7 +32,9 @@
             method, url, body=json.dumps(body).encode(), headers=headers
         )
     except urllib3.exceptions.HTTPError as error:
-        return Result(status=0, text=f"no reply from the front: {error}")
+        return Result(
+            status=0, text=f"no reply from balancer or instance: {error}"
+        )
     document = response.data.decode(errors="replace")
     with contextlib.suppress(json.JSONDecodeError):
         parsed = json.loads(document)
@@ -48,7 +50,7 @@
     deadline_ms: int | None,
     urgent: bool,
 ) -> Result:
-    """Sends a search to the front.
+    """Sends a search to the balancer or an instance.
 
     Returns:
         The reply; status 0 if there was none.
--- a/hyssoptack/scripts/gateway.py
+++ b/hyssoptack/scripts/gateway.py
@@ -8,8 +8,8 @@
 import signal
 import sys
 
-# Must precede the other imports: a SIGHUP during the start, for a reload, must
-# not terminate the process. The settings are read later anyway.
+# Must precede the other imports: a SIGHUP (reload) during the start must not
+# terminate the process. It can be ignored, as the settings are read later.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 from hyssoptack.gateway import earlyport
--- a/hyssoptack/settings/gateway.py
+++ b/hyssoptack/settings/gateway.py
@@ -20,8 +20,8 @@
 class BudgetSettings:
     """Budget for extra calls, shared by all instances.
 
-    The defaults apply to a platform that specifies no budget: a tenth, the
-    least that the users' profiles allowed, and no slack.
+    The defaults apply to a platform that specifies no budget: a ratio of 0.1,
+    the lowest in the users' profiles, and no slack.
 
     Attributes:
         ratio: Extra calls allowed per request to a service.
@@ -66,8 +66,8 @@
             unknown: queries are then neither delegated nor accepted.
         crossing_ratio: Latency that a call into another failure domain must
             save to justify its network cost, as a multiple of the latency of
-            calls of its route. 1.5 gave better results on both users' sites
-            than fixed savings of 15 ms or 35 ms
+            calls of its route. 1.5 gave better results on both of the users'
+            sites than fixed savings of 15 ms or 35 ms
             (docs/design/0009-placing.md).
         trusted_fingerprints: Requests that operators know to be harmless: they
             are never suspected of crashing upstreams.
