--- a/hyssoptack/gateway/metrics.py
+++ b/hyssoptack/gateway/metrics.py
@@ -9,7 +9,7 @@
 ]  # fmt: skip
 """Upper bounds of the buckets of all duration histograms."""
 
-MAX_UNCOUNTED_CALL_COUNT = 4_000
+MAX_BUFFERED_CALL_COUNT = 4_000
 """Maximum number of buffered calls if the metrics page is not read: about 100
 queries over 36 shards, 0.4 MB."""
 
@@ -33,19 +33,19 @@
         )
         self.extra_calls = self._counter(
             "hyssoptack_extra_calls_total",
-            "Calls after the first call of a part, by service and cause.",
+            "Calls beyond the first of a part, by service and cause.",
         )
         self.missing_parts = self._counter(
             "hyssoptack_parts_left_out_total",
-            "Shards missing from answers, by route.",
+            "Shards that answers were given without, by route.",
         )
         self.requests_at_attempt_limit = self._counter(
             "hyssoptack_requests_at_attempt_limit_total",
-            "Requests with a part that used all its attempts, by route.",
+            "Requests of which a part took all attempts allowed, by route.",
         )
         self.upstream_exits = self._counter(
             "hyssoptack_upstreams_ended_total",
-            "Upstreams that exited during calls of this gateway, by service.",
+            "Upstreams that ended with calls of ours in hand, by service.",
         )
         self.suspicion_events = self._counter(
             "hyssoptack_suspicions_total",
@@ -57,11 +57,11 @@
         )
         self.call_ms = self._histogram(
             "hyssoptack_upstream_call_ms",
-            "Duration of an answered call, by service.",
+            "Time of an answered call, by service.",
         )
-        self.instance_facts = aioprometheus.Gauge(
+        self.instance_gauges = aioprometheus.Gauge(
             "hyssoptack_gateway",
-            "Gauges of this instance, by name.",
+            "Facts of this instance, by name.",
             registry=self._registry,
         )
 
@@ -89,10 +89,10 @@
         self._calls[service, outcome] += 1
         if answered_ms is not None:
             self._call_ms.append((service, answered_ms))
-            if len(self._call_ms) >= MAX_UNCOUNTED_CALL_COUNT:
-                self._count_calls()
+            if len(self._call_ms) >= MAX_BUFFERED_CALL_COUNT:
+                self._flush_calls()
 
-    def _count_calls(self) -> None:
+    def _flush_calls(self) -> None:
         for (service, outcome), count in self._calls.items():
             self.calls.add({"service": service, "outcome": outcome}, count)
         self._calls.clear()
@@ -102,6 +102,6 @@
 
     def render_text(self) -> bytes:
         """Returns the metrics in the Prometheus text format."""
-        self._count_calls()
+        self._flush_calls()
         content, _ = aioprometheus.render(self._registry, ["text/plain"])
         return content
--- a/hyssoptack/gateway/quarantinesync.py
+++ b/hyssoptack/gateway/quarantinesync.py
@@ -3,10 +3,10 @@
 `policy.quarantine` holds the records of suspected and quarantined requests;
 this module logs and sends them. New records go at once to some instances of the
 own failure domain and of others, which forward those that are new to them.
-Each second, a sample of all records goes to one instance of each kind, which
-makes up for lost messages and for records made during a partition. An instance
-that has just started requests the records of others. While there are no
-records, nothing is sent.
+Each second, a sample of all records goes to one instance of the own failure
+domain and to one of another, which makes up for lost messages and for records
+made during a partition. An instance that has just started requests the records
+of others. While there are no records, nothing is sent.
 """
 
 import asyncio
@@ -23,9 +23,9 @@
 from hyssoptack.policy import quarantine
 
 ROUND_PERIOD_S = 1.0
-"""How often a sample of all records is sent. As every other instance sends to
-two instances in each round, one that missed a record gets it within 3 s in 399
-of 400 cases."""
+"""How often a sample of all records is sent. As each of the other instances
+sends to two instances in each round, one that missed a record gets it within
+3 s in 399 of 400 cases."""
 
 NEW_RECORDS_DELAY_S = 0.02
 """Delay before new records are sent, so that they share a message. The
@@ -35,13 +35,14 @@
 REMOTE_PEER_COUNT = 2
 """Number of instances of the own (`DOMAIN_PEER_COUNT`) and of other failure
 domains (`REMOTE_PEER_COUNT`) that get new records. Each forwards them to as
-many: 997 of 1,000 instances get them so within some tens of milliseconds."""
+many, so that 997 of 1,000 instances get them within some tens of
+milliseconds."""
 
 NEW_RECORDS_COUNT = 6
-"""Maximum number of new records in one message. At `MAX_BYTES_PER_S` they take
-a second, so that the next new record is sent in time. Requests that crash
-upstreams are few; if a caller fabricates many of them, sharing their records is
-of no use."""
+"""Maximum number of new records in one message. At `MAX_BYTES_PER_S`, sending
+them to six instances takes about a second, so that the next new record is sent
+in time. Requests that crash upstreams are few; if a caller fabricates many of
+them, sharing their records is of no use."""
 
 SAMPLE_COUNT = 16
 """Maximum number of records that a round sends again."""
@@ -105,7 +106,7 @@
                 refused from now on.
             instance_metrics: The instance's metrics.
         """
-        self.suspicions = registry
+        self.registry = registry
         self._own = own
         self._domain_peers = domain_peers
         self._remote_peers = remote_peers
@@ -121,7 +122,9 @@
     # Changes on this instance.
 
     def on_upstream_exit(
-        self, upstream: traffic.Upstream, in_hand: tuple[pool.Job, ...]
+        self,
+        upstream: traffic.Upstream,
+        broken_jobs: tuple[pool.CallRequest, ...],
     ) -> None:
         """Counts and logs an upstream that exited with calls in progress."""
         self._metrics.upstream_exits.inc({"service": upstream.service})
@@ -131,9 +134,9 @@
             service=upstream.service,
             in_hand=[
                 f"{each.fingerprint} {each.request_id.decode('latin-1')}"
-                for each in in_hand[:LOGGED_CALLS_COUNT]
+                for each in broken_jobs[:LOGGED_CALLS_COUNT]
             ],
-            in_hand_count=len(in_hand),
+            in_hand_count=len(broken_jobs),
         )
 
     def _on_change(self, change: quarantine.SuspicionChange) -> None:
@@ -148,7 +151,8 @@
             source=change.source,
         )
         if change.kind is quarantine.ChangeKind.QUARANTINED:
-            # The call plan that caused the change is still running a command.
+            # Deferred, as the call plan that caused the change is still running
+            # a command.
             loop = asyncio.get_running_loop()
             loop.call_soon(self._on_quarantined, change.fingerprint)
 
@@ -157,7 +161,7 @@
     async def share_periodically(self) -> None:
         """Sends records to other instances until cancelled."""
         while True:
-            if self._remaining_request_count or self.suspicions.has_entries:
+            if self._remaining_request_count or self.registry.has_entries:
                 await self._wait_for_new_records()
             else:
                 await self._has_new_records.wait()
@@ -176,11 +180,11 @@
     def _run_round(self) -> float:
         """Runs one round; returns the pause after it in seconds."""
         now_ms = clock.now_ms()
-        self.suspicions.expire(now_ms)
+        self.registry.expire(now_ms)
         self._request_records()
         if self._has_new_records.is_set():
             self._has_new_records.clear()
-            new_records = self.suspicions.pop_new_notices(
+            new_records = self.registry.pop_new_notices(
                 NEW_RECORDS_COUNT, now_ms
             )
             sent_count = self._send_records(
@@ -188,7 +192,7 @@
             )
             self._log_shared(new_records)
         else:
-            sample = self.suspicions.sample_notices(SAMPLE_COUNT, now_ms)
+            sample = self.registry.sample_notices(SAMPLE_COUNT, now_ms)
             sent_count = self._send_records(sample, 1, 1)
         return sent_count * RECORD_BYTES / MAX_BYTES_PER_S
 
@@ -264,8 +268,8 @@
                 sender_id=sender_id, suspects=suspects
             ):
                 for suspect in suspects:
-                    self.suspicions.merge_notice(suspect, sender_id, now_ms)
+                    self.registry.merge_notice(suspect, sender_id, now_ms)
             case gatewaymessage.SuspectsRequest(address=address):
-                suspects = self.suspicions.sample_notices(ANSWER_COUNT, now_ms)
+                suspects = self.registry.sample_notices(ANSWER_COUNT, now_ms)
                 if suspects:
                     self._send(address, self._notice(suspects))
--- a/hyssoptack/policy/callplan_crash_test.py
+++ b/hyssoptack/policy/callplan_crash_test.py
@@ -112,7 +112,7 @@
     assert not any(each.is_probe for each in run.open_calls.values())
     run.end_calls(ANSWERED, 40.0, SHARD_COUNT)
     assert len(run.result.replies) == SHARD_COUNT
-    assert not context.suspicions.has_entries
+    assert not context.suspect_registry.has_entries
 
 
 def test_a_partly_answered_query_is_retried_normally_after_a_crash():
@@ -123,7 +123,7 @@
     run.end_calls(EXITED, 20.0)
     assert len(run.open_calls) == SHARD_COUNT - 1
     assert not any(each.is_probe for each in run.open_calls.values())
-    assert not context.suspicions.has_entries
+    assert not context.suspect_registry.has_entries
 
 
 def test_a_connection_reset_does_not_count_as_a_crash():
@@ -131,7 +131,7 @@
     run = _RequestRun(context).start()
     run.end_calls(RESET, 10.0, SHARD_COUNT)
     assert len(run.open_calls) == SHARD_COUNT
-    assert not context.suspicions.has_entries
+    assert not context.suspect_registry.has_entries
 
 
 def test_a_probe_goes_to_the_upstream_with_the_fewest_open_calls():
@@ -157,20 +157,20 @@
 
 
 def test_crashes_with_other_calls_open_quarantine_no_request():
-    # Two requests that lost the same upstreams were both retried on others at
-    # the same time, so either may have caused the crashes.
+    # Two requests that were in flight at the same crash are both retried on the
+    # same other upstreams, so either may have caused the further crashes.
     context = _plan_context()
     run = _RequestRun(context).start()
-    exited_beside_others = callcommand.Outcome(
+    exited_with_other_calls = callcommand.Outcome(
         kind=callcommand.OutcomeKind.FAILED,
         reason="connection_closed",
         upstream_exited=True,
     )
-    run.end_calls(exited_beside_others, 20.0, SHARD_COUNT)
+    run.end_calls(exited_with_other_calls, 20.0, SHARD_COUNT)
     for step in range(SHARD_COUNT):
-        run.end_calls(exited_beside_others, 40.0 + step)
+        run.end_calls(exited_with_other_calls, 40.0 + step)
     assert run.result != CRASHES
-    assert not context.suspicions.is_quarantined(FINGERPRINT, 100.0)
+    assert not context.suspect_registry.is_quarantined(FINGERPRINT, 100.0)
 
 
 def test_requests_that_lost_the_same_upstreams_probe_different_shards():
@@ -200,7 +200,7 @@
             count += run.sent_count
         assert count == 3
         assert run.result == CRASHES
-        assert context.suspicions.is_quarantined(FINGERPRINT, now_ms)
+        assert context.suspect_registry.is_quarantined(FINGERPRINT, now_ms)
 
 
 def test_a_quarantine_notice_ends_a_request_without_answers():
@@ -232,7 +232,8 @@
     run.end_calls(EXITED, 20.0, SHARD_COUNT)
     assert run.result is not None
     assert [
-        each.fingerprint for each in context.suspicions.pop_new_notices(9, 20.0)
+        each.fingerprint
+        for each in context.suspect_registry.pop_new_notices(9, 20.0)
     ]
 
 
--- a/hyssoptack/policy/loadbalancer_test.py
+++ b/hyssoptack/policy/loadbalancer_test.py
@@ -118,7 +118,7 @@
         balancer.record_answer("r", "near", 20.0, number)
     for number in range(20):
         balancer.record_shed("near", 100.0 + 10.0 * number)
-    assert choice(balancer, 300.0 + loadbalancer.SHED_QUIET_MS) == "far"
+    assert choice(balancer, 300.0 + loadbalancer.SHED_PENALTY_MS) == "far"
 
 
 def slow_sample(ratio=6.0, age_ms=0.0):
@@ -235,8 +235,8 @@
         dataclasses.replace(upstream("leaving", "s2"), draining=True),
         upstream("staying", "s2", zone="south"),
     )
-    assert balancer.own_domain_covers(["s0"])
-    assert not balancer.own_domain_covers(["s0", "s1"])
-    assert not balancer.own_domain_covers(["s2"])
+    assert balancer.local_domain_covers(["s0"])
+    assert not balancer.local_domain_covers(["s0", "s1"])
+    assert not balancer.local_domain_covers(["s2"])
     # No upstream serves "nowhere" in any domain, so it does not count.
-    assert balancer.own_domain_covers(["s0", "nowhere"])
+    assert balancer.local_domain_covers(["s0", "nowhere"])
--- a/hyssoptack/policy/shardstate.py
+++ b/hyssoptack/policy/shardstate.py
@@ -6,7 +6,8 @@
 from hyssoptack.policy import routing
 
 MISSING_SHOWN_COUNT = 12
-"""Most shards that a refusal lists, so that its text fits on one line."""
+"""Largest number of shards that a refusal lists, so that its text fits on one
+line."""
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -60,7 +61,10 @@
 
 
 def missing_shards_text(states: list[ShardState]) -> str:
-    """Lists shards without an answer, each with its status."""
+    """Lists the first shards without an answer, each with its status.
+
+    At most `MISSING_SHOWN_COUNT` shards are listed.
+    """
     missing = [
         f"{state.shard.shard_id} {state.status_text()}"
         for state in states
--- a/hyssoptack/policy/windowbudget.py
+++ b/hyssoptack/policy/windowbudget.py
@@ -2,8 +2,8 @@
 
 In any window all instances together may make extra calls up to a ratio of the
 requests for a service, plus a fixed number (the slack). Each instance spends
-its own share of both and considers only its own calls. (`policy.budget` is the
-budget of the product's own interface, which is a ratio alone.)
+its own share of both and considers only its own calls. (`policy.budget` limits
+the extra calls of `policy.queryplan`, by a ratio alone.)
 
 The ratio applies to the requests that the instance has seen within the last
 window. Its share of the slack is a token bucket that starts empty and refills
@@ -12,11 +12,11 @@
 contains at most one full bucket and its refill.
 
 An instance stays within its share at each moment at which it spends. In a
-window that ends later some requests may be too old to count while the extra
-calls that they paid for are not. The operator therefore counts the requests in
-the fullest of three windows: the last one, the one before it and the one half a
-window earlier. A margin in the shares covers instances whose fullest windows
-differ.
+window that ends later, some requests may be too old to count while the extra
+calls that they allowed still count. The operator therefore counts the requests
+in the fullest of three windows: the last one, the one before it and the one
+half a window earlier. A margin in the shares covers instances whose fullest
+windows differ.
 """
 
 import collections
@@ -64,8 +64,8 @@
     Attributes:
         number: Number of the slot since time 0.
         request_count: Requests to the service.
-        extra_count: Extra calls paid for by requests; part of a call where the
-            slack paid the rest.
+        extra_count: Extra calls covered by the ratio; a fraction of a call
+            where the slack covered the rest.
     """
 
     number: int
@@ -78,7 +78,7 @@
 
     Attributes:
         request_count: Requests to the service.
-        extra_count: Extra calls paid for by these requests.
+        extra_count: Extra calls covered by the ratio.
         slack_count: Extra calls available in the slack bucket.
         refilled_ms: When the slack bucket was last refilled.
     """
@@ -119,9 +119,10 @@
     """The budget of one instance's extra calls, by service.
 
     Attributes:
-        share: The share that calls to most services draw on.
-        gather_share: The share that calls to `gathered_services` draw on.
-        gathered_services: Services whose calls draw on `gather_share`.
+        share: The share for calls to services that are not shards.
+        shard_share: The share for calls to shards; it is larger on instances
+            to which queries are delegated.
+        shard_services: The services that are shards of a route.
     """
 
     def __init__(self, share: BudgetShare, started_ms: float):
@@ -132,8 +133,8 @@
             started_ms: When the instance started.
         """
         self.share = share
-        self.gather_share = share
-        self.gathered_services: frozenset[str] = frozenset()
+        self.shard_share = share
+        self.shard_services: frozenset[str] = frozenset()
         self._started_ms = started_ms
         self._services: dict[str, _ServiceCounts] = {}
 
@@ -159,10 +160,10 @@
         found, slot, earned_count = self._refresh(service, now_ms)
         if earned_count + found.slack_count < 1.0 + reserve_count:
             return False
-        paid_count = min(1.0, earned_count)
-        slot.extra_count += paid_count
-        found.extra_count += paid_count
-        found.slack_count -= 1.0 - paid_count
+        covered_count = min(1.0, earned_count)
+        slot.extra_count += covered_count
+        found.extra_count += covered_count
+        found.slack_count -= 1.0 - covered_count
         return True
 
     def can_spend(self, service: str, now_ms: float) -> bool:
@@ -173,9 +174,7 @@
     def _share_for(self, service: str) -> BudgetShare:
         """Returns the budget share that calls to a service draw on."""
         return (
-            self.gather_share
-            if service in self.gathered_services
-            else self.share
+            self.shard_share if service in self.shard_services else self.share
         )
 
     def _refresh(
--- a/hyssoptack/revisions/configuration.py
+++ b/hyssoptack/revisions/configuration.py
@@ -24,12 +24,12 @@
 _ENCODER = msgspec.json.Encoder()
 
 
-def manifest_text(manifest: catalog.Manifest) -> str:
+def encode_manifest(manifest: catalog.Manifest) -> str:
     """Encodes a manifest in its stored form."""
     return _ENCODER.encode(manifest).decode()
 
 
-def read_manifest(text: str) -> catalog.Manifest | None:
+def decode_manifest(text: str) -> catalog.Manifest | None:
     """Decodes a stored manifest; returns None if the text is not one."""
     try:
         return _DECODER.decode(text)
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class InForce:
+class NewConfiguration:
     """The offer was accepted: its revision replaces the one in force.
 
     Attributes:
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Lacking:
+class MissingParts:
     """The offer is pending: parts are missing.
 
     Attributes:
@@ -72,7 +72,7 @@
     reason: str
 
 
-OfferResult = InForce | Lacking | Ignored
+OfferResult = NewConfiguration | MissingParts | Ignored
 
 
 class ActiveConfiguration:
@@ -118,10 +118,10 @@
                 digest is ignored.
 
         Returns:
-            `InForce` if the revision was accepted, `Lacking` if parts must be
-            fetched first, otherwise `Ignored`.
+            `NewConfiguration` if the revision was accepted, `MissingParts` if
+            parts must be fetched first, otherwise `Ignored`.
         """
-        manifest = read_manifest(text)
+        manifest = decode_manifest(text)
         if manifest is None:
             return Ignored(reason="the offered head is not a valid manifest")
         if not revision.is_newer(self.revision(), manifest.revision):
@@ -143,7 +143,7 @@
                 self._parts[digest] = part
         missing = tuple(sorted(set(manifest.parts.values()) - set(self._parts)))
         if missing:
-            return Lacking(digests=missing)
+            return MissingParts(digests=missing)
         return self._assemble(manifest)
 
     def on_fetch_failed(self) -> None:
@@ -164,6 +164,7 @@
                 revision=manifest.revision,
                 errors=[str(each) for each in errors],
             )
+            # The chart has no event of its own for an invalid configuration.
             self._apply_event("fetch_failed")
             return Ignored(reason=str(errors[0]))
         self.manifest = manifest
@@ -179,7 +180,7 @@
             revision=manifest.revision,
             change_id=manifest.change_id,
         )
-        return InForce(catalog=current, manifest=manifest)
+        return NewConfiguration(catalog=current, manifest=manifest)
 
     def _apply_event(self, event: str) -> None:
         self._state = _CHART.step(self._state, event)
--- a/hyssoptack/scripts/gateway.py
+++ b/hyssoptack/scripts/gateway.py
@@ -8,8 +8,8 @@
 import signal
 import sys
 
-# Must precede the other imports: a SIGHUP during the start, for a reload, must
-# not terminate the process. The settings are read later anyway.
+# Must precede the other imports: a SIGHUP (reload) during the start must not
+# terminate the process. It can be ignored, as the settings are read later.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 from hyssoptack.gateway import earlyport
@@ -39,7 +39,10 @@
     """Runs a gateway; returns the exit code."""
     path = _settings_path()
     if not path:
-        print("usage: gateway SETTINGS", file=sys.stderr)
+        print(
+            "usage: python -m hyssoptack.scripts.gateway SETTINGS",
+            file=sys.stderr,
+        )
         return EXIT_USAGE
     match gateway.load(path):
         case expression.Result(tag="ok", ok=settings):
--- a/hyssoptack/settings/gateway.py
+++ b/hyssoptack/settings/gateway.py
@@ -20,8 +20,8 @@
 class BudgetSettings:
     """Budget for extra calls, shared by all instances.
 
-    The defaults apply to a platform that specifies no budget: a tenth, the
-    least that the users' profiles allowed, and no slack.
+    The defaults apply to a platform that specifies no budget: a ratio of 0.1,
+    the lowest in the users' profiles, and no slack.
 
     Attributes:
         ratio: Extra calls allowed per request to a service.
@@ -66,8 +66,8 @@
             unknown: queries are then neither delegated nor accepted.
         crossing_ratio: Latency that a call into another failure domain must
             save to justify its network cost, as a multiple of the latency of
-            calls of its route. 1.5 gave better results on both users' sites
-            than fixed savings of 15 ms or 35 ms
+            calls of its route. 1.5 gave better results on both of the users'
+            sites than fixed savings of 15 ms or 35 ms
             (docs/design/0009-placing.md).
         trusted_fingerprints: Requests that operators know to be harmless: they
             are never suspected of crashing upstreams.
@@ -157,8 +157,8 @@
             )
     if settings.failure_domain not in settings.failure_domains:
         return expression.Error(
-            f"failure_domain: {settings.failure_domain!r} is not listed in "
-            "failure_domains"
+            "failure_domain: expected one of failure_domains, got "
+            f"{settings.failure_domain!r}"
         )
     positive = {
         "grace_ms": settings.grace_ms,
@@ -175,10 +175,11 @@
             )
     if min(settings.budget.ratio, settings.crossing_ratio) < 0:
         return expression.Error(
-            "budget.ratio, crossing_ratio: expected 0 or more"
+            "budget.ratio, crossing_ratio: expected 0 or more for both"
         )
     if min(settings.warmup.overage_ratio, settings.warmup.slack_count) < 0:
         return expression.Error(
-            "warmup.overage_ratio, warmup.slack_count: expected 0 or more"
+            "warmup.overage_ratio, warmup.slack_count: expected 0 or more for "
+            "both"
         )
     return expression.Ok(settings)
