--- a/hyssoptack/policy/queryplan.py
+++ b/hyssoptack/policy/queryplan.py
@@ -41,8 +41,7 @@
         upstream_health: Health and latency of upstreams, from earlier calls.
         extra_call_budgets: Budgets for extra calls, one for each service.
         hedge_policy: Policy that sets the delay and the budget of hedges.
-        current_service: Looks up a service by name in the current
-            configuration; returns None for an unknown name.
+        current_service: Returns the current service of a name, or None.
     """
 
     router: routing.Router
@@ -76,8 +75,7 @@
         self._state_by_call_id: dict[int, shardstate.ShardState] = {}
         self._open_count = len(self._states)
         self._open_key_count = keyspace.KEYSPACE_SIZE_COUNT
-        # Ids of calls in the order sent, which is the order their hedges are
-        # due.
+        # Call IDs in the order sent, in which their hedges fall due.
         self._unhedged: collections.deque[int] = collections.deque()
         self._next_call_id = 1
         self.upstream_call_count = 0
@@ -95,13 +93,9 @@
         commands: list[querycommand.Command] = []
         for state in self._states:
             commands.extend(self._call_shard(state, now_ms))
-        sent_count = sum(
-            isinstance(each, querycommand.Send) for each in commands
-        )
+        sent = sum(isinstance(each, querycommand.Send) for each in commands)
         ceiling = self._profile.extra_load_ceiling_ratio
-        self._context.extra_call_budgets.earn(
-            self._service.name, ceiling, sent_count
-        )
+        self._context.extra_call_budgets.earn(self._service.name, ceiling, sent)
         return commands + self._finish_if_done(now_ms)
 
     def next_deadline_ms(self) -> float:
@@ -138,10 +132,7 @@
     def on_reply(
         self, reply: message.UpstreamReply, now_ms: float
     ) -> list[querycommand.Command]:
-        """Processes the result of a call.
-
-        Ignores replies to calls that have ended or were cancelled.
-        """
+        """Processes a call's result; ignores ended or cancelled calls."""
         state = self._state_by_call_id.pop(reply.call_id, None)
         if self._finished or state is None:
             return []
@@ -174,8 +165,7 @@
                 self.was_shed = True
                 return self._retry_or_reroute(state, reply, now_ms)
             case _:
-                # The upstream failed; calling it through another relay would
-                # not help.
+                # Another relay would not help: the upstream itself failed.
                 state.failed_upstream_ids.add(reply.upstream_id)
                 return self._retry_or_reroute(state, reply, now_ms)
 
@@ -204,8 +194,7 @@
             self._close(state)
             return self._cancel_calls(state)
         if self._merger.index_version in reply.held_versions:
-            # The upstream answered from another version than the query's, but
-            # holds the query's version as well.
+            # It answered from another version but also holds the query's.
             state.tried_paths.discard(
                 (call.path.upstream_id, call.path.instance_id)
             )
@@ -285,9 +274,7 @@
         self, state: shardstate.ShardState, call: shardstate.Call, now_ms: float
     ) -> list[querycommand.Command]:
         state.hedged = True
-        path = self._choose_path(
-            state, now_ms, excluded_upstream_id=call.path.upstream_id
-        )
+        path = self._best_path(state, now_ms, excluded_id=call.path.upstream_id)
         if path is None or not self._try_spend_for_hedge():
             return []
         self.extra_call_count += 1
@@ -313,16 +300,16 @@
     def _call_shard(
         self, state: shardstate.ShardState, now_ms: float
     ) -> list[querycommand.Command]:
-        path = self._choose_path(state, now_ms)
+        path = self._best_path(state, now_ms)
         if path is None:
             return self._abandon(state)
         return [self._send(state, path, now_ms)]
 
-    def _choose_path(
+    def _best_path(
         self,
         state: shardstate.ShardState,
         now_ms: float,
-        excluded_upstream_id: str | None = None,
+        excluded_id: str | None = None,
     ) -> routing.RelayPath | None:
         version = self._merger.index_version
         candidates = tuple(
@@ -331,9 +318,7 @@
             if upstream_id not in state.failed_upstream_ids
         )
         holders = tuple(
-            each
-            for each in candidates
-            if self._may_hold_version(each, version, now_ms)
+            each for each in candidates if self._may_hold(each, version, now_ms)
         )
         # Held versions are known from answers only. If no remaining upstream is
         # recorded as holding the version, one is called all the same, which
@@ -343,12 +328,10 @@
             holders or candidates,
             frozenset(state.tried_paths),
             now_ms,
-            excluded_upstream_id,
+            excluded_id,
         )
 
-    def _may_hold_version(
-        self, upstream_id: str, version: int, now_ms: float
-    ) -> bool:
+    def _may_hold(self, upstream_id: str, version: int, now_ms: float) -> bool:
         held = self._context.upstream_health.held_versions(upstream_id, now_ms)
         return version == query.ANY_VERSION or held is None or version in held
 
@@ -386,16 +369,14 @@
         return commands
 
     def _choose_version(self, now_ms: float) -> int:
-        held = {}
+        held_by_id = {}
         for shard in self._service.shards:
-            for upstream_id in shard.upstream_ids:
-                versions = self._context.upstream_health.held_versions(
-                    upstream_id, now_ms
-                )
-                if versions is not None:
-                    held[upstream_id] = versions
+            for each in shard.upstream_ids:
+                held = self._context.upstream_health.held_versions(each, now_ms)
+                if held is not None:
+                    held_by_id[each] = held
         return versionchoice.choose_version(
-            self._service.shards, held
+            self._service.shards, held_by_id
         ).index_version
 
     def _finish_if_done(self, now_ms: float) -> list[querycommand.Command]:
@@ -413,22 +394,18 @@
 
     def _call_new_shards(self, now_ms: float) -> list[querycommand.Command]:
         """Calls missing ranges from a changed shard map, at most once."""
-        current = self._context.current_service(self._service.name)
-        if (
-            self._replanned
-            or current is None
-            or current.shards == self._service.shards
-        ):
+        new = self._context.current_service(self._service.name)
+        if self._replanned or new is None or new.shards == self._service.shards:
             return []
         self._replanned = True
-        self._service = current
+        self._service = new
         missing = self._merger.missing_ranges()
         commands: list[querycommand.Command] = []
-        for shard in current.shards:
+        for shard in new.shards:
             overlaps = any(
-                each.low < shard.key_range.high
-                and shard.key_range.low < each.high
-                for each in missing
+                gap.low < shard.key_range.high
+                and shard.key_range.low < gap.high
+                for gap in missing
             )
             if overlaps:
                 state = shardstate.ShardState(shard=shard)
