--- a/hyssoptack/policy/callplan_test.py
+++ b/hyssoptack/policy/callplan_test.py
@@ -29,21 +29,19 @@
 
 
 def plan_context(*upstreams, tokens=10.0):
-    load_balancer = loadbalancer.LoadBalancer(
+    balancer = loadbalancer.LoadBalancer(
         loadbalancer.LoadBalancerSettings(
             failure_domain="north", crossing_ratio=1.5
         )
     )
-    load_balancer.set_upstreams(
-        {each.upstream_id: each for each in upstreams}, 0.0
-    )
+    balancer.set_upstreams({each.upstream_id: each for each in upstreams}, 0.0)
     share = windowbudget.BudgetShare(
         ratio=0.15,
         slack_count=tokens / windowbudget.BUCKET_RATIO,
         window_ms=10_000.0,
     )
     return plancontext.PlanContext(
-        load_balancer=load_balancer,
+        load_balancer=balancer,
         extra_call_budget=windowbudget.WindowBudget(share, -10_000.0),
     )
 
@@ -101,10 +99,8 @@
 
 
 def result(commands):
-    finishes = [
-        each for each in commands if isinstance(each, callcommand.Finish)
-    ]
-    return finishes[0].result if finishes else None
+    ends = [each for each in commands if isinstance(each, callcommand.Finish)]
+    return ends[0].result if ends else None
 
 
 def test_the_own_failure_domain_is_called_first():
@@ -138,11 +134,7 @@
 
 
 def _replicated_index(part_count, delay_ms):
-    """Runs a query over replicated shards until all but two have answered.
-
-    Returns:
-        The plan, and the time of the last answer.
-    """
+    """Returns a plan with two shards open and the time of the last answer."""
     names = [f"s{index}" for index in range(part_count)]
     context = plan_context(
         *(upstream(f"{name}-a", name) for name in names),
@@ -158,9 +150,8 @@
 
 
 def test_missing_parts_are_hedged_at_once_when_answers_stop_arriving():
-    # Of 54 upstreams, 2 pause at any time. Without this rule their parts were
-    # first hedged at 72 ms, although all others had answered at 30 ms, and the
-    # hedges were answered after the goal.
+    # Of 54 upstreams, 2 pause at any time. Without this, hedges began at 72 ms
+    # (all others answered at 30 ms) and were answered after the goal.
     running, last_ms = _replicated_index(20, 10.0)
     due_ms = running.next_deadline_ms()
     assert last_ms + 3.0 < due_ms < last_ms + 8.0
@@ -269,14 +260,12 @@
 
 def test_a_query_that_meets_its_floor_answers_at_the_goal():
     context = plan_context(*(upstream(f"u{i}", f"s{i}") for i in range(4)))
-    running = plan(context, shards(4, 0.75))
-    calls = sends(running.start(0.0))
+    query = plan(context, shards(4, 0.75))
+    calls = sends(query.start(0.0))
     for call in calls[:3]:
-        assert (
-            result(running.on_outcome(call.call_id, answered(), 20.0)) is None
-        )
-    assert running.next_deadline_ms() <= GOAL_MS
-    end = result(running.on_timeout(GOAL_MS))
+        assert result(query.on_outcome(call.call_id, answered(), 20.0)) is None
+    assert query.next_deadline_ms() <= GOAL_MS
+    end = result(query.on_timeout(GOAL_MS))
     assert isinstance(end, callcommand.Answer)
     assert (len(end.replies), end.part_count) == (3, 4)
 
@@ -311,16 +300,10 @@
     assert _hedges_with_one_token(floor_ratio=0.5) == 0
 
 
-def _hedged_below_floor(*hedge_targets):
-    """Runs a query until its only open part is hedged.
-
-    Returns:
-        The plan, and the command that sends the hedge.
-    """
+def _hedged_below_floor(*names):
+    """Returns a plan whose only open part is hedged, and the hedge."""
     context = plan_context(
-        upstream("a"),
-        *(upstream(name) for name in hedge_targets),
-        upstream("c", "s1"),
+        upstream("a"), *(upstream(each) for each in names), upstream("c", "s1")
     )
     running = plan(context, shards(2, 1.0))
     first, other = sends(running.start(0.0))
@@ -446,11 +429,9 @@
     assert dataclasses.replace(request, goal_at_ms=1.0).goal_at_ms == 1.0
 
 
-def _function_call_count(part_count):
+def _function_call_count(parts):
     """Returns the number of function calls that one whole query makes."""
-    context = plan_context(
-        *(upstream(f"u{i}", f"s{i}") for i in range(part_count))
-    )
+    context = plan_context(*(upstream(f"u{i}", f"s{i}") for i in range(parts)))
     counted = 0
 
     def count(_frame, event, _arg):
@@ -458,7 +439,7 @@
         counted += event in ("call", "c_call")
 
     sys.setprofile(count)
-    running = plan(context, shards(part_count, 0.9))
+    running = plan(context, shards(parts, 0.9))
     for call in sends(running.start(0.0)):
         running.on_outcome(call.call_id, answered(), 20.0)
         running.next_deadline_ms()
