--- a/hyssoptack/policy/callplan.py
+++ b/hyssoptack/policy/callplan.py
@@ -2,8 +2,7 @@
 
 A request has one part per service that it is sent to: a single service, or
 every shard of an index. The runner passes in call outcomes and the current
-time, and executes the returned commands. This module reads no clock and no
-socket.
+time, and executes the returned commands. This module reads no clock or socket.
 
 A call that did not run may always be retried; a call that may have run is
 retried only if the route is idempotent. Every extra call spends from the
@@ -27,11 +26,10 @@
 from hyssoptack.policy import upstreamchoice
 
 HEDGE_RESERVE_COUNT = 1.0
-"""Tokens that a hedge must leave in the budget unless a query needs the hedge
-to reach its coverage floor. They are kept for retries after failures and for
-queries that would miss their floor. A hedge that the floor depends on may spend
-the last token: an answer that is late because of one part loses nine tenths of
-its value, an answer without that part only a twentieth."""
+"""Tokens that a hedge must leave in the budget for retries after failures and
+for queries that would miss their coverage floor. A hedge that the floor depends
+on may spend the last token: an answer that is late because of one part loses
+nine tenths of its value, an answer without that part only a twentieth."""
 
 DEADLINE_MARGIN_MS = 10.0
 """Time reserved before the caller's deadline to write and send the answer."""
@@ -44,8 +42,7 @@
         request: The request.
         calls: The open calls.
         finished: Whether the request has ended.
-        probe_guard: Queues calls while the request is sent as a probe, and
-            rejects requests that crash upstreams.
+        probe_guard: Queues calls during a probe; rejects crashing requests.
         attempts: The attempts that the request may make from this instance.
     """
 
@@ -70,9 +67,7 @@
         self.finished = False
         self._started_ms = now_ms
         self._remote_tally = partitiondetector.RemoteCallTally()
-        self._deadline_ms = max(
-            now_ms, request.deadline_at_ms - DEADLINE_MARGIN_MS
-        )
+        self._end_ms = max(now_ms, request.deadline_at_ms - DEADLINE_MARGIN_MS)
         self._hedge_timing = hedgetiming.HedgeTiming(
             context.load_balancer.latency_of(request.route.name),
             request.route.latency_goal_ms,
@@ -81,15 +76,13 @@
             len(request.services),
         )
         self._hedge_queue = hedgequeue.HedgeQueue(
-            self._hedge_timing,
-            self._can_hedge,
-            context.mechanisms.dry_hedges,
+            self._hedge_timing, self._can_hedge, context.mechanisms.dry_hedges
         )
         self.probe_guard = probeguard.ProbeGuard(
             context.suspect_registry, request.fingerprint
         )
         self.attempts = attempts.Attempts(request)
-        self._upstream_choice = upstreamchoice.UpstreamChoice(
+        self._choice = upstreamchoice.UpstreamChoice(
             request, context, self.probe_guard, self.attempts
         )
 
@@ -97,14 +90,13 @@
         """Returns the commands for the first calls, one for each part.
 
         If the coverage floor cannot be reached, nothing is sent and the
-        request is refused as not run. A request that is known to crash
-        upstreams is not sent either; it fails instead of being refused,
-        because earlier attempts have run.
+        request is refused as not run. A request known to crash upstreams is
+        not sent either but fails, because earlier attempts have run.
         """
         if not self.probe_guard.admit(now_ms):
             return self._reject_crashing(now_ms)
         chosen = [
-            (part, self._upstream_choice.first_upstream(part, now_ms))
+            (part, self._choice.first_upstream(part, now_ms))
             for part in self._parts.all
         ]
         for part, upstream in chosen:
@@ -129,10 +121,10 @@
 
     def next_deadline_ms(self) -> float:
         """Returns the time at which `on_timeout` must be called next."""
-        next_ms = self._deadline_ms
+        next_ms = self._end_ms
         if self.attempts.granted:
             next_ms = min(next_ms, self._hedge_queue.next_due_ms())
-        if self._answers_at_latency_goal():
+        if self._answers_at_goal():
             next_ms = min(next_ms, self.request.goal_at_ms)
         return next_ms
 
@@ -150,10 +142,7 @@
         return commands + self._finish_if_due(now_ms)
 
     def on_attempts_granted(self, now_ms: float) -> list[callcommand.Command]:
-        """Grants this plan the route's remaining attempts.
-
-        Sends the retries and hedges that were deferred until now.
-        """
+        """Grants the remaining attempts; sends deferred retries and hedges."""
         if self.finished or self.attempts.granted:
             return []
         retries, stalled = self.attempts.grant()
@@ -168,12 +157,7 @@
     def record_relayed(
         self, call_ids: collections.abc.Iterable[int], overdue_at_ms: float
     ) -> None:
-        """Records that another instance makes some of the calls.
-
-        Args:
-            call_ids: The IDs of the calls.
-            overdue_at_ms: Time after which their outcomes are overdue.
-        """
+        """Records calls that another instance makes and their overdue time."""
         self._hedge_queue.record_relayed(
             self.calls.still_open(call_ids), overdue_at_ms
         )
@@ -185,15 +169,10 @@
         call = self.calls.pop(call_id)
         if call is None:
             return []
-        return self._process_outcome(call, outcome, now_ms) + self._send_queued(
-            now_ms
-        )
+        return self._process(call, outcome, now_ms) + self._send_queued(now_ms)
 
-    def _process_outcome(
-        self,
-        call: callpart.Call,
-        outcome: callcommand.Outcome,
-        now_ms: float,
+    def _process(
+        self, call: callpart.Call, outcome: callcommand.Outcome, now_ms: float
     ) -> list[callcommand.Command]:
         callfeedback.record_outcome(
             self._context.load_balancer,
@@ -221,10 +200,7 @@
     ) -> list[callcommand.Command]:
         """Hedges calls that are stalled at their upstreams.
 
-        Args:
-            call_ids: The IDs of the stalled calls. The calls that the same
-                instance made along with them have been answered.
-            now_ms: The current time.
+        The calls that the same instance made along with them are answered.
         """
         if not self.attempts.granted:
             self.attempts.defer_stalled(tuple(call_ids))
@@ -259,8 +235,7 @@
         if self.finished:
             return []
         if self._parts.answered_count:
-            # An upstream answered it here, which the reporting instance
-            # does not know.
+            # An upstream answered it here; the reporter does not know it.
             self.probe_guard.clear_suspicion(now_ms)
             return []
         return self._reject_crashing(now_ms)
@@ -271,8 +246,6 @@
         self.probe_guard.record_end()
         return self._cancel_all(now_ms)
 
-    # Call outcomes.
-
     def _apply_outcome(
         self,
         part: callpart.Part,
@@ -299,8 +272,7 @@
                     return []
                 return self._retry(part, "retry", now_ms)
             case callcommand.OutcomeKind.NOT_RUN if not outcome.reached:
-                # Nothing was sent, so it uses up neither an attempt nor
-                # budget.
+                # Nothing was sent: it uses up neither an attempt nor budget.
                 part.record_unreached(upstream_id)
                 if outcome.reason in callresult.GATHERER_FAULTS:
                     part.tried_upstream_ids.discard(upstream_id)
@@ -315,15 +287,14 @@
     ) -> list[callcommand.Command]:
         """Retries a part if its attempts and budget allow it.
 
-        A part that has another call open is retried only while the request is
-        below its coverage floor.
+        With another call open, only while the request is below its floor.
         """
         if part.calls and not self._parts.is_below_floor():
             return []
         if not self.attempts.granted:
             self.attempts.defer_retry(part, reason)
             return []
-        upstream = self._upstream_choice.retry_upstream(part, now_ms)
+        upstream = self._choice.retry_upstream(part, now_ms)
         if upstream is not None:
             if self._context.extra_call_budget.try_spend(part.service, now_ms):
                 return self._send_to(part, upstream, now_ms, reason)
@@ -332,12 +303,10 @@
             self._parts.abandon(part)
         return []
 
-    # Calls.
-
     def _send(
         self, part: callpart.Part, now_ms: float, extra_reason: str = ""
     ) -> list[callcommand.Command]:
-        upstream = self._upstream_choice.untried_upstream(part, now_ms)
+        upstream = self._choice.untried_upstream(part, now_ms)
         if upstream is None:
             if not part.calls:
                 self._parts.abandon(part)
@@ -360,7 +329,7 @@
             part,
             upstream,
             now_ms,
-            cross_domain=self._upstream_choice.is_cross_domain(upstream),
+            cross_domain=self._choice.is_cross_domain(upstream),
             is_probe=self.probe_guard.is_probing,
         )
         self._remote_tally.sent_count += call.cross_domain
@@ -371,9 +340,7 @@
                 upstream=upstream,
                 extra_reason=extra_reason,
                 is_probe=call.is_probe,
-                cross_domain_only=self._upstream_choice.is_cross_domain_only(
-                    part
-                ),
+                cross_domain_only=self._choice.is_cross_domain_only(part),
             )
         ]
 
@@ -384,15 +351,12 @@
             queued = self.probe_guard.next_queued(self.calls, now_ms)
             if queued is None:
                 break
-            part, extra_reason = queued.part, queued.extra_reason
+            part, reason = queued.part, queued.extra_reason
             if len(part.reached_upstream_ids) < self.attempts.limit_count:
-                sends = self._send(part, now_ms, extra_reason)
+                sends = self._send(part, now_ms, reason)
             else:
-                # The route allows no further upstream, so the call goes to
-                # one that shed the request before.
-                sends = self._send_to(
-                    part, queued.upstream, now_ms, extra_reason
-                )
+                # The route allows no further upstream: resend after shed.
+                sends = self._send_to(part, queued.upstream, now_ms, reason)
             commands += sends + self._finish_if_due(now_ms)
         return commands
 
@@ -411,18 +375,13 @@
     ) -> list[callcommand.Command]:
         part = call.part
         part.hedged = True
-        reserve_count = (
-            0.0 if self._parts.is_below_floor() else HEDGE_RESERVE_COUNT
-        )
+        reserve = 0.0 if self._parts.is_below_floor() else HEDGE_RESERVE_COUNT
         if not self._context.extra_call_budget.try_spend(
-            part.service, now_ms, reserve_count
+            part.service, now_ms, reserve
         ):
             return []
         relayed = call.overdue_at_ms is not None
-        if (
-            relayed
-            and self._upstream_choice.untried_upstream(part, now_ms) is None
-        ):
+        if relayed and self._choice.untried_upstream(part, now_ms) is None:
             # The relaying instance may be lost and the upstream healthy.
             part.tried_upstream_ids.discard(call.upstream_id)
         return self._send(part, now_ms, probeguard.HEDGE)
@@ -441,14 +400,12 @@
             commands.extend(self._cancel_part(part, now_ms))
         return commands
 
-    # End of the request.
-
     @property
     def max_reached_count(self) -> int:
         """The largest number of upstreams that may have seen a single part."""
         return self._parts.max_reached_count()
 
-    def _answers_at_latency_goal(self) -> bool:
+    def _answers_at_goal(self) -> bool:
         """Returns whether the request ends at its latency goal."""
         return (
             self._context.mechanisms.answer_at_goal
@@ -460,12 +417,9 @@
             return []
         if not self._parts.open_count or not self._parts.can_reach_floor():
             return self._finish(now_ms, timed_out=False)
-        if (
-            now_ms >= self.request.goal_at_ms
-            and self._answers_at_latency_goal()
-        ):
+        if now_ms >= self.request.goal_at_ms and self._answers_at_goal():
             return self._finish(now_ms, timed_out=False)
-        if now_ms >= self._deadline_ms:
+        if now_ms >= self._end_ms:
             return self._finish(now_ms, timed_out=True)
         return []
 
