--- a/hyssoptack/policy/quarantine.py
+++ b/hyssoptack/policy/quarantine.py
@@ -38,8 +38,7 @@
 the outcome of the first probe before their own."""
 
 PROBE_RETRY_MS = 5_000.0
-"""Delay until the next probe after one that brought neither an answer nor a
-crash."""
+"""Delay until the next probe after one without an answer or a crash."""
 
 ENTRY_LIMIT_COUNT = 4_096
 """Largest number of suspected requests, and of quarantined ones, that an
@@ -73,8 +72,7 @@
     Attributes:
         kind: What has changed.
         fingerprint: Fingerprint of the request.
-        upstream_ids: Upstreams that crashed with it in flight, as far as
-            recorded.
+        upstream_ids: Upstreams that crashed with it in flight, if recorded.
         quarantine_count: Quarantines of the request in a row.
         quarantine_ms: Length of the quarantine, without jitter.
         source: Instance that reported the change; empty if found locally.
@@ -96,26 +94,20 @@
 
     Attributes:
         on_change: Called with each state change of a request.
-        on_pending_notices: Called when a notice is queued or a request becomes
-            suspected.
+        on_pending_notices: Called on each queued notice or new suspect.
     """
 
     def __init__(self, source: random.Random, enabled: bool = True):
-        """Creates an empty registry.
-
-        Args:
-            source: Source of the probe jitter and of random samples.
-            enabled: Whether requests are suspected at all.
-        """
+        """Creates a registry; `source` gives the probe jitter and samples."""
         self._random = source
         self._enabled = enabled
-        self._suspected: collections.OrderedDict[
+        self._suspects: collections.OrderedDict[
             str, suspectrecord.SuspectRecord
         ] = collections.OrderedDict()
         self._quarantined: collections.OrderedDict[
             str, suspectrecord.SuspectRecord
         ] = collections.OrderedDict()
-        self._answered: dict[str, float] = {}
+        self._answers: dict[str, float] = {}
         self._trusted: frozenset[str] = frozenset()
         self._pending_notices: dict[str, None] = {}
         self.on_change: OnChange = lambda _: None
@@ -126,7 +118,7 @@
     @property
     def suspected_count(self) -> int:
         """Number of requests that are sent as probes."""
-        return len(self._suspected)
+        return len(self._suspects)
 
     @property
     def quarantined_count(self) -> int:
@@ -136,13 +128,11 @@
     @property
     def has_entries(self) -> bool:
         """Whether any request is suspected or quarantined."""
-        return bool(self._suspected or self._quarantined)
+        return bool(self._suspects or self._quarantined)
 
     def is_tracked(self, fingerprint: str) -> bool:
         """Returns whether a request is suspected or quarantined."""
-        return (
-            fingerprint in self._suspected or fingerprint in self._quarantined
-        )
+        return fingerprint in self._suspects or fingerprint in self._quarantined
 
     def is_quarantined(self, fingerprint: str, now_ms: float) -> bool:
         """Returns whether a request is quarantined and no probe is due."""
@@ -151,13 +141,8 @@
             now_ms < entry.quarantined_until_ms + entry.probe_jitter_ms
         )
 
-    # Requests.
-
     def decide(self, fingerprint: str, now_ms: float) -> Verdict:
-        """Returns how an incoming request is to be sent.
-
-        Where a quarantined request's probe is due, this call starts it.
-        """
+        """Returns how to send a request, and starts its probe if one is due."""
         entry = self._quarantined.get(fingerprint)
         if entry is not None:
             if self.is_quarantined(fingerprint, now_ms):
@@ -168,9 +153,9 @@
                 entry.expires_ms, now_ms + 2 * PROBE_RETRY_MS
             )
             entry.probe_jitter_ms = 0.0
-            self._report_change(ChangeKind.PROBED, fingerprint, entry)
+            self._report(ChangeKind.PROBED, fingerprint, entry)
             return Verdict.PROBE
-        entry = self._suspected.get(fingerprint)
+        entry = self._suspects.get(fingerprint)
         if (
             entry is None
             or now_ms - entry.last_crash_ms > suspectrecord.SUSPICION_TTL_MS
@@ -185,10 +170,10 @@
             self._clear(fingerprint, "")
 
     def _remember_answer(self, fingerprint: str, at_ms: float) -> None:
-        self._answered.pop(fingerprint, None)
-        self._answered[fingerprint] = at_ms
-        if len(self._answered) > ENTRY_LIMIT_COUNT:
-            del self._answered[next(iter(self._answered))]
+        self._answers.pop(fingerprint, None)
+        self._answers[fingerprint] = at_ms
+        if len(self._answers) > ENTRY_LIMIT_COUNT:
+            del self._answers[next(iter(self._answers))]
 
     def record_crash(
         self,
@@ -214,7 +199,7 @@
 
     def share(self, fingerprint: str) -> None:
         """Shares a suspected request that has ended without an answer."""
-        entry = self._suspected.get(fingerprint)
+        entry = self._suspects.get(fingerprint)
         if entry is not None and not entry.is_shared:
             entry.is_shared = True
             self._queue_notice(fingerprint)
@@ -228,8 +213,6 @@
             if self.is_tracked(each):
                 self.record_answer(each, now_ms)
 
-    # State changes.
-
     def _add_crashes(
         self,
         fingerprint: str,
@@ -237,29 +220,23 @@
         now_ms: float,
         source: str,
     ) -> None:
-        entry = self._suspected.get(fingerprint)
+        entry = self._suspects.get(fingerprint)
         is_new = entry is None
         if entry is None:
-            entry = self._suspected[fingerprint] = suspectrecord.SuspectRecord()
-            _drop_oldest(self._suspected)
+            entry = self._suspects[fingerprint] = suspectrecord.SuspectRecord()
+            _drop_oldest(self._suspects)
         known_ids = {each.upstream_id for each in entry.crashes}
-        new_crashes = [
-            each for each in crashes if each.upstream_id not in known_ids
-        ]
-        for each in new_crashes:
+        new = [each for each in crashes if each.upstream_id not in known_ids]
+        for each in new:
             # Many crashes in one event prove no more than one does.
-            same_event = (
+            repeats = (
                 each.at_ms - entry.last_crash_ms
                 < suspectrecord.CRASH_EVENT_WINDOW_MS
             )
-            if (
-                each.is_separate_event
-                or not same_event
-                or len(entry.crashes) < 2
-            ):
+            if each.is_separate_event or not repeats or len(entry.crashes) < 2:
                 entry.crashes.append(each)
             entry.last_crash_ms = max(entry.last_crash_ms, each.at_ms)
-        if source and new_crashes:
+        if source and new:
             entry.is_shared = True
             self._queue_notice(fingerprint)
         if (
@@ -275,7 +252,7 @@
             )
         elif is_new:
             self.on_pending_notices()
-            self._report_change(
+            self._report(
                 ChangeKind.SUSPECTED, fingerprint, entry, source=source
             )
 
@@ -287,50 +264,42 @@
         now_ms: float,
         source: str = "",
     ) -> None:
-        self._suspected.pop(fingerprint, None)
+        self._suspects.pop(fingerprint, None)
         self._quarantined[fingerprint] = entry
         self._quarantined.move_to_end(fingerprint)
         _drop_oldest(self._quarantined)
         entry.quarantine_count = term.count
         entry.quarantined_until_ms = now_ms + term.duration_ms
         entry.expires_ms = now_ms + term.retention_ms
-        max_jitter_ms = PROBE_JITTER_RATIO * suspectrecord.quarantine_ms(
-            term.count
-        )
-        entry.probe_jitter_ms = self._random.uniform(0.0, max_jitter_ms)
+        limit_ms = PROBE_JITTER_RATIO * suspectrecord.quarantine_ms(term.count)
+        entry.probe_jitter_ms = self._random.uniform(0.0, limit_ms)
         entry.is_probing = False
         entry.is_shared = True
         self._queue_notice(fingerprint)
-        self._report_change(
-            ChangeKind.QUARANTINED,
-            fingerprint,
-            entry,
-            term.duration_ms,
-            source,
+        self._report(
+            ChangeKind.QUARANTINED, fingerprint, entry, term.duration_ms, source
         )
 
     def _clear(self, fingerprint: str, source: str) -> None:
-        entry = self._suspected.pop(fingerprint, None)
+        entry = self._suspects.pop(fingerprint, None)
         entry = self._quarantined.pop(fingerprint, entry)
         if entry.is_shared:
             self._queue_notice(fingerprint)
-        self._report_change(
-            ChangeKind.CLEARED, fingerprint, entry, source=source
-        )
+        self._report(ChangeKind.CLEARED, fingerprint, entry, source=source)
 
     def expire(self, now_ms: float) -> None:
         """Drops entries that have expired."""
-        for fingerprint, entry in tuple(self._suspected.items()):
+        for fingerprint, entry in tuple(self._suspects.items()):
             if now_ms - entry.last_crash_ms > suspectrecord.SUSPICION_TTL_MS:
-                del self._suspected[fingerprint]
-                self._report_change(ChangeKind.EXPIRED, fingerprint, entry)
+                del self._suspects[fingerprint]
+                self._report(ChangeKind.EXPIRED, fingerprint, entry)
         for fingerprint, entry in tuple(self._quarantined.items()):
             # No caller has sent it for as long as a probe was allowed.
             if now_ms > entry.expires_ms:
                 del self._quarantined[fingerprint]
-                self._report_change(ChangeKind.EXPIRED, fingerprint, entry)
+                self._report(ChangeKind.EXPIRED, fingerprint, entry)
 
-    def _report_change(
+    def _report(
         self,
         kind: ChangeKind,
         fingerprint: str,
@@ -348,8 +317,6 @@
         )
         self.on_change(change)
 
-    # Notices between instances.
-
     def _queue_notice(self, fingerprint: str) -> None:
         self._pending_notices.pop(fingerprint, None)
         self._pending_notices[fingerprint] = None
@@ -368,22 +335,17 @@
         newest = reversed(self._pending_notices)
         names = sorted(newest, key=lambda each: each not in self._quarantined)
         self._pending_notices.clear()
-        notices = (
-            self._notice_for(each, now_ms) for each in names[:limit_count]
-        )
+        notices = (self._notice(each, now_ms) for each in names[:limit_count])
         return tuple(each for each in notices if each is not None)
 
     def sample_notices(
         self, limit_count: int, now_ms: float
     ) -> tuple[gatewaymessage.Suspect, ...]:
-        """Returns random notices for instances that may have missed them.
-
-        Quarantined requests come first.
-        """
+        """Returns random notices others may have missed, quarantined first."""
         names = self._sample(self._quarantined, limit_count)
-        shared = [name for name, e in self._suspected.items() if e.is_shared]
+        shared = [name for name, e in self._suspects.items() if e.is_shared]
         names += self._sample(shared, limit_count - len(names))
-        notices = (self._notice_for(each, now_ms) for each in names)
+        notices = (self._notice(each, now_ms) for each in names)
         return tuple(
             each
             for each in notices
@@ -395,13 +357,13 @@
     ) -> list[str]:
         return self._random.sample(tuple(names), min(len(names), limit_count))
 
-    def _notice_for(
+    def _notice(
         self, fingerprint: str, now_ms: float
     ) -> gatewaymessage.Suspect | None:
         entry = self._quarantined.get(fingerprint)
-        entry = entry or self._suspected.get(fingerprint)
+        entry = entry or self._suspects.get(fingerprint)
         if entry is None:
-            answered_ms = self._answered.get(fingerprint)
+            answered_ms = self._answers.get(fingerprint)
             if answered_ms is None:
                 return None
             return gatewaymessage.Suspect(
@@ -411,26 +373,20 @@
             )
         return suspectrecord.to_notice(fingerprint, entry, now_ms)
 
-    # Persistence and merging.
-
     def newest_quarantined(
         self, limit_count: int, now_ms: float
     ) -> list[tuple[str, suspectrecord.SuspectRecord]]:
         """Returns the most recently quarantined requests and their records."""
-        newest = itertools.islice(
-            reversed(self._quarantined.items()), limit_count
-        )
+        new = itertools.islice(reversed(self._quarantined.items()), limit_count)
         return [
             each
-            for each in newest
+            for each in new
             if each[1].expires_ms > now_ms + suspectrecord.SHARING_CUTOFF_MS
         ]
 
     def was_cleared(self, fingerprint: str) -> bool:
         """Returns whether a request was answered and is no longer tracked."""
-        return fingerprint in self._answered and not self.is_tracked(
-            fingerprint
-        )
+        return fingerprint in self._answers and not self.is_tracked(fingerprint)
 
     def merge_notice(
         self, notice: gatewaymessage.Suspect, source: str, now_ms: float
@@ -442,8 +398,8 @@
             self._remember_answer(notice.fingerprint, now_ms)
         at_ms = now_ms - notice.age_ms
         if notice.cleared:
-            self._merge_clearance(notice.fingerprint, at_ms, source)
-        elif at_ms <= self._answered.get(notice.fingerprint, float("-inf")):
+            self._add_answer(notice.fingerprint, at_ms, source)
+        elif at_ms <= self._answers.get(notice.fingerprint, float("-inf")):
             # It has been answered since, which the sender does not know yet.
             self._queue_notice(notice.fingerprint)
         elif notice.blocked_count:
@@ -452,13 +408,11 @@
             crashes = suspectrecord.crashes_from_notice(notice, now_ms)
             self._add_crashes(notice.fingerprint, crashes, now_ms, source)
 
-    def _merge_clearance(
-        self, fingerprint: str, at_ms: float, source: str
-    ) -> None:
-        if at_ms > self._answered.get(fingerprint, float("-inf")):
+    def _add_answer(self, fingerprint: str, at_ms: float, source: str) -> None:
+        if at_ms > self._answers.get(fingerprint, float("-inf")):
             self._remember_answer(fingerprint, at_ms)
         entry = self._quarantined.get(fingerprint)
-        entry = entry or self._suspected.get(fingerprint)
+        entry = entry or self._suspects.get(fingerprint)
         if entry is not None and entry.last_crash_ms <= at_ms:
             self._clear(fingerprint, source)
 
@@ -472,7 +426,7 @@
         entry = self._quarantined.get(notice.fingerprint)
         if entry is not None and entry.quarantine_count >= notice.blocked_count:
             return
-        entry = entry or self._suspected.get(notice.fingerprint)
+        entry = entry or self._suspects.get(notice.fingerprint)
         entry = entry or suspectrecord.SuspectRecord()
         entry.last_crash_ms = max(entry.last_crash_ms, at_ms)
         self._start_quarantine(
