--- a/hyssoptack/policy/queryplan.py
+++ b/hyssoptack/policy/queryplan.py
@@ -41,7 +41,8 @@
         upstream_health: Health and latency of upstreams, from earlier calls.
         extra_call_budgets: Budgets for extra calls, one for each service.
         hedge_policy: Policy that sets the delay and the budget of hedges.
-        current_service: Returns the current service of a name, or None.
+        current_service: Looks up a service by name in the current
+            configuration; returns None for an unknown name.
     """
 
     router: routing.Router
@@ -194,7 +195,8 @@
             self._close(state)
             return self._cancel_calls(state)
         if self._merger.index_version in reply.held_versions:
-            # It answered from another version but also holds the query's.
+            # The upstream answered from another version than the query's, but
+            # holds the query's version as well.
             state.tried_paths.discard(
                 (call.path.upstream_id, call.path.instance_id)
             )
@@ -403,9 +405,9 @@
         commands: list[querycommand.Command] = []
         for shard in new.shards:
             overlaps = any(
-                gap.low < shard.key_range.high
-                and shard.key_range.low < gap.high
-                for gap in missing
+                each.low < shard.key_range.high
+                and shard.key_range.low < each.high
+                for each in missing
             )
             if overlaps:
                 state = shardstate.ShardState(shard=shard)
