--- a/hyssoptack/policy/callplan_test.py
+++ b/hyssoptack/policy/callplan_test.py
@@ -150,8 +150,8 @@
 
 
 def test_missing_parts_are_hedged_at_once_when_answers_stop_arriving():
-    # Of 54 upstreams, 2 pause at any time. Without this, hedges began at 72 ms
-    # (all others answered at 30 ms) and were answered after the goal.
+    # Of 54 upstreams, 2 pause at any time. Without this, hedges of their parts
+    # began at 72 ms (all others had answered at 30 ms) and missed the goal.
     running, last_ms = _replicated_index(20, 10.0)
     due_ms = running.next_deadline_ms()
     assert last_ms + 3.0 < due_ms < last_ms + 8.0
