--- a/hyssoptack/policy/callplan.py
+++ b/hyssoptack/policy/callplan.py
@@ -42,7 +42,8 @@
         request: The request.
         calls: The open calls.
         finished: Whether the request has ended.
-        probe_guard: Queues calls during a probe; rejects crashing requests.
+        probe_guard: Queues calls while the request is sent as a probe, and
+            rejects requests that crash upstreams.
         attempts: The attempts that the request may make from this instance.
     """
 
@@ -200,7 +201,7 @@
     ) -> list[callcommand.Command]:
         """Hedges calls that are stalled at their upstreams.
 
-        The calls that the same instance made along with them are answered.
+        Other calls that the same instance made with them have been answered.
         """
         if not self.attempts.granted:
             self.attempts.defer_stalled(tuple(call_ids))
@@ -214,8 +215,7 @@
     def on_partition(self, now_ms: float) -> list[callcommand.Command]:
         """Cancels calls to other failure domains, which cannot be answered.
 
-        If the local domain cannot reach the coverage floor, the request ends
-        at once instead of at the caller's deadline.
+        If the local domain cannot reach the floor, the request ends at once.
         """
         if self.finished:
             return []
@@ -287,7 +287,7 @@
     ) -> list[callcommand.Command]:
         """Retries a part if its attempts and budget allow it.
 
-        With another call open, only while the request is below its floor.
+        If another call is open, it retries only below the coverage floor.
         """
         if part.calls and not self._parts.is_below_floor():
             return []
@@ -355,7 +355,7 @@
             if len(part.reached_upstream_ids) < self.attempts.limit_count:
                 sends = self._send(part, now_ms, reason)
             else:
-                # The route allows no further upstream: resend after shed.
+                # No further upstream is allowed: resend to one that shed it.
                 sends = self._send_to(part, queued.upstream, now_ms, reason)
             commands += sends + self._finish_if_due(now_ms)
         return commands
