--- a/hyssoptack/policy/quarantine.py
+++ b/hyssoptack/policy/quarantine.py
@@ -13,10 +13,9 @@
 A request is quarantined once upstreams have crashed with it in flight in three
 separate events and none has answered it. A harmless request is quarantined only
 if upstreams known to be alive crash by chance that often, each during the tens
-to hundreds of milliseconds in which it runs the request. Quarantined requests
-are not sent; they fail at once. When a quarantine ends, one request is sent as
-a probe: a request that has become harmless is served again, and one that still
-crashes upstreams costs one of them.
+to hundreds of milliseconds in which they run it. Quarantined requests fail at
+once, unsent. When a quarantine ends, one request is sent as a probe: a request
+now harmless is served again, one that still crashes upstreams costs one.
 
 Entries are limited in number and in age. Instances exchange them
 (`gateway.quarantinesync`).
@@ -41,10 +40,9 @@
 """Delay until the next probe after one without an answer or a crash."""
 
 ENTRY_LIMIT_COUNT = 4_096
-"""Largest number of suspected requests, and of quarantined ones, that an
-instance keeps. They take 2.5 MB and 5 MB (tested in `quarantine_test` with
-50,000 and 20,000 requests), a sixteenth of its memory limit. Beyond the limit
-the oldest entries are dropped."""
+"""Limit for suspected and for quarantined requests each. Beyond it, the oldest
+entries are dropped. They take 2.5 MB and 5 MB (tested in `quarantine_test`
+with 50,000 and 20,000 requests), a sixteenth of an instance's memory limit."""
 
 
 class Verdict(enum.Enum):
@@ -98,7 +96,10 @@
     """
 
     def __init__(self, source: random.Random, enabled: bool = True):
-        """Creates a registry; `source` gives the probe jitter and samples."""
+        """Creates a registry; `source` gives the probe jitter and samples.
+
+        Unless `enabled`, no request is suspected.
+        """
         self._random = source
         self._enabled = enabled
         self._suspects: collections.OrderedDict[
@@ -363,13 +364,11 @@
         entry = self._quarantined.get(fingerprint)
         entry = entry or self._suspects.get(fingerprint)
         if entry is None:
-            answered_ms = self._answers.get(fingerprint)
-            if answered_ms is None:
+            at_ms = self._answers.get(fingerprint)
+            if at_ms is None:
                 return None
             return gatewaymessage.Suspect(
-                fingerprint=fingerprint,
-                age_ms=now_ms - answered_ms,
-                cleared=True,
+                fingerprint=fingerprint, age_ms=now_ms - at_ms, cleared=True
             )
         return suspectrecord.to_notice(fingerprint, entry, now_ms)
 
@@ -398,7 +397,7 @@
             self._remember_answer(notice.fingerprint, now_ms)
         at_ms = now_ms - notice.age_ms
         if notice.cleared:
-            self._add_answer(notice.fingerprint, at_ms, source)
+            self._merge_clear(notice.fingerprint, at_ms, source)
         elif at_ms <= self._answers.get(notice.fingerprint, float("-inf")):
             # It has been answered since, which the sender does not know yet.
             self._queue_notice(notice.fingerprint)
@@ -408,7 +407,7 @@
             crashes = suspectrecord.crashes_from_notice(notice, now_ms)
             self._add_crashes(notice.fingerprint, crashes, now_ms, source)
 
-    def _add_answer(self, fingerprint: str, at_ms: float, source: str) -> None:
+    def _merge_clear(self, fingerprint: str, at_ms: float, source: str) -> None:
         if at_ms > self._answers.get(fingerprint, float("-inf")):
             self._remember_answer(fingerprint, at_ms)
         entry = self._quarantined.get(fingerprint)
