--- a/hyssoptack/gateway/gateway_test.py
+++ b/hyssoptack/gateway/gateway_test.py
@@ -42,15 +42,13 @@
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site)
-            response = await site.get("/one/x?q=1", "r1")
-            assert response.status == 200
-            assert response.body == b"booked" * 4
-            assert response.headers["x-server-stamp"].endswith(".r1")
-            heads = [
-                h for s in site.upstreams.values() for h in s.request_heads
-            ]
-            assert heads[0].startswith(b"GET /one/x?q=1 HTTP/1.1\r\n")
-            assert b"X-Request-Deadline: " in heads[0]
+            reply = await site.get("/one/x?q=1", "r1")
+            assert reply.status == 200
+            assert reply.body == b"booked" * 4
+            assert reply.headers["x-server-stamp"].endswith(".r1")
+            sent = [h for s in site.upstreams.values() for h in s.request_heads]
+            assert sent[0].startswith(b"GET /one/x?q=1 HTTP/1.1\r\n")
+            assert b"X-Request-Deadline: " in sent[0]
             assert site.run_count("r1") == 1
 
     run(test())
@@ -60,11 +58,11 @@
     async def test():
         async with harness.Site() as site:
             await _start_sharded_service(site)
-            response = await site.get("/all/", "r1")
+            reply = await site.get("/all/", "r1")
             expected = b"".join(bytes([b]) * 16 for b in (200, 199, 198))
-            assert (response.status, response.body) == (200, expected)
-            assert response.headers["x-missing-parts"] == "0"
-            assert len(response.headers["x-part-stamps"].split(",")) == 4
+            assert (reply.status, reply.body) == (200, expected)
+            assert reply.headers["x-missing-parts"] == "0"
+            assert len(reply.headers["x-part-stamps"].split(",")) == 4
 
     run(test())
 
@@ -75,10 +73,10 @@
             await _start_sharded_service(site)
             site.upstreams["i-3"].behaviour.never = True
             started = asyncio.get_running_loop().time()
-            response = await site.get("/all/", "r1")
+            reply = await site.get("/all/", "r1")
             took_s = asyncio.get_running_loop().time() - started
-            assert response.status == 200
-            assert response.headers["x-missing-parts"] == "1"
+            assert reply.status == 200
+            assert reply.headers["x-missing-parts"] == "1"
             assert took_s < 0.4
 
     run(test())
@@ -90,9 +88,9 @@
             await _start_sharded_service(site)
             for each in ("i-2", "i-3"):
                 site.upstreams[each].behaviour.fail_count = 9
-            response = await site.get("/all/", "r1")
-            assert response.status == 502
-            assert "retry-after" not in response.headers
+            reply = await site.get("/all/", "r1")
+            assert reply.status == 502
+            assert "retry-after" not in reply.headers
 
     run(test())
 
@@ -103,10 +101,8 @@
             await _start_single_service(site)
             for each in site.upstreams.values():
                 each.behaviour.reset_count = 1
-            response = await site.get(
-                "/once/x", "r1", method="POST", body=b"book"
-            )
-            assert response.status == 502
+            reply = await site.get("/once/x", "r1", method="POST", body=b"book")
+            assert reply.status == 502
             assert site.run_count("r1") == 1
 
     run(test())
@@ -118,10 +114,8 @@
             await _start_single_service(site)
             for each in site.upstreams.values():
                 each.behaviour.shed_count = 1
-            response = await site.get(
-                "/once/x", "r1", method="POST", body=b"book"
-            )
-            assert response.status == 200
+            reply = await site.get("/once/x", "r1", method="POST", body=b"book")
+            assert reply.status == 200
             assert site.run_count("r1") == 1
 
     run(test())
@@ -133,11 +127,9 @@
             await _start_single_service(site)
             for each in site.upstreams.values():
                 each.behaviour.shed_count = 9
-            response = await site.get(
-                "/once/x", "r1", method="POST", body=b"book"
-            )
-            assert response.status == 503
-            assert float(response.headers["retry-after"]) > 0
+            reply = await site.get("/once/x", "r1", method="POST", body=b"book")
+            assert reply.status == 503
+            assert float(reply.headers["retry-after"]) > 0
             assert site.run_count("r1") == 0
 
     run(test())
@@ -154,8 +146,8 @@
             site.upstreams["i-0"].behaviour.reset_count = 1
             site.upstreams["i-1"].behaviour.reset_count = 0
             for number in range(4):
-                response = await site.get("/one/x", f"r1{number}")
-                assert response.status == 200
+                reply = await site.get("/one/x", f"r1{number}")
+                assert reply.status == 200
 
     run(test())
 
@@ -167,12 +159,10 @@
             await _start_single_service(site, 1)
             setattr(site.upstreams["i-0"].behaviour, fault, True)
             for number in range(6):
-                response = await site.get("/one/x", f"r{number}")
-                assert response.status == 200
-                assert response.body == b"booked" * 4
-                assert response.headers["x-server-stamp"].endswith(
-                    f".r{number}"
-                )
+                reply = await site.get("/one/x", f"r{number}")
+                assert reply.status == 200
+                assert reply.body == b"booked" * 4
+                assert reply.headers["x-server-stamp"].endswith(f".r{number}")
 
     run(test())
 
@@ -183,8 +173,8 @@
         async with harness.Site() as site:
             await _start_single_service(site, 1)
             setattr(site.upstreams["i-0"].behaviour, fault, True)
-            response = await site.get("/one/x", "r1")
-            assert response.status == 502
+            reply = await site.get("/one/x", "r1")
+            assert reply.status == 502
 
     run(test())
 
@@ -194,8 +184,8 @@
         async with harness.Site() as site:
             await _start_single_service(site, 1)
             site.upstreams["i-0"].upstream_id = "i-other"
-            response = await site.get("/once/x", "r1", method="POST")
-            assert response.status == 503
+            reply = await site.get("/once/x", "r1", method="POST")
+            assert reply.status == 503
             assert site.run_count("r1") == 0
 
     run(test())
@@ -228,8 +218,8 @@
             for number in range(3):
                 writer.write(harness.request_bytes("/one/x", f"r{number}"))
             for number in range(3):
-                response = await harness.read_response(reader)
-                assert response.headers["x-request-id"] == f"r{number}"
+                reply = await harness.read_response(reader)
+                assert reply.headers["x-request-id"] == f"r{number}"
             writer.close()
 
     run(test())
@@ -265,8 +255,8 @@
         async with harness.Site() as site:
             await _start_single_service(site, 1)
             address = site.settings["gateway-1"].callers_address
-            response = await harness.send_raw(address, data)
-            assert response.status == status
+            reply = await harness.send_raw(address, data)
+            assert reply.status == status
             assert not sum(
                 map(len, (s.run_counts for s in site.upstreams.values()))
             )
@@ -284,8 +274,8 @@
                 b"X-Request-Id: r1\r\nTransfer-Encoding: chunked\r\n\r\n"
                 b"4\r\nbook\r\n3\r\ning\r\n0\r\n\r\n"
             )
-            response = await harness.send_raw(address, data)
-            assert response.status == 200
+            reply = await harness.send_raw(address, data)
+            assert reply.status == 200
             head = site.upstreams["i-0"].request_heads[0].lower()
             assert b"content-length: 7\r\n" in head
             assert b"transfer-encoding" not in head
@@ -334,8 +324,8 @@
             await asyncio.sleep(1.5)
             before = sum(site.upstreams["i-0"].run_counts.values())
             for number in range(10):
-                response = await site.get("/one/x", f"r{number}")
-                assert response.status == 200
+                reply = await site.get("/one/x", f"r{number}")
+                assert reply.status == 200
             assert sum(site.upstreams["i-0"].run_counts.values()) == before
 
     run(test())
@@ -406,17 +396,15 @@
             await asyncio.sleep(0.05)
             assert await site.readiness_status() == 503
             second = asyncio.create_task(site.get("/one/x", "r2"))
-            response = await first
-            assert response.status == 200
-            assert response.headers["connection"] == "close"
+            reply = await first
+            assert reply.status == 200
+            assert reply.headers["connection"] == "close"
             assert (await second).status == 200
 
     run(test())
 
 
-def test_a_reload_applies_valid_settings_and_ignores_invalid_ones(
-    tmp_path,
-):
+def test_a_reload_applies_valid_settings_and_ignores_invalid_ones(tmp_path):
     async def test():
         async with harness.Site() as site:
             await _start_single_service(site, 1)
@@ -442,10 +430,10 @@
             await _start_single_service(site, 1)
             await site.get("/one/x", "r1")
             address = site.settings["gateway-1"].metrics_address
-            response = await harness.send_raw(
+            reply = await harness.send_raw(
                 address, b"GET /metrics HTTP/1.1\r\nHost: m\r\n\r\n"
             )
-            page = response.body.decode()
+            page = reply.body.decode()
             assert (
                 'hyssoptack_requests_total{route="route-0",status="200"} 1'
                 in page
