--- a/hyssoptack/gateway/querydelegation.py
+++ b/hyssoptack/gateway/querydelegation.py
@@ -30,8 +30,7 @@
 """Sends a message to the instance at an address."""
 
 LOOP_CHECK_PERIOD_S = 0.1
-"""Interval at which an instance checks whether its event loop has stalled; 20
-checks cost 1 ms of processor time."""
+"""Period of checks for event loop stalls; 20 checks cost 1 ms of CPU time."""
 
 LOOP_STALL_MS = 300.0
 """Stall of the event loop after which an instance declines queries that may
@@ -50,8 +49,7 @@
         request: The request as the neighbour's caller sent it.
         send_reply: Sends the answer to the neighbour.
         on_abandoned: Called when the neighbour cancels the query.
-        on_commit: Called when the neighbour confirms that it will not take the
-            query back.
+        on_commit: Called on confirmation that the query is not taken back.
     """
 
     request: message.Request
@@ -73,9 +71,7 @@
 
 
 RunLocally = collections.abc.Callable[[inbound.RoutedRequest, bool], None]
-"""Runs a query on this instance; the flag says whether a neighbour may have run
-part of it."""
-
+"""Runs a query here; the flag says if a neighbour may have run part of it."""
 
 CanRerunLocally = collections.abc.Callable[[inbound.RoutedRequest], bool]
 """Returns whether a query that a neighbour may have started can run here."""
@@ -92,23 +88,14 @@
         run_locally: RunLocally,
         can_rerun_locally: CanRerunLocally,
     ):
-        """Creates a delegator without any queries.
-
-        Args:
-            selector: Selects the neighbour that a query is delegated to.
-            own_address: Address at which this instance receives messages.
-            send: Sends a message to an address.
-            run_locally: Runs a query on this instance.
-            can_rerun_locally: Returns whether a query that a neighbour may have
-                started can run on this instance.
-        """
+        """Creates a delegator that receives messages at `own_address`."""
         self.can_rerun_locally = can_rerun_locally
         self.selector = selector
         self.own_address = own_address
         self.send = send
         self.run_locally = run_locally
         self.pending: dict[int, DelegatedQuery] = {}
-        self._correlation_ids = correlationids.new_sequence()
+        self._ask_ids = correlationids.new_sequence()
         self._accepted: dict[tuple[str, int], PeerExchange] = {}
         self._last_tick_ms = clock.now_ms()
         self._resumed_ms = -math.inf
@@ -116,9 +103,7 @@
     def try_delegate(self, query: inbound.RoutedRequest, version: int) -> bool:
         """Delegates a query if a neighbour is better; returns whether it did.
 
-        Args:
-            query: The query.
-            version: Configuration version under which the query must run.
+        The query must run under the configuration version `version`.
         """
         now_ms = clock.now_ms()
         route = query.route_match.route
@@ -136,14 +121,10 @@
                 return False
         if peer is None:
             return False
-        delegated = DelegatedQuery(
-            self, query, peer, next(self._correlation_ids)
-        )
+        delegated = DelegatedQuery(self, query, peer, next(self._ask_ids))
         delegated.start(version)
         return True
 
-    # Queries received from neighbours.
-
     async def watch_event_loop(self) -> None:
         """Records stalls of the event loop until cancelled."""
         while True:
@@ -164,61 +145,50 @@
         return stalled or now_ms - self._resumed_ms < RESUME_WINDOW_MS
 
     def accept(
-        self,
-        delegation_request: gatewaymessage.DelegationRequest,
-        can_serve: bool,
+        self, received: gatewaymessage.DelegationRequest, can_serve: bool
     ) -> PeerExchange | None:
         """Accepts or declines a neighbour's query and reports which to it.
 
-        Args:
-            delegation_request: The neighbour's request.
-            can_serve: Whether this instance is ready and has the configuration
-                version of the sender.
-
-        Returns:
-            The exchange to answer, or None if no new query is to be started.
+        `can_serve` says whether this instance is ready and has the sender's
+        configuration version. Returns the exchange to answer, or None if no new
+        query is to be started.
         """
         now_ms = clock.now_ms()
-        key = delegation_request.sender_address, delegation_request.ask_id
+        key = received.sender_address, received.ask_id
         already_running = key in self._accepted
         stale = self.messages_may_be_stale()
-        begun = already_running or (
-            can_serve and not stale and delegation_request.fresh
-        )
+        begun = already_running or (can_serve and not stale and received.fresh)
         status = gatewaymessage.DelegationStatus(
-            sender_address=self.own_address,
-            ask_id=delegation_request.ask_id,
-            begun=begun,
+            sender_address=self.own_address, ask_id=received.ask_id, begun=begun
         )
-        self.send(delegation_request.sender_address, status)
+        self.send(received.sender_address, status)
         if already_running:
-            if not delegation_request.fresh:
-                # A sender sends a request that is not fresh only after it has
-                # received the report that the query has started.
+            if not received.fresh:
+                # A sender repeats it only after it has received `begun=True`.
                 self._on_commit(key)
             return None
         request = message.Request(
-            method=delegation_request.method,
-            target=delegation_request.target,
-            headers=delegation_request.headers,
-            body=delegation_request.body,
-            received_ms=now_ms - max(0.0, delegation_request.elapsed_ms),
+            method=received.method,
+            target=received.target,
+            headers=received.headers,
+            body=received.body,
+            received_ms=now_ms - max(0.0, received.elapsed_ms),
             keep_alive=True,
         )
         log.write(
             log.Event.QUERY_TAKEN,
             request_id=headers.request_id_text(request),
-            sender_address=delegation_request.sender_address,
-            ask_id=delegation_request.ask_id,
-            elapsed_ms=round(delegation_request.elapsed_ms, 1),
-            fresh=delegation_request.fresh,
+            sender_address=received.sender_address,
+            ask_id=received.ask_id,
+            elapsed_ms=round(received.elapsed_ms, 1),
+            fresh=received.fresh,
             willing=can_serve,
             stale=stale,
             begun=begun,
         )
         if not begun:
             return None
-        route_name = delegation_request.route_name
+        route_name = received.route_name
         exchange = PeerExchange(
             request=request,
             send_reply=lambda reply: self._send_answer(key, route_name, reply),
@@ -246,8 +216,6 @@
         if exchange is not None and exchange.on_commit is not None:
             exchange.on_commit()
 
-    # Queries delegated to neighbours.
-
     def on_message(self, received: gatewaymessage.Message) -> None:
         """Handles a message about a delegated or accepted query."""
         match received:
@@ -299,19 +267,19 @@
         peer: member.Peer,
         ask_id: int,
     ):
-        self._delegator = delegator
+        self._parent = delegator
         self._query = query
         self._peer = peer
         self._ask_id = ask_id
         self._state = _State.SENT
-        self._hop_delay_ms = delegator.selector.hop_delays.estimate_ms
-        self._goal_at_ms = query.goal_at_ms(clock.now_ms())
+        self._hop_ms = delegator.selector.hop_delays.estimate_ms
+        self._goal_ms = query.goal_at_ms(clock.now_ms())
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self, version: int) -> None:
         """Sends the query to the neighbour and starts the accept timeout."""
-        self._delegator.pending[self._ask_id] = self
-        self._delegator.selector.begin_delegation(self._peer.address)
+        self._parent.pending[self._ask_id] = self
+        self._parent.selector.begin_delegation(self._peer.address)
         self._query.exchange.on_abandoned = self._on_caller_left
         self._send_request(version, fresh=True)
         self._start_timer(delegation.ACCEPT_TIMEOUT_MS, self._on_accept_timeout)
@@ -324,7 +292,7 @@
     def _send_request(self, version: int, fresh: bool) -> None:
         request = self._query.exchange.request
         delegation_request = gatewaymessage.DelegationRequest(
-            sender_address=self._delegator.own_address,
+            sender_address=self._parent.own_address,
             ask_id=self._ask_id,
             version=version,
             route_name=self._query.route_match.route.name,
@@ -333,10 +301,10 @@
             headers=request.headers,
             body=request.body,
             elapsed_ms=clock.now_ms() - request.received_ms,
-            away_ms=self._query.reserved_ms + self._hop_delay_ms,
+            away_ms=self._query.reserved_ms + self._hop_ms,
             fresh=fresh,
         )
-        self._delegator.send(self._peer.address, delegation_request)
+        self._parent.send(self._peer.address, delegation_request)
 
     def _start_timer(
         self, wait_ms: float, function: collections.abc.Callable[[], None]
@@ -349,7 +317,7 @@
     def _on_accept_timeout(self) -> None:
         """Takes the query back, or waits if it can't be rerun here."""
         now_ms = clock.now_ms()
-        if now_ms < self._goal_at_ms and not self._delegator.can_rerun_locally(
+        if now_ms < self._goal_ms and not self._parent.can_rerun_locally(
             self._query
         ):
             log.write(
@@ -357,13 +325,10 @@
                 request_id=self._query.request_id,
                 neighbour=self._peer.instance_id,
                 ask_id=self._ask_id,
-                to_goal_ms=round(self._goal_at_ms - now_ms),
-            )
-            # The request is not repeated: a neighbour that has already answered
-            # would run the query again.
-            self._start_timer(
-                self._goal_at_ms - now_ms, self._on_accept_timeout
+                to_goal_ms=round(self._goal_ms - now_ms),
             )
+            # Not sent again: a neighbour that has answered would rerun it.
+            self._start_timer(self._goal_ms - now_ms, self._on_accept_timeout)
             return
         self._send_cancel()
         self._take_back("not_begun", may_have_run=True)
@@ -412,9 +377,7 @@
         if self._state is _State.SENT:
             self._take_back(reason, may_have_run=True)
             return
-        self._delegator.selector.record_failure(
-            self._peer.address, clock.now_ms()
-        )
+        self._parent.selector.record_failure(self._peer.address, clock.now_ms())
         self._send_cancel()
         self._end()
         self._log_taken_back(reason, may_have_run=True)
@@ -425,11 +388,9 @@
 
     def on_answer(self, answer: gatewaymessage.DelegationAnswer) -> None:
         """Sends the neighbour's answer to the caller."""
-        self._delegator.selector.record_answer(self._peer.address)
+        self._parent.selector.record_answer(self._peer.address)
         route_name = self._query.route_match.route.name
-        self._delegator.selector.record_reply_size(
-            route_name, answer.reply_bytes
-        )
+        self._parent.selector.record_reply_size(route_name, answer.reply_bytes)
         self._end()
         reply = message.Reply(
             status=answer.status, headers=answer.headers, body=answer.body
@@ -437,12 +398,9 @@
         request = self._query.exchange.request
         self._query.exchange.answer(reply)
         if headers.has_missing_parts(reply):
-            # A partial answer is sent at the goal, so any remaining delay is
-            # the time that it took to travel back.
-            late_ms = clock.now_ms() - self._goal_at_ms
-            self._delegator.selector.hop_delays.record(
-                self._hop_delay_ms + late_ms
-            )
+            # A partial answer leaves at the goal: lateness is travel time.
+            late_ms = clock.now_ms() - self._goal_ms
+            self._parent.selector.hop_delays.record(self._hop_ms + late_ms)
         log.write(
             log.Event.QUERY_HANDED,
             request_id=self._query.request_id,
@@ -453,12 +411,10 @@
 
     def _take_back(self, reason: str, may_have_run: bool) -> None:
         """Records the neighbour's failure and runs the query here."""
-        self._delegator.selector.record_failure(
-            self._peer.address, clock.now_ms()
-        )
+        self._parent.selector.record_failure(self._peer.address, clock.now_ms())
         self._end()
         self._log_taken_back(reason, may_have_run)
-        self._delegator.run_locally(self._query, may_have_run)
+        self._parent.run_locally(self._query, may_have_run)
 
     def _log_taken_back(self, reason: str, may_have_run: bool) -> None:
         log.write(
@@ -476,18 +432,18 @@
 
     def _send_cancel(self) -> None:
         cancel = gatewaymessage.DelegationCancel(
-            sender_address=self._delegator.own_address, ask_id=self._ask_id
+            sender_address=self._parent.own_address, ask_id=self._ask_id
         )
-        self._delegator.send(self._peer.address, cancel)
+        self._parent.send(self._peer.address, cancel)
 
     def _send_commit(self) -> None:
         commit = gatewaymessage.DelegationCommit(
-            sender_address=self._delegator.own_address, ask_id=self._ask_id
+            sender_address=self._parent.own_address, ask_id=self._ask_id
         )
-        self._delegator.send(self._peer.address, commit)
+        self._parent.send(self._peer.address, commit)
 
     def _end(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._delegator.pending.pop(self._ask_id, None)
-        self._delegator.selector.end_delegation(self._peer.address)
+        self._parent.pending.pop(self._ask_id, None)
+        self._parent.selector.end_delegation(self._peer.address)
