--- a/hyssoptack/gateway/daemon.py
+++ b/hyssoptack/gateway/daemon.py
@@ -63,9 +63,8 @@
 """Settings that take effect only at a restart."""
 
 IDLE_CLOSE_DELAY_MS = 2_600.0
-"""Time from a stop signal until idle connections are closed: the platform's
-balancer needs two probes, a second apart, to see that an instance is not
-ready."""
+"""Time from a stop signal to closing idle connections: the platform's balancer
+needs two probes, a second apart, to see that an instance is not ready."""
 
 KILL_MARGIN_MS = 400.0
 """Time before the platform's kill at which the process ends by itself."""
@@ -82,19 +81,12 @@
     """One gateway instance: its servers, peer links, state and tasks."""
 
     def __init__(self, settings: gateway.GatewaySettings, path: str = ""):
-        """Creates a gateway.
-
-        Args:
-            settings: The instance's settings.
-            path: Path of the settings file; empty if there is none.
-        """
+        """Creates a gateway; `path` is the settings file, empty if none."""
         self._settings = settings
         self._path = path
         self._pools = pool.Pools(headers.REQUEST_ID)
         self._warmups = warmup.WarmupLimiter(
-            derivedsettings.own_peer(settings),
-            settings.warmup,
-            clock.now_ms(),
+            derivedsettings.own_peer(settings), settings.warmup, clock.now_ms()
         )
         self._load_balancer = loadbalancer.LoadBalancer(
             derivedsettings.load_balancer_settings(settings), self._warmups
@@ -122,26 +114,18 @@
         )
         self._metrics = metrics.Metrics()
         self._request_handler = requesthandler.RequestHandler(
-            self.view,
-            self._plan_context(),
-            settings.failure_domain,
-            self._metrics,
+            self.view, self._context(), settings.failure_domain, self._metrics
         )
         self._caller_server = httpserver.Server(
             handler=self._request_handler.handle,
             on_refused=requesthandler.log_unreadable_request,
         )
-        status_pages = statuspages.StatusPages(
+        pages = statuspages.StatusPages(
             self._metrics, self._is_ready, self._gauge_values
         )
-        self._readiness_server = httpserver.Server(
-            handler=status_pages.answer_readiness
-        )
-        self._metrics_server = httpserver.Server(
-            handler=status_pages.answer_metrics
-        )
-        # The store has pools of its own, because `Pools.keep_only` closes the
-        # pools of everything but the upstreams that it is given.
+        self._probe_server = httpserver.Server(handler=pages.answer_readiness)
+        self._metrics_server = httpserver.Server(handler=pages.answer_metrics)
+        # Separate pools: `Pools.keep_only` closes all but the given upstreams'.
         self._store_pools = pool.Pools(headers.REQUEST_ID)
         self._store = keyvalue.Client(settings.store_address, self._store_pools)
         self._peering = peering.Peering(
@@ -199,10 +183,10 @@
             lambda: self._settings.store_address,
             self._on_partition_change,
         )
-        self._stop_requested = asyncio.Event()
+        self._stopping = asyncio.Event()
         self._listeners = listeners.Listeners()
 
-    def _plan_context(self) -> plancontext.PlanContext:
+    def _context(self) -> plancontext.PlanContext:
         return plancontext.PlanContext(
             load_balancer=self._load_balancer,
             extra_call_budget=self._extra_call_budget,
@@ -212,7 +196,7 @@
         )
 
     def _on_peer_message(self, peer_message: gatewaymessage.Message) -> None:
-        ready = self.view.is_complete and not self._stop_requested.is_set()
+        ready = self.view.is_complete and not self._stopping.is_set()
         match peer_message:
             case gatewaymessage.DelegationRequest():
                 self._request_handler.serve_delegated(peer_message, ready)
@@ -253,9 +237,7 @@
         other failure domains.
         """
         leaves_rotation = self._partition_detector.leaves_rotation
-        self._caller_server.closing = (
-            leaves_rotation or self._stop_requested.is_set()
-        )
+        self._caller_server.closing = leaves_rotation or self._stopping.is_set()
         if not self._partition_detector.is_partitioned:
             return
         if self._partition_detector.suspected_locally:
@@ -265,7 +247,7 @@
     def _is_ready(self) -> bool:
         return (
             self.view.is_complete
-            and not self._stop_requested.is_set()
+            and not self._stopping.is_set()
             and not self._partition_detector.leaves_rotation
         )
 
@@ -287,8 +269,7 @@
     async def run(self, callers_port: socket.socket | None = None) -> None:
         """Serves until a stop signal, then finishes the requests in progress.
 
-        Args:
-            callers_port: The callers' port, if it is open already.
+        `callers_port` is the callers' port, if it is open already.
         """
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(exceptionlog.log_callback_exception)
@@ -300,7 +281,7 @@
                 self._settings.callers_address
             )
         await self._listeners.listen(
-            self._settings.readiness_address, self._readiness_server
+            self._settings.readiness_address, self._probe_server
         )
         if self._settings.metrics_address:
             await self._listeners.listen(
@@ -338,7 +319,7 @@
                 self._watch_settings_file(),
                 self._delegator.watch_event_loop(),
                 self._caller_server.close_timed_out_connections(),
-                self._readiness_server.close_timed_out_connections(),
+                self._probe_server.close_timed_out_connections(),
                 self._pools.sweep(),
                 self._store_pools.sweep(),
             )
@@ -347,7 +328,7 @@
         await self._listeners.accept_callers(
             callers_port, self._caller_server, self.view
         )
-        stopped = loop.create_task(self._stop_requested.wait())
+        stopped = loop.create_task(self._stopping.wait())
         done, _ = await asyncio.wait(
             (*tasks, stopped), return_when=asyncio.FIRST_COMPLETED
         )
@@ -371,7 +352,7 @@
         log.write(
             log.Event.STOP_ASKED, running=len(self._request_handler.active_runs)
         )
-        self._stop_requested.set()
+        self._stopping.set()
 
     async def _watch_settings_file(self) -> None:
         """Reloads the settings file when it has changed."""
@@ -423,11 +404,7 @@
         )
 
     def _on_instances(self, far_gatherers: tuple[member.Peer, ...]) -> None:
-        """Updates everything that depends on the list of instances.
-
-        Args:
-            far_gatherers: Instances of other failure domains that may gather.
-        """
+        """Applies new instances and the gatherers of other failure domains."""
         self._delegator.selector.set_neighbours(
             self.reader_election.neighbours()
         )
@@ -480,13 +457,7 @@
     path: str,
     callers_port: socket.socket | None = None,
 ) -> None:
-    """Runs a gateway until it is stopped.
-
-    Args:
-        settings: The instance's settings.
-        path: Path of the settings file.
-        callers_port: The callers' port, if it is open already.
-    """
+    """Runs a gateway until it is stopped; `Gateway` documents the arguments."""
 
     async def main() -> None:
         await Gateway(settings, path).run(callers_port)
