--- a/hyssoptack/gateway/storewatch.py
+++ b/hyssoptack/gateway/storewatch.py
@@ -54,8 +54,9 @@
 on the slowest machines); by the third, all have."""
 
 INSTANCE_READ_PERIOD_MS = 5_000.0
-"""How often a reader reads the list of instances. Until they get the list that
-a reader has read, new instances read the store themselves."""
+"""How often a reader reads the list of instances. Readers send a new
+instance notices only once they have found it in the list; until then, it reads
+the store itself."""
 
 
 COLD_MAX_MS = 600_000.0
