--- a/hyssoptack/gateway/quarantinesync.py
+++ b/hyssoptack/gateway/quarantinesync.py
@@ -3,8 +3,9 @@
 `policy.quarantine` holds the records of suspected and quarantined requests;
 this module logs and sends them. New records go at once to some instances of the
 own failure domain and of others, which forward those that are new to them.
-Each second, a sample of all records goes to one instance of each kind, which
-makes up for lost messages and for records made during a partition. An instance
+Each second, a sample of all records goes to one instance of the own failure
+domain and to one of another, which makes up for lost messages and for records
+made during a partition. An instance
 that has just started requests the records of others. While there are no
 records, nothing is sent.
 """
@@ -38,10 +39,10 @@
 many: 997 of 1,000 instances get them so within some tens of milliseconds."""
 
 NEW_RECORDS_COUNT = 6
-"""Maximum number of new records in one message. At `MAX_BYTES_PER_S` they take
-a second, so that the next new record is sent in time. Requests that crash
-upstreams are few; if a caller fabricates many of them, sharing their records is
-of no use."""
+"""Maximum number of new records in one message. At `MAX_BYTES_PER_S`, sending
+them to six instances takes about a second, so that the next new record is sent
+in time. Requests that crash upstreams are few; if a caller fabricates many of
+them, sharing their records is of no use."""
 
 SAMPLE_COUNT = 16
 """Maximum number of records that a round sends again."""
@@ -105,7 +106,7 @@
                 refused from now on.
             instance_metrics: The instance's metrics.
         """
-        self.suspicions = registry
+        self.registry = registry
         self._own = own
         self._domain_peers = domain_peers
         self._remote_peers = remote_peers
@@ -121,7 +122,9 @@
     # Changes on this instance.
 
     def on_upstream_exit(
-        self, upstream: traffic.Upstream, in_hand: tuple[pool.Job, ...]
+        self,
+        upstream: traffic.Upstream,
+        broken_jobs: tuple[pool.CallRequest, ...],
     ) -> None:
         """Counts and logs an upstream that exited with calls in progress."""
         self._metrics.upstream_exits.inc({"service": upstream.service})
@@ -131,9 +134,9 @@
             service=upstream.service,
             in_hand=[
                 f"{each.fingerprint} {each.request_id.decode('latin-1')}"
-                for each in in_hand[:LOGGED_CALLS_COUNT]
+                for each in broken_jobs[:LOGGED_CALLS_COUNT]
             ],
-            in_hand_count=len(in_hand),
+            in_hand_count=len(broken_jobs),
         )
 
     def _on_change(self, change: quarantine.SuspicionChange) -> None:
@@ -157,7 +160,7 @@
     async def share_periodically(self) -> None:
         """Sends records to other instances until cancelled."""
         while True:
-            if self._remaining_request_count or self.suspicions.has_entries:
+            if self._remaining_request_count or self.registry.has_entries:
                 await self._wait_for_new_records()
             else:
                 await self._has_new_records.wait()
@@ -176,11 +179,11 @@
     def _run_round(self) -> float:
         """Runs one round; returns the pause after it in seconds."""
         now_ms = clock.now_ms()
-        self.suspicions.expire(now_ms)
+        self.registry.expire(now_ms)
         self._request_records()
         if self._has_new_records.is_set():
             self._has_new_records.clear()
-            new_records = self.suspicions.pop_new_notices(
+            new_records = self.registry.pop_new_notices(
                 NEW_RECORDS_COUNT, now_ms
             )
             sent_count = self._send_records(
@@ -188,7 +191,7 @@
             )
             self._log_shared(new_records)
         else:
-            sample = self.suspicions.sample_notices(SAMPLE_COUNT, now_ms)
+            sample = self.registry.sample_notices(SAMPLE_COUNT, now_ms)
             sent_count = self._send_records(sample, 1, 1)
         return sent_count * RECORD_BYTES / MAX_BYTES_PER_S
 
@@ -264,8 +267,8 @@
                 sender_id=sender_id, suspects=suspects
             ):
                 for suspect in suspects:
-                    self.suspicions.merge_notice(suspect, sender_id, now_ms)
+                    self.registry.merge_notice(suspect, sender_id, now_ms)
             case gatewaymessage.SuspectsRequest(address=address):
-                suspects = self.suspicions.sample_notices(ANSWER_COUNT, now_ms)
+                suspects = self.registry.sample_notices(ANSWER_COUNT, now_ms)
                 if suspects:
                     self._send(address, self._notice(suspects))
--- a/hyssoptack/gateway/statuspages.py
+++ b/hyssoptack/gateway/statuspages.py
@@ -35,7 +35,7 @@
         self._last_logged_ready = False
 
     def answer_readiness(self, exchange: httpserver.Exchange) -> None:
-        """Answers the load balancer's readiness check."""
+        """Answers the readiness check of the platform's balancer."""
         if exchange.request.path != headers.READINESS_PATH:
             exchange.answer(message.problem_reply(404, "unknown_path"))
             return
@@ -50,7 +50,7 @@
     def answer_metrics(self, exchange: httpserver.Exchange) -> None:
         """Answers with the metrics page, whatever the path."""
         for name, value in self._read_gauges(clock.now_ms()).items():
-            self._metrics.instance_facts.set({"name": name}, value)
+            self._metrics.instance_gauges.set({"name": name}, value)
         page = self._metrics.render_text()
         page_headers = ((b"Content-Type", b"text/plain; version=0.0.4"),)
         exchange.answer(
--- a/hyssoptack/peers/gossip.py
+++ b/hyssoptack/peers/gossip.py
@@ -21,13 +21,13 @@
 
 MS_PER_S = 1000.0
 RECENT_SENDER_COUNT = 6
-"""Most recent senders that a heartbeat passes on to its receiver."""
+"""Maximum number of recent senders that a heartbeat passes on."""
 
 CONFIG_REQUEST_INTERVAL_MS = 300.0
-"""Least time between two requests for the configuration."""
+"""Minimum time between two requests for the configuration."""
 
 BROADCAST_LIMIT_COUNT = 64
-"""Most peers to which a heartbeat is broadcast."""
+"""Maximum number of peers to which a heartbeat is broadcast."""
 
 PARTNER_COUNT = 12
 """Peers from which the receivers of heartbeats are drawn."""
@@ -36,7 +36,7 @@
 """Longest time until the partners are drawn again."""
 
 Send = collections.abc.Callable[[str, message.Message], None]
-OnConfig = collections.abc.Callable[[configuration.InForce], None]
+OnConfig = collections.abc.Callable[[configuration.NewConfiguration], None]
 
 
 class Gossip:
@@ -44,12 +44,12 @@
 
     def __init__(
         self,
-        knowledge: state.InstanceState,
+        instance_state: state.InstanceState,
         config: configuration.ActiveConfiguration,
         send: Send,
         on_config: OnConfig,
     ):
-        self._state = knowledge
+        self._state = instance_state
         self._config = config
         self._send = send
         self._on_config = on_config
@@ -83,7 +83,7 @@
     def broadcast_heartbeat(self) -> None:
         """Sends a heartbeat to many peers, for example when leaving.
 
-        Peers beyond `BROADCAST_LIMIT_COUNT` learn of it from the instance list.
+        Peers beyond `BROADCAST_LIMIT_COUNT` receive it from the instance list.
         """
         beat = message.Heartbeat(
             sender=self._state.own_member(),
@@ -154,7 +154,7 @@
         if manifest is None:
             return
         offer = message.ConfigOffer(
-            manifest_text=configuration.manifest_text(manifest),
+            manifest_text=configuration.encode_manifest(manifest),
             parts=self._config.parts_for_peer(wanted.have_digests),
         )
         self._state.record_message(wanted.sender, clock.now_ms())
@@ -163,5 +163,5 @@
     def on_config_offer(self, offer: message.ConfigOffer) -> None:
         """Merges a configuration offered by a peer."""
         applied = self._config.merge_offer(offer.manifest_text, offer.parts)
-        if isinstance(applied, configuration.InForce):
+        if isinstance(applied, configuration.NewConfiguration):
             self._on_config(applied)
--- a/hyssoptack/relay/client.py
+++ b/hyssoptack/relay/client.py
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class ActBody:
+class ActRequest:
     """JSON body of a non-idempotent request to an upstream."""
 
     key: str
@@ -66,7 +66,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class ActReply:
+class ActionReplyBody:
     """JSON body of an upstream's reply to a non-idempotent request."""
 
     receipt: str
@@ -98,7 +98,7 @@
 
 _ENCODER = msgspec.json.Encoder()
 _SEARCH_DECODER = msgspec.json.Decoder(SearchReply)
-_ACT_DECODER = msgspec.json.Decoder(ActReply)
+_ACT_DECODER = msgspec.json.Decoder(ActionReplyBody)
 
 
 class UpstreamClient:
@@ -192,7 +192,7 @@
             attempt_id: Identifier of the attempt, sent to the upstream.
             remaining_ms: Time left for the call, in milliseconds.
         """
-        body = ActBody(
+        body = ActRequest(
             key=request.idempotency_key,
             attempt_id=attempt_id,
             subject=request.subject,
@@ -208,7 +208,7 @@
             call.cancel()
         return MayHaveRun(detail="no answer from the upstream in time")
 
-    async def _post_act(self, url: str, body: ActBody) -> ActionResult:
+    async def _post_act(self, url: str, body: ActRequest) -> ActionResult:
         timeout = aiohttp.ClientTimeout(
             total=None, sock_connect=CONNECT_TIMEOUT_MS / MS_PER_S
         )
--- a/hyssoptack/settings/validation.py
+++ b/hyssoptack/settings/validation.py
@@ -92,8 +92,8 @@
 
         Args:
             name: Name of the field; its suffix is the unit.
-            low: The least value allowed.
-            high: The greatest value allowed.
+            low: The smallest value allowed.
+            high: The largest value allowed.
             default: Value if the field is absent; without a default the field
                 is required.
             whole: Whether only whole numbers are allowed.
@@ -215,7 +215,7 @@
                 self.error(
                     str(name),
                     value,
-                    f"no such field; known fields: {known}",
+                    f"no field of this name; known fields: {known}",
                 )
 
     def _path_of(self, name: str) -> str:
